--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -71,7 +71,7 @@
 		d.NoteUnread(r.Id, err)
 		return err
 	}
-	if !state.Catalog().News(r, c.Leave) {
+	if !state.Catalog().WouldChange(r, c.Leave) {
 		return nil
 	}
 	began := d.clock.Now()
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -121,7 +121,7 @@
 			Sequence:   r.Sequence,
 			BornMillis: r.BornUnixMilli,
 			Limit:      d.limitOf(r),
-			Leaving:    d.targetLimits.of(catalog.LifeOf(r).String()).isLeaving,
+			Leaving:    d.targetLimits.of(catalog.IncarnationOf(r).String()).isLeaving,
 		})
 	}
 	_ = c.JSON(out) // the client sees a broken answer
@@ -129,7 +129,7 @@
 
 // limitOf returns what this replica knows of a target's limit, nil for none.
 func (d *Daemon) limitOf(r *wire.Registration) *operator.TargetLimit {
-	known := d.targetLimits.of(catalog.LifeOf(r).String())
+	known := d.targetLimits.of(catalog.IncarnationOf(r).String())
 	if known.limit == targetstatus.NoLimit {
 		return nil
 	}
--- a/internal/control/repeatedupdates_test.go
+++ b/internal/control/repeatedupdates_test.go
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
 			id := fmt.Sprint("i", rapid.IntRange(0, 1).Draw(t, "id"))
 			r := wordOf(id, rapid.Int64Range(0, 2).Draw(t, "born"), rapid.Uint64Range(1, 24).Draw(t, "sequence"), rapid.Uint32Range(1, 2).Draw(t, "slots"))
-			covered, news := w.covers(s, r), s.News(r, false)
+			covered, news := w.covers(s, r), s.WouldChange(r, false)
 			if covered && news {
 				t.Fatalf("%v is covered and would change the state", r)
 			}
@@ -58,7 +58,7 @@
 	})
 	b.Run("list", func(b *testing.B) {
 		for b.Loop() {
-			s.News(r, false)
+			s.WouldChange(r, false)
 		}
 	})
 }
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -91,7 +91,7 @@
 	t.kept = now
 	lives := make(map[string]bool, len(s.Catalog().Targets()))
 	for _, r := range s.Catalog().Targets() {
-		lives[catalog.LifeOf(r).String()] = true
+		lives[catalog.IncarnationOf(r).String()] = true
 	}
 	t.issuer.Keep(now, func(life string) bool { return lives[life] })
 }
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -21,7 +21,7 @@
 	if given {
 		c.workspace = c.rules.keys.Identify(key)
 	}
-	if c.workspace == nil && c.rules.keys.Requires(c.route) {
+	if c.workspace == nil && c.rules.keys.RequiresKey(c.route) {
 		reason := reasonNoKey
 		if given {
 			reason = reasonUnknownKey
@@ -33,7 +33,7 @@
 	if c.workspace == nil {
 		return true
 	}
-	regions, ok := catalog.NarrowRegions(c.route.Regions, c.workspace.Regions)
+	regions, ok := catalog.IntersectRegions(c.route.Regions, c.workspace.Regions)
 	if !ok {
 		// No target may run it until the document changes.
 		c.refuse(reasonNoRegion, longestRoutesWait)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -22,7 +22,7 @@
 const permitRetryAfter = 250 * time.Millisecond
 
 // limited reports whether the request needs permits.
-func (c *call) limited() bool { return c.workspace != nil && !c.workspace.Limit.None() }
+func (c *call) limited() bool { return c.workspace != nil && !c.workspace.Limit.IsUnlimited() }
 
 // obtainPermit gets the permit without which no target may run the request. It
 // reports whether the request may go on; if not, it has been answered.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -107,7 +107,7 @@
 
 func (d *Daemon) target(r *wire.Registration) balance.Target {
 	return balance.Target{
-		ID:       catalog.LifeOf(r).String(),
+		ID:       catalog.IncarnationOf(r).String(),
 		Name:     r.Id,
 		Service:  r.Service,
 		Address:  r.Address,
@@ -120,7 +120,7 @@
 	}
 }
 
-func names(list []catalog.Life) []string {
+func names(list []catalog.Incarnation) []string {
 	out := make([]string, 0, len(list))
 	for _, l := range list {
 		out = append(out, l.String())
--- a/pkg/catalog/bench_test.go
+++ b/pkg/catalog/bench_test.go
@@ -82,7 +82,7 @@
 		b.Run(fmt.Sprintf("heartbeat/targets=%d", n), func(b *testing.B) {
 			again := word("new", "b", 2, false).Registration
 			for b.Loop() {
-				if joined.News(again, false) {
+				if joined.WouldChange(again, false) {
 					b.Fatal("news")
 				}
 			}
--- a/pkg/catalog/editing.go
+++ b/pkg/catalog/editing.go
@@ -120,7 +120,7 @@
 	if order := compareBirths(r.BornUnixMilli, known.BornUnixMilli); order != 0 {
 		return order > 0
 	}
-	return !Repeats(known, r)
+	return !IsRedundant(known, r)
 }
 
 // hasLeft reports whether an update is of a life that has departed.
--- a/pkg/catalog/editing_test.go
+++ b/pkg/catalog/editing_test.go
@@ -60,7 +60,7 @@
 	if order := compareBirths(r.BornUnixMilli, s.targets[i].BornUnixMilli); order != 0 {
 		return order > 0
 	}
-	return !Repeats(s.targets[i], r)
+	return !IsRedundant(s.targets[i], r)
 }
 
 func (s *reference) hasLeft(r *wire.Registration, leave, registered bool) bool {
--- a/pkg/catalog/pack.go
+++ b/pkg/catalog/pack.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// MaxText bounds the text of a document in bytes: as much as one message
+	// MaxTextBytes bounds the text of a document in bytes: as much as one message
 	// between processes may carry.
-	MaxText = 64 << 20
+	MaxTextBytes = 64 << 20
 	// dictionaryID names the text before in a frame; 0 would leave it open
 	// whether there is a dictionary.
 	dictionaryID = 1
@@ -43,21 +43,21 @@
 	return fmt.Sprintf("it is a difference to document %d, document %d is at hand", e.Needed, e.Have)
 }
 
-// SizeError says that a text would be longer than MaxText bytes, or has
+// SizeError says that a text would be longer than MaxTextBytes, or has
 // another length than was told.
-type SizeError struct{ Told, Got uint64 }
+type SizeError struct{ Declared, Actual uint64 }
 
 // Error implements error.
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("the text was told to have %d bytes, of at most %d, and has %d", e.Told, MaxText, e.Got)
+	return fmt.Sprintf("the text was told to have %d bytes, of at most %d, and has %d", e.Declared, MaxTextBytes, e.Actual)
 }
 
 // DigestError says that the text is not the one that was packed.
-type DigestError struct{ Told, Got uint64 }
+type DigestError struct{ Declared, Actual uint64 }
 
 // Error implements error.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("the text has the digest %016x, told was %016x", e.Got, e.Told)
+	return fmt.Sprintf("the text has the digest %016x, told was %016x", e.Actual, e.Declared)
 }
 
 // Pack returns a document as a difference to the document before, or by itself
@@ -89,8 +89,8 @@
 	if p.GetBase() != 0 && p.Base != before.GetNumber() {
 		return nil, &BaseError{Needed: p.Base, Have: before.GetNumber()}
 	}
-	if p.GetLength() > MaxText {
-		return nil, &SizeError{Told: p.Length}
+	if p.GetLength() > MaxTextBytes {
+		return nil, &SizeError{Declared: p.Length}
 	}
 	var dictionary []byte
 	if p.GetBase() != 0 {
@@ -101,10 +101,10 @@
 		return nil, err
 	}
 	if got := uint64(len(text)); got != p.GetLength() {
-		return nil, &SizeError{Told: p.GetLength(), Got: got}
+		return nil, &SizeError{Declared: p.GetLength(), Actual: got}
 	}
 	if got := xxhash.Sum64(text); got != p.GetDigest() {
-		return nil, &DigestError{Told: p.GetDigest(), Got: got}
+		return nil, &DigestError{Declared: p.GetDigest(), Actual: got}
 	}
 	return text, nil
 }
--- a/pkg/catalog/pack_test.go
+++ b/pkg/catalog/pack_test.go
@@ -103,14 +103,14 @@
 	p.Digest++
 	_, err := Unpack(before, p)
 	var digest *DigestError
-	if !errors.As(err, &digest) || digest.Told != p.Digest || digest.Got != p.Digest-1 {
+	if !errors.As(err, &digest) || digest.Declared != p.Digest || digest.Actual != p.Digest-1 {
 		t.Errorf("another digest: %v", err)
 	}
 	p = Pack(before, next)
 	p.Length++
 	_, err = Unpack(before, p)
 	var size *SizeError
-	if !errors.As(err, &size) || size.Told != p.Length || size.Got != p.Length-1 {
+	if !errors.As(err, &size) || size.Declared != p.Length || size.Actual != p.Length-1 {
 		t.Errorf("another length: %v", err)
 	}
 }
@@ -162,8 +162,8 @@
 	for name, p := range map[string]*wire.PackedDocument{
 		"size at the head":    {Number: 1, Data: whole, Length: 1000},
 		"no size at the head": {Number: 1, Data: streamed.Bytes(), Length: 1000},
-		"told above bound":    {Number: 1, Data: whole, Length: MaxText + 1},
-		"no data":             {Number: 1, Length: MaxText},
+		"told above bound":    {Number: 1, Data: whole, Length: MaxTextBytes + 1},
+		"no data":             {Number: 1, Length: MaxTextBytes},
 	} {
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
--- a/pkg/catalog/registration.go
+++ b/pkg/catalog/registration.go
@@ -6,23 +6,25 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Life is one life of a target: from a start under its id to its end. All that is
+// Incarnation is one life of a target: from a start under its id to its end. All that is
 // learned of a target holds for one life.
-type Life struct {
+type Incarnation struct {
 	ID string
-	// Born is when it started, in Unix milliseconds; 0 if the target does not tell.
-	Born int64
+	// StartedUnixMilli is when it started, in Unix milliseconds; 0 if the target does not tell.
+	StartedUnixMilli int64
 }
 
-// LifeOf returns the life that a registration is of.
-func LifeOf(r *wire.Registration) Life { return Life{ID: r.Id, Born: r.BornUnixMilli} }
+// IncarnationOf returns the life that a registration is of.
+func IncarnationOf(r *wire.Registration) Incarnation {
+	return Incarnation{ID: r.Id, StartedUnixMilli: r.BornUnixMilli}
+}
 
 // String returns a name of the life that no other life has.
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartedUnixMilli == 0 {
 		return l.ID
 	}
-	return fmt.Sprintf("%s@%d", l.ID, l.Born)
+	return fmt.Sprintf("%s@%d", l.ID, l.StartedUnixMilli)
 }
 
 // compareBirths tells whether an update is of a former (-1), the same (0) or a later
@@ -66,14 +68,14 @@
 	return e.state(), changed
 }
 
-// News reports whether a target's update would change the state.
-func (s State) News(r *wire.Registration, leave bool) bool {
+// WouldChange reports whether a target's update would change the state.
+func (s State) WouldChange(r *wire.Registration, leave bool) bool {
 	return newEditing(s, []*wire.RegistrationCommand{{Registration: r, Leave: leave}}).isNews(r, leave)
 }
 
-// Repeats reports whether an update of the same life as a known one says nothing new:
+// IsRedundant reports whether an update of the same life as a known one says nothing new:
 // it is older, or says the same.
-func Repeats(known, r *wire.Registration) bool {
+func IsRedundant(known, r *wire.Registration) bool {
 	if r.BornUnixMilli != known.BornUnixMilli {
 		return false
 	}
--- a/pkg/catalog/registration_test.go
+++ b/pkg/catalog/registration_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-func ExampleLife() {
-	fmt.Println(Life{ID: "i"}, Life{ID: "i", Born: 1700000000000})
+func ExampleIncarnation() {
+	fmt.Println(Incarnation{ID: "i"}, Incarnation{ID: "i", StartedUnixMilli: 1700000000000})
 	// Output: i i@1700000000000
 }
--- a/pkg/catalog/since_test.go
+++ b/pkg/catalog/since_test.go
@@ -47,7 +47,7 @@
 			// former one and that of the target whose address it has.
 			reborn := slices.ContainsFunc(earlier.Targets(), func(r *wire.Registration) bool {
 				now, ok := s.Target(r.Id)
-				return ok && LifeOf(now) != LifeOf(r)
+				return ok && IncarnationOf(now) != IncarnationOf(r)
 			})
 			each := 2
 			if reborn {
@@ -56,15 +56,15 @@
 			if most := each * steps; !decoded && len(given)+len(ended) > most && len(earlier.Targets()) > 0 && shares(s, earlier) {
 				t.Fatalf("%d given and %d ended after %d changes", len(given), len(ended), steps)
 			}
-			held := slices.DeleteFunc(slices.Clone(earlier.Targets()), func(r *wire.Registration) bool { return slices.Contains(ended, LifeOf(r)) })
+			held := slices.DeleteFunc(slices.Clone(earlier.Targets()), func(r *wire.Registration) bool { return slices.Contains(ended, IncarnationOf(r)) })
 			for _, r := range earlier.Targets() {
 				now, ok := s.Target(r.Id)
-				if over := !ok || LifeOf(now) != LifeOf(r); over && !slices.Contains(ended, LifeOf(r)) {
-					t.Fatalf("life %s is over and was not told to have ended", LifeOf(r))
+				if over := !ok || IncarnationOf(now) != IncarnationOf(r); over && !slices.Contains(ended, IncarnationOf(r)) {
+					t.Fatalf("life %s is over and was not told to have ended", IncarnationOf(r))
 				}
 			}
 			for _, r := range given {
-				if at := slices.IndexFunc(held, func(o *wire.Registration) bool { return LifeOf(o) == LifeOf(r) }); at >= 0 {
+				if at := slices.IndexFunc(held, func(o *wire.Registration) bool { return IncarnationOf(o) == IncarnationOf(r) }); at >= 0 {
 					held[at] = r
 					continue
 				}
--- a/pkg/catalog/state.go
+++ b/pkg/catalog/state.go
@@ -61,21 +61,21 @@
 // identity: of states that follow each other by commands it returns what changed,
 // of states that were decoded apart all. A registration that moved in the list may be
 // returned as both.
-func (s State) TargetsSince(earlier State) (changed []*wire.Registration, ended []Life) {
+func (s State) TargetsSince(earlier State) (changed []*wire.Registration, ended []Incarnation) {
 	if sharesList(s.targets, earlier.targets) {
 		return nil, nil
 	}
 	next := 0
 	for _, r := range earlier.targets {
 		if next == len(s.targets) || s.targets[next].Id != r.Id {
-			ended = append(ended, LifeOf(r))
+			ended = append(ended, IncarnationOf(r))
 			continue
 		}
 		if s.targets[next] != r {
 			changed = append(changed, s.targets[next])
 		}
-		if LifeOf(s.targets[next]) != LifeOf(r) {
-			ended = append(ended, LifeOf(r))
+		if IncarnationOf(s.targets[next]) != IncarnationOf(r) {
+			ended = append(ended, IncarnationOf(r))
 		}
 		next++
 	}
--- a/pkg/catalog/workspace.go
+++ b/pkg/catalog/workspace.go
@@ -29,8 +29,8 @@
 	Burst     float64
 }
 
-// None reports whether there is no limit.
-func (l RateLimit) None() bool { return l.PerSecond <= 0 }
+// IsUnlimited reports whether there is no limit.
+func (l RateLimit) IsUnlimited() bool { return l.PerSecond <= 0 }
 
 // RedactedKey stands for each key in texts that are shown to people. No
 // workspace may have it, so that a shown text is not put in force by mistake.
@@ -100,12 +100,12 @@
 // Identify returns the workspace that holds a key, or nil if none does.
 func (t *KeyTable) Identify(key string) *Workspace { return t.workspaces[key] }
 
-// Requires reports whether requests of a route must carry a known key.
-func (t *KeyTable) Requires(r Route) bool { return t.required && !r.Public }
+// RequiresKey reports whether requests of a route must carry a known key.
+func (t *KeyTable) RequiresKey(r Route) bool { return t.required && !r.Public }
 
-// NarrowRegions returns the regions that may serve a request which two lists
+// IntersectRegions returns the regions that may serve a request which two lists
 // bind, and whether there are any. An empty list binds nothing.
-func NarrowRegions(a, b []string) (regions []string, ok bool) {
+func IntersectRegions(a, b []string) (regions []string, ok bool) {
 	if len(a) == 0 {
 		return b, true
 	}
--- a/pkg/catalog/workspace_test.go
+++ b/pkg/catalog/workspace_test.go
@@ -60,16 +60,16 @@
 func ExampleKeyTable() {
 	table := NewKeyTable(Document{Workspaces: []Workspace{{Name: "north", Keys: []string{"k1"}}}})
 	fmt.Println(table.Identify("k1").Name, table.Identify("k2") == nil)
-	fmt.Println(table.Requires(Route{}), table.Requires(Route{Public: true}))
+	fmt.Println(table.RequiresKey(Route{}), table.RequiresKey(Route{Public: true}))
 	// Output:
 	// north true
 	// true false
 }
 
-func ExampleNarrowRegions() {
-	regions, ok := NarrowRegions([]string{"us-east", "eu-west"}, []string{"eu-west"})
+func ExampleIntersectRegions() {
+	regions, ok := IntersectRegions([]string{"us-east", "eu-west"}, []string{"eu-west"})
 	fmt.Println(regions, ok)
-	_, ok = NarrowRegions([]string{"us-east"}, []string{"eu-west"})
+	_, ok = IntersectRegions([]string{"us-east"}, []string{"eu-west"})
 	fmt.Println(ok)
 	// Output:
 	// [eu-west] true
--- a/pkg/quota/issuer.go
+++ b/pkg/quota/issuer.go
@@ -89,7 +89,7 @@
 	for _, w := range workspaces {
 		known[w.Name] = true
 		i.limits[w.Name] = w.Limit
-		if w.Limit.None() {
+		if w.Limit.IsUnlimited() {
 			delete(i.buckets, w.Name)
 			continue
 		}
@@ -131,7 +131,7 @@
 
 func (i *Issuer) grant(now time.Time, a Ask) Grant {
 	limit, known := i.limits[a.Of]
-	if known && limit.None() {
+	if known && limit.IsUnlimited() {
 		return Grant{Of: a.Of, Count: a.Count, Life: unlimitedLife}
 	}
 	b := i.buckets[a.Of]
