--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -152,7 +152,7 @@
 	n.nextAt = w.now
 	n.aloneSince = w.now
 	r.send = func(m *wire.ConsensusMessage) { w.send(n, m) }
-	r.publish = func(s steering.State, c []*wire.Command) { n.pub.Put(s, c) }
+	r.publish = func(s steering.State, c []*wire.Command) { n.pub.SetState(s, c) }
 	r.noticed = func(notice consensus.Notice) { w.noticed(n, notice) }
 	r.settled = func(c *wire.Command, _ steering.Result) { w.settled(n, c) }
 	r.synced = func(time.Duration) {}
--- a/internal/relay/following.go
+++ b/internal/relay/following.go
@@ -225,7 +225,7 @@
 		f.cancel = cancel
 		go f.subscribe(worker, *out.Subscribe)
 	}
-	if age := f.machine.Age(f.subscriber.Time.Now()); f.heard.Load() > 0 || age < followTick {
+	if age := f.machine.ControlAge(f.subscriber.Time.Now()); f.heard.Load() > 0 || age < followTick {
 		f.heard.Store(int64(max(f.subscriber.Time.Since(f.started)-age, 1)))
 	}
 	if out.State == nil {
--- a/internal/relay/publishing.go
+++ b/internal/relay/publishing.go
@@ -154,7 +154,7 @@
 		if next.state.Version() <= p.last.Version() {
 			continue
 		}
-		p.publish(next.state, distribution.Pack(p.last, next.commands))
+		p.publish(next.state, distribution.PackCommands(p.last, next.commands))
 		p.last = next.state
 	}
 }
@@ -179,7 +179,7 @@
 func (p *Publishing) publish(s steering.State, commands []*wire.Command) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.publisher.Put(s, commands)
+	p.publisher.SetState(s, commands)
 	p.wakeSubscribers()
 }
 
@@ -215,8 +215,8 @@
 	version := request.Version
 	told := ""
 	var toldLimits uint64
-	due := true                // the boxes that serve are told with the beats, not with each change
-	answer := p.publisher.Join // for the first update alone
+	due := true                       // the boxes that serve are told with the beats, not with each change
+	answer := p.publisher.FirstUpdate // for the first update alone
 	for {
 		u := p.update(answer, version)
 		answer = p.publisher.Update
--- a/pkg/distribution/bytes_test.go
+++ b/pkg/distribution/bytes_test.go
@@ -108,7 +108,7 @@
 	put := func(routes, weight int) {
 		number++
 		next, c := putRoutes(t, state, routesText(number, routes, weight))
-		p.Put(next, []*wire.Command{c})
+		p.SetState(next, []*wire.Command{c})
 		state = next
 	}
 	for routes := 1400; routes <= 5600; routes += 1400 {
@@ -142,7 +142,7 @@
 		after, c := putRoutes(b, before, routesText(2, routes, 60))
 		send := func() *wire.Update {
 			p := NewPublisher(before)
-			p.Put(after, []*wire.Command{c})
+			p.SetState(after, []*wire.Command{c})
 			return p.Update(before.Version(), 0)
 		}
 		b.Run(fmt.Sprintf("send/%d", routes), func(b *testing.B) {
--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -42,13 +42,13 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"publish": func(*rapid.T) {
 				if at < 20 {
-					p.Put(list[at+1], commands[at:at+1])
+					p.SetState(list[at+1], commands[at:at+1])
 					at++
 				}
 			},
 			"jump": func(t *rapid.T) {
 				if n := min(at+rapid.IntRange(1, 4).Draw(t, "by"), 20); n > at {
-					p.Put(list[n], nil)
+					p.SetState(list[n], nil)
 					at = n
 				}
 			},
@@ -121,8 +121,8 @@
 		children[Sources(b.Name, zone, controls)[0].Name]++
 	}
 	for name, n := range children {
-		if n > Degree {
-			t.Errorf("%s has %d children, the degree is %d", name, n, Degree)
+		if n > MaxChildren {
+			t.Errorf("%s has %d children, the degree is %d", name, n, MaxChildren)
 		}
 	}
 	if children["c1"]+children["c2"] != 1 {
--- a/pkg/distribution/example_test.go
+++ b/pkg/distribution/example_test.go
@@ -20,7 +20,7 @@
 	out := f.Handle(now, distribution.SetSources{Sources: []distribution.Source{{Name: "c1", Control: true}}})
 	s := out.Subscribe // the host opens a stream to s.Source
 	f.Handle(now, distribution.Opened{Attempt: s.Attempt})
-	f.Handle(now, distribution.Received{Attempt: s.Attempt, Update: control.Join(s.Version, 0)})
+	f.Handle(now, distribution.Received{Attempt: s.Attempt, Update: control.FirstUpdate(s.Version, 0)})
 
 	c := &wire.Command{Change: &wire.Change{Id: "more", Edits: []*wire.Edit{{Path: "/", Key: settings.Slots, Value: "9"}}}}
 	state, result := state.Apply(c)
@@ -28,7 +28,7 @@
 		fmt.Println(result.Verdict.Detail)
 		return
 	}
-	control.Put(state, []*wire.Command{c})
+	control.SetState(state, []*wire.Command{c})
 	update := control.Update(f.State().Version(), 0)
 	out = f.Handle(now, distribution.Received{Attempt: s.Attempt, Update: update})
 	if out.State == nil {
--- a/pkg/distribution/follower.go
+++ b/pkg/distribution/follower.go
@@ -18,8 +18,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Degree is the number of children of a relay.
-const Degree = 4
+// MaxChildren is the number of children of a relay.
+const MaxChildren = 4
 
 const (
 	// defaultStaleAfter is how old the word of control may be before a follower
@@ -168,8 +168,8 @@
 // State returns the state in force.
 func (f *Follower) State() steering.State { return f.state }
 
-// Age returns how long ago control was last heard of.
-func (f *Follower) Age(now time.Time) time.Duration { return now.Sub(f.heardAt) }
+// ControlAge returns how long ago control was last heard of.
+func (f *Follower) ControlAge(now time.Time) time.Duration { return now.Sub(f.heardAt) }
 
 // Upstream returns the present upstream; ok is false if there is none.
 func (f *Follower) Upstream() (s Source, ok bool) {
@@ -282,7 +282,7 @@
 		f.open = false
 		f.out.Notice = f.why(now, "leaves")
 		f.endTransfer(now)
-		if f.Age(now) <= f.staleAfter {
+		if f.ControlAge(now) <= f.staleAfter {
 			f.current = 0
 			f.retryAt = now
 			f.returnAfter = min(2*f.returnAfter, maxReconsiderAfter)
@@ -318,7 +318,7 @@
 	if f.overdue(now) {
 		return true
 	}
-	if f.Age(now) > f.staleAfter && (f.sourceIsStale || now.Sub(f.lastSign) > f.staleAfter) {
+	if f.ControlAge(now) > f.staleAfter && (f.sourceIsStale || now.Sub(f.lastSign) > f.staleAfter) {
 		return true
 	}
 	return f.current > 0 && now.Sub(f.openedAt) > f.returnAfter
@@ -430,7 +430,7 @@
 	if at.After(f.heardAt) {
 		f.heardAt = at
 	}
-	if f.Age(now) <= f.staleAfter {
+	if f.ControlAge(now) <= f.staleAfter {
 		f.backOff = minBackOff
 	}
 }
--- a/pkg/distribution/joining_test.go
+++ b/pkg/distribution/joining_test.go
@@ -78,7 +78,7 @@
 				} else {
 					f.Handle(now, Opened{s.Attempt})
 					i := int(s.Source.Name[0] - '0')
-					u := NewPublisher(c.sources[i]).Join(s.Version, c.ages[i])
+					u := NewPublisher(c.sources[i]).FirstUpdate(s.Version, c.ages[i])
 					bytes += proto.Size(u)
 					out = f.Handle(now, Received{Attempt: s.Attempt, Update: u})
 				}
@@ -89,7 +89,7 @@
 			if got, want := f.State().Version(), full.Version(); got != want {
 				t.Errorf("version %d in force, wanted %d", got, want)
 			}
-			whole := proto.Size(NewPublisher(full).Join(0, 0))
+			whole := proto.Size(NewPublisher(full).FirstUpdate(0, 0))
 			if most := c.mostOver * float64(whole); float64(bytes) > most {
 				t.Errorf("%d bytes for a state of %d: %.0f ms of the link", bytes, whole, float64(bytes)/joinLink*1000)
 			}
@@ -105,16 +105,16 @@
 	f := NewFollower(now, 1)
 	out := f.Handle(now, SetSources{[]Source{{Name: "behind"}, {Name: "ahead"}}})
 	f.Handle(now, Opened{out.Subscribe.Attempt})
-	out = f.Handle(now, Received{Attempt: out.Subscribe.Attempt, Update: NewPublisher(list[4]).Join(out.Subscribe.Version, time.Minute)})
+	out = f.Handle(now, Received{Attempt: out.Subscribe.Attempt, Update: NewPublisher(list[4]).FirstUpdate(out.Subscribe.Version, time.Minute)})
 	if out.Subscribe == nil || out.Subscribe.Source.Name != "ahead" {
 		t.Fatal("the next source was not asked at once")
 	}
 	p := NewPublisher(list[3])
 	for i := 3; i < 6; i++ {
-		p.Put(list[i+1], commands[i:i+1])
+		p.SetState(list[i+1], commands[i:i+1])
 	}
 	f.Handle(now, Opened{out.Subscribe.Attempt})
-	u := p.Join(out.Subscribe.Version, 0)
+	u := p.FirstUpdate(out.Subscribe.Version, 0)
 	if u.State != nil {
 		t.Error("the whole state was sent again")
 	}
--- a/pkg/distribution/packing_test.go
+++ b/pkg/distribution/packing_test.go
@@ -70,7 +70,7 @@
 }
 
 func (n *network) publish() {
-	n.control.Put(n.state, n.settled)
+	n.control.SetState(n.state, n.settled)
 	n.settled = nil
 }
 
@@ -78,7 +78,7 @@
 	node := n.nodes[i]
 	out := node.follower.Handle(n.now, e)
 	if out.State != nil {
-		node.publisher.Put(*out.State, out.Commands)
+		node.publisher.SetState(*out.State, out.Commands)
 	}
 	if out.Subscribe != nil {
 		node.subscribed = out.Subscribe
@@ -104,7 +104,7 @@
 	}
 	answer := upstream.Update
 	if !node.joined {
-		answer = upstream.Join
+		answer = upstream.FirstUpdate
 		n.event(i, Opened{s.Attempt})
 	}
 	node.joined = true
@@ -247,7 +247,7 @@
 			if box.subscribed.Version != 0 {
 				t.Fatalf("asks for what follows version %d, want the whole state", box.subscribed.Version)
 			}
-			if u := n.control.Join(box.subscribed.Version, 0); u.State == nil {
+			if u := n.control.FirstUpdate(box.subscribed.Version, 0); u.State == nil {
 				t.Fatal("is answered with commands")
 			}
 			n.settle(t)
@@ -282,7 +282,7 @@
 	s := steering.State{}
 	p := NewPublisher(s)
 	next, c := putRoutes(t, s, []byte("one"))
-	p.Put(next, []*wire.Command{c})
+	p.SetState(next, []*wire.Command{c})
 	if c.Routes.Document == nil || c.Routes.Packed != nil {
 		t.Fatal("the command of the replica was changed")
 	}
@@ -290,7 +290,7 @@
 	if first == nil || first != second {
 		t.Error("packed again for a second subscriber")
 	}
-	if a, b := p.Join(0, 0).State.Catalog, p.Join(0, 0).State.Catalog; a.Packed == nil || a.Packed != b.Packed || a.Document != nil {
+	if a, b := p.FirstUpdate(0, 0).State.Catalog, p.FirstUpdate(0, 0).State.Catalog; a.Packed == nil || a.Packed != b.Packed || a.Document != nil {
 		t.Error("the whole state is packed again for a second subscriber")
 	}
 	u, _ := carried(t, p.Update(0, 0))
@@ -299,7 +299,7 @@
 		t.Fatal(err)
 	}
 	relay := NewPublisher(s)
-	relay.Put(box, commands)
+	relay.SetState(box, commands)
 	if got := relay.Update(0, 0).Commands[0].Routes.Packed; got != u.Commands[0].Routes.Packed {
 		t.Error("the relay packed it anew")
 	}
@@ -311,7 +311,7 @@
 	first, one := putRoutes(t, steering.State{}, []byte("one"))
 	second, two := putRoutes(t, first, []byte("two"))
 	p := NewPublisher(steering.State{})
-	p.Put(second, []*wire.Command{Pack(steering.State{}, []*wire.Command{one})[0], two})
+	p.SetState(second, []*wire.Command{PackCommands(steering.State{}, []*wire.Command{one})[0], two})
 	got, _, err := Advance(steering.State{}, p.Update(0, 0))
 	if err != nil || string(got.Catalog().Document().GetText()) != "two" {
 		t.Errorf("got %v", err)
@@ -325,7 +325,7 @@
 	p := NewPublisher(s)
 	for i := range 5 {
 		next, c := putRoutes(t, s, routesText(i+1, 20, 50+i))
-		p.Put(next, []*wire.Command{c})
+		p.SetState(next, []*wire.Command{c})
 		s = next
 	}
 	now := time.Unix(1000, 0)
@@ -351,7 +351,7 @@
 				text[i] = byte(random.Uint32())
 			}
 			next, c := putRoutes(t, s, text)
-			p.Put(next, []*wire.Command{c})
+			p.SetState(next, []*wire.Command{c})
 			s = next
 		}
 		held := 0
--- a/pkg/distribution/publisher.go
+++ b/pkg/distribution/publisher.go
@@ -41,9 +41,9 @@
 	return &Publisher{state: s, base: s.Version()}
 }
 
-// Put takes the next state. Commands are those that led to it from the state
+// SetState takes the next state. Commands are those that led to it from the state
 // before, or nil if they are not known.
-func (p *Publisher) Put(s steering.State, commands []*wire.Command) {
+func (p *Publisher) SetState(s steering.State, commands []*wire.Command) {
 	if s.Version() <= p.state.Version() {
 		return
 	}
@@ -55,16 +55,16 @@
 		p.bytes = 0
 		return
 	}
-	for _, c := range Pack(before, commands) {
+	for _, c := range PackCommands(before, commands) {
 		p.commands = append(p.commands, c)
 		p.bytes += proto.Size(c)
 	}
 	p.trim()
 }
 
-// Pack returns commands that follow a state as subscribers get them. One that
+// PackCommands returns commands that follow a state as subscribers get them. One that
 // came packed is the same for them.
-func Pack(s steering.State, commands []*wire.Command) []*wire.Command {
+func PackCommands(s steering.State, commands []*wire.Command) []*wire.Command {
 	before := s.Catalog().Document()
 	var out []*wire.Command
 	for _, c := range commands {
@@ -120,10 +120,10 @@
 	return u
 }
 
-// Join returns the first update of a subscription. Unlike later ones it carries
+// FirstUpdate returns the first update of a subscription. Unlike later ones it carries
 // the whole state for version 0 also if all commands are kept: that is what a
 // subscriber asks for that could not use the commands.
-func (p *Publisher) Join(version uint64, age time.Duration) *wire.Update {
+func (p *Publisher) FirstUpdate(version uint64, age time.Duration) *wire.Update {
 	u := p.Update(version, age)
 	if version == 0 && u.Commands != nil {
 		u.Commands = nil
@@ -179,7 +179,7 @@
 	if i <= 0 {
 		return -1
 	}
-	return (i - 1) / Degree
+	return (i - 1) / MaxChildren
 }
 
 // CompareRank orders sources for a box by rendezvous hashing, so that boxes
--- a/pkg/distribution/sources_test.go
+++ b/pkg/distribution/sources_test.go
@@ -91,7 +91,7 @@
 func TestEventsOfADroppedSourceArePassedOver(t *testing.T) {
 	list, commands := states(1)
 	p := NewPublisher(list[0])
-	p.Put(list[1], commands)
+	p.SetState(list[1], commands)
 	for _, sources := range [][]Source{nil, {{Name: "c"}}} {
 		f := newTestFollowing()
 		dropped := f.attempt
--- a/pkg/distribution/transfer.go
+++ b/pkg/distribution/transfer.go
@@ -55,7 +55,7 @@
 
 // why tells what the follower knows of a source that it no longer follows.
 func (f *Follower) why(now time.Time, does string) string {
-	text := fmt.Sprintf("%s %s: word of control %d ms old", does, f.sources[f.current].Name, f.Age(now).Milliseconds())
+	text := fmt.Sprintf("%s %s: word of control %d ms old", does, f.sources[f.current].Name, f.ControlAge(now).Milliseconds())
 	if f.arriving.bytes == 0 {
 		return text + ", no update arriving"
 	}
--- a/pkg/distribution/transfer_test.go
+++ b/pkg/distribution/transfer_test.go
@@ -76,18 +76,18 @@
 	if after, left := f.arrive(10*time.Second, 50_000); left {
 		t.Fatalf("left its upstream in the middle of an update, after %v", after)
 	}
-	if age := f.Age(f.now); age < 10*time.Second {
+	if age := f.ControlAge(f.now); age < 10*time.Second {
 		t.Errorf("the word of control counts as %v old though none has come for 10 s", age)
 	}
 	if f.take(Received{Attempt: f.attempt, Update: f.nothing()}) {
 		t.Error("left its upstream with the end of the update")
 	}
-	if age := f.Age(f.now); age < 9*time.Second {
+	if age := f.ControlAge(f.now); age < 9*time.Second {
 		t.Errorf("the word of control counts as %v old: the update was made 10 s ago", age)
 	}
 	f.now = f.now.Add(testStep)
-	if f.take(Received{Attempt: f.attempt, Update: f.nothing()}) || f.Age(f.now) > testStep {
-		t.Errorf("the word of control counts as %v old after a heartbeat", f.Age(f.now))
+	if f.take(Received{Attempt: f.attempt, Update: f.nothing()}) || f.ControlAge(f.now) > testStep {
+		t.Errorf("the word of control counts as %v old after a heartbeat", f.ControlAge(f.now))
 	}
 }
 
@@ -168,7 +168,7 @@
 	if f.take(Received{Attempt: f.attempt, Update: f.nothing(), At: came}) {
 		t.Error("left its upstream by an update that waited, before what waits behind it")
 	}
-	if age, want := f.Age(f.now), f.now.Sub(came); age != want {
+	if age, want := f.ControlAge(f.now), f.now.Sub(came); age != want {
 		t.Errorf("the word of control counts as %v old, it came %v ago", age, want)
 	}
 	if !f.take(Tick{}) {
@@ -178,7 +178,7 @@
 	f.arrive(time.Second, 50_000)
 	began := f.arriving.began
 	f.take(Received{Attempt: f.attempt, Update: f.nothing(), At: f.now})
-	if age, want := f.Age(f.now), f.now.Sub(began); age != want {
+	if age, want := f.ControlAge(f.now), f.now.Sub(began); age != want {
 		t.Errorf("the word of control counts as %v old, its transfer began %v ago", age, want)
 	}
 }
