--- a/pkg/distribution/advance.go
+++ b/pkg/distribution/advance.go
@@ -9,7 +9,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// GapError says that an update does not follow the state at hand.
+// GapError says that an update does not continue from the local state.
 type GapError struct{ Have, From, To uint64 }
 
 // Error implements error.
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("an update from version %d to %d does not follow version %d", e.From, e.To, e.Have)
 }
 
-// Advance returns the state after an update and the commands that led to it as
-// they came, so that a relay passes on the same bytes. It never returns a lower
+// Advance applies an update and returns the next state, along with the commands as they
+// were received, so that a relay forwards the same bytes. It never returns a lower
 // version. A document that can't be unpacked gives a catalog.UnpackError.
 func Advance(s steering.State, u *wire.Update) (steering.State, []*wire.Command, error) {
 	if u.State != nil {
@@ -37,7 +37,7 @@
 	commands := u.Commands[s.Version()-u.FromVersion:]
 	next, results := s.ApplyAll(commands)
 	for _, r := range results {
-		if needsWhole(r.Err) {
+		if requiresFullState(r.Err) {
 			return s, nil, r.Err
 		}
 		if !r.Changed {
@@ -47,17 +47,18 @@
 	return next, commands, nil
 }
 
-// needsWhole reports whether an update failed because a document in it does
-// not fit what is at hand: the same commands would fail again.
-func needsWhole(err error) bool {
+// requiresFullState reports whether an update failed because a document in it could not
+// be unpacked against the local state. The same commands would fail again, so the
+// follower has to ask for the full state.
+func requiresFullState(err error) bool {
 	var unpack *catalog.UnpackError
 	return errors.As(err, &unpack)
 }
 
-// asked returns the version to subscribe with; 0 asks for the whole state.
-func (f *Follower) asked() uint64 {
-	if f.whole {
+// subscribeVersion returns the version to subscribe from; 0 asks for the full state.
+func (f *Follower) subscribeVersion() uint64 {
+	if f.needsFullState {
 		return 0
 	}
-	return f.latest().Version()
+	return f.latestState().Version()
 }
--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -12,8 +12,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// states returns the states of versions 0 to n and the commands between them.
-func states(n int) (list []steering.State, commands []*wire.Command) {
+// testStates returns the states of versions 0 to n and the commands between them.
+func testStates(n int) (list []steering.State, commands []*wire.Command) {
 	s := steering.State{}
 	list = append(list, s)
 	for i := range n {
@@ -27,11 +27,11 @@
 	return list, commands
 }
 
-// TestVersionsOnlyGrow feeds a follower late, doubled and partial updates of
-// several sources and checks that it only goes up and always holds a true
-// state.
-func TestVersionsOnlyGrow(t *testing.T) {
-	list, commands := states(20)
+// TestVersionNeverDecreases sends a follower late, duplicate and partial updates from
+// several sources, and checks that its version never decreases and its state is always
+// that of its version.
+func TestVersionNeverDecreases(t *testing.T) {
+	list, commands := testStates(20)
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		f := NewFollower(now, 1)
@@ -75,17 +75,17 @@
 				last = v
 				got, want := f.State().Tree().Get(settings.Path{}, "slots"), list[v].Tree().Get(settings.Path{}, "slots")
 				if got != want {
-					t.Fatalf("holds another state than version %d", v)
+					t.Fatalf("has another state than that of version %d", v)
 				}
 			},
 		})
 	})
 }
 
-// TestRestartInACutOffZone checks that a box that restarts while no source has
-// word of control takes the highest state of all that it can reach.
-func TestRestartInACutOffZone(t *testing.T) {
-	list, _ := states(9)
+// TestRestartInPartitionedZone restarts a box while no source is in contact with
+// control: it activates the latest state that any reachable source has.
+func TestRestartInPartitionedZone(t *testing.T) {
+	list, _ := testStates(9)
 	now := time.Unix(1000, 0)
 	f := NewFollower(now, 1)
 	have := map[string]int{"stale control": 3, "peer 1": 9, "peer 2": 7}
@@ -105,11 +105,11 @@
 		}
 	}
 	if first != 9 || f.State().Version() != 9 {
-		t.Errorf("came into force at version %d, then %d; a peer has 9", first, f.State().Version())
+		t.Errorf("activated version %d, then %d; a peer has version 9", first, f.State().Version())
 	}
 }
 
-func TestSourcesOfALargeZoneFormATree(t *testing.T) {
+func TestSourcesFormATree(t *testing.T) {
 	zone := settings.Zone{Name: "z"}
 	for i := range 97 {
 		name := fmt.Sprintf("b%d", i)
@@ -122,10 +122,10 @@
 	}
 	for name, n := range children {
 		if n > MaxChildren {
-			t.Errorf("%s has %d children, the degree is %d", name, n, MaxChildren)
+			t.Errorf("%s has %d children, want at most %d", name, n, MaxChildren)
 		}
 	}
 	if children["c1"]+children["c2"] != 1 {
-		t.Errorf("%d boxes of the zone follow control itself, want 1", children["c1"]+children["c2"])
+		t.Errorf("%d boxes of the zone follow control directly, want 1", children["c1"]+children["c2"])
 	}
 }
--- a/pkg/distribution/example_test.go
+++ b/pkg/distribution/example_test.go
@@ -10,7 +10,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// ExampleFollower takes a state and then a change of it from a control replica.
+// ExampleFollower receives a state and then a change to it from a control replica.
 func ExampleFollower() {
 	now := time.Unix(0, 0)
 	state := steering.State{}
@@ -32,7 +32,7 @@
 	update := control.Update(f.State().Version(), 0)
 	out = f.Handle(now, distribution.Received{Attempt: s.Attempt, Update: update})
 	if out.State == nil {
-		fmt.Println(out.Notice) // it asks for another subscription
+		fmt.Println(out.Notice) // the follower opens another subscription
 		return
 	}
 	fmt.Println("version", out.State.Version(), "slots", out.State.Tree().Get(settings.Path{}, settings.Slots))
--- a/pkg/distribution/follower.go
+++ b/pkg/distribution/follower.go
@@ -1,13 +1,13 @@
-// Package distribution carries the steering state from the control replicas to
-// every entry box and the boxes' reports back, through relays of bounded
-// degree. Follower and Publisher are state machines without I/O.
+// Package distribution replicates the steering state from the control replicas
+// to every entry box, and the boxes' reports back, through a tree of relays
+// with bounded fan-out. Follower and Publisher are state machines without I/O.
 //
 // A Follower has one upstream at a time: its parent in the tree of its zone's
-// boxes or, for the first box, a control replica. When its upstream is lost or
-// has not heard of control for too long it tries the next candidate, last of
-// all the other boxes of its zone, so that a zone that is cut off still agrees
-// on the latest state that any of its boxes has. The state at a box never goes
-// back to a lower version.
+// boxes or, for the first box, a control replica. If the upstream is lost, or
+// has been out of contact with control for too long, the follower tries the
+// next candidate. The other boxes of its zone come last, so that the boxes of
+// a zone that is partitioned from control still converge on the latest state
+// that any of them has. The version of a box's state never decreases.
 package distribution
 
 import (
@@ -18,70 +18,72 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// MaxChildren is the number of children of a relay.
+// MaxChildren is the fan-out of a relay in the tree of a zone's boxes.
 const MaxChildren = 4
 
 const (
-	// defaultStaleAfter is how old the word of control may be before a follower
-	// looks for another upstream.
+	// defaultStaleAfter is the control age beyond which a follower looks for another
+	// upstream.
 	defaultStaleAfter = 3 * time.Second
-	// reconsiderAfter is how long a follower stays with an upstream that is
-	// not its first choice. It doubles with each return in vain, as each costs up
-	// to connectTimeout without an upstream, up to maxReconsiderAfter: a 120th of
-	// the time then, and the tree has its shape again soon after an outage.
-	reconsiderAfter    = 5 * time.Second
-	maxReconsiderAfter = 2 * time.Minute
-	minBackOff         = 100 * time.Millisecond
-	maxBackOff         = 2 * time.Second
-	// connectTimeout is how long a source may take to send the first bytes of
-	// its first update: more than a dial of 500 ms and two round trips.
+	// minReturnDelay is how long a follower stays with an upstream that is not its
+	// first choice before it tries that again. Each failed attempt costs up to
+	// connectTimeout without an upstream, so the delay doubles with each one up to
+	// maxReturnDelay. At most a 120th of the time is then lost, and the tree still
+	// regains its shape soon after an outage.
+	minReturnDelay = 5 * time.Second
+	maxReturnDelay = 2 * time.Minute
+	// minBackOff and maxBackOff bound the pause after all sources have failed.
+	minBackOff = 100 * time.Millisecond
+	maxBackOff = 2 * time.Second
+	// connectTimeout bounds the time until the first bytes of a source's first update.
+	// It exceeds a dial of 500 ms plus two round trips.
 	connectTimeout = time.Second
 )
 
-// Source is a process to subscribe to.
+// Source is a process that a follower can subscribe to.
 type Source struct {
 	Name    string
 	Address string
 	Control bool
 }
 
-// Event is one input of a Follower.
+// Event is an input of a Follower.
 type Event interface{ event() }
 
-// SetSources gives the candidates, best first.
+// SetSources sets the candidate sources, best first.
 type SetSources struct{ Sources []Source }
 
-// Opened tells that the subscription asked for is open; Lost that it ended or
-// could not be opened. Attempt is that of the Subscribe.
+// Opened reports that the subscription of an attempt is open.
 type Opened struct{ Attempt uint64 }
 
-// Lost tells that the subscription of an attempt has ended.
+// Lost reports that the subscription of an attempt has ended or could not be opened.
 type Lost struct{ Attempt uint64 }
 
-// Received is an update that came by a subscription.
+// Received is an update that arrived on a subscription.
 type Received struct {
 	Attempt uint64
 	Update  *wire.Update
-	// At is when it came, which may be long before it is handled; zero for now.
+	// At is the arrival time, which may be long before the event is handled; zero means
+	// now.
 	At time.Time
 }
 
-// arrival returns when the update came, at now or before.
-func (r Received) arrival(now time.Time) time.Time {
+// arrivedAt returns the arrival time, which is not after now.
+func (r Received) arrivedAt(now time.Time) time.Time {
 	if r.At.IsZero() || r.At.After(now) {
 		return now
 	}
 	return r.At
 }
 
-// Progress tells how many bytes of the next update have come so far by a
-// subscription, also by one whose first update is still to come.
+// Progress reports how many bytes of the next update have arrived on a subscription,
+// including one that has not received its first update yet.
 type Progress struct {
 	Attempt uint64
 	Bytes   uint64
 }
 
-// Tick lets time pass.
+// Tick lets time pass without other input.
 type Tick struct{}
 
 func (SetSources) event() {}
@@ -91,29 +93,29 @@
 func (Progress) event()   {}
 func (Tick) event()       {}
 
-// Subscribe asks the host to end any subscription and open a new one.
+// Subscribe asks the host to end any current subscription and open a new one.
 type Subscribe struct {
 	Attempt uint64
 	Source  Source
 	Version uint64
 }
 
-// Output is what to carry out after an event.
+// Output is what the host has to carry out after an event.
 type Output struct {
 	Subscribe *Subscribe
-	// State is to be put in force.
+	// State is the new state to activate, if it changed.
 	State *steering.State
-	// Commands are those that led to State, if all are known.
+	// Commands are those that led from the previous state to State, or nil if they are
+	// not known.
 	Commands []*wire.Command
-	// Notice is a change of the upstream for the time line.
+	// Notice describes a change of the upstream for the timeline.
 	Notice string
 }
 
-// Follower keeps the steering state of one entry box current.
+// Follower keeps the steering state of one entry box up to date.
 type Follower struct {
 	random *rand.Rand
-	// staleAfter is how old the word of control may be before another upstream
-	// is sought.
+	// staleAfter is the control age beyond which another upstream is tried.
 	staleAfter time.Duration
 	state      steering.State
 	sources    []Source
@@ -125,53 +127,57 @@
 	deadline   time.Time
 	retryAt    time.Time
 	backOff    time.Duration
-	// returnAfter is how long the follower stays with another than its first
+	// returnDelay is how long the follower stays with an upstream other than its first
 	// choice.
-	returnAfter time.Duration
-	heardAt     time.Time
-	// sourceIsStale tells that the present source has no word of control itself.
+	returnDelay time.Duration
+	// lastContact is when the state was last known to be in contact with control.
+	lastContact time.Time
+	// sourceIsStale reports that the current source is itself out of contact with
+	// control.
 	sourceIsStale bool
-	// held is the highest state of the sources that have not heard of control,
-	// kept back by a follower that has none until it has asked all sources;
-	// version 0 for none. Further sources are asked for what comes after it: of
-	// 1,400 targets a whole state takes 0.26 s of a link of 2.6 Mbit/s.
-	held steering.State
-	// arriving is the update that is on its way.
-	arriving transfer
-	// lastSign is when the present source was opened, or the last bytes of an
-	// update came that takes long.
-	lastSign time.Time
-	// limit is how long an update may arrive.
-	limit time.Duration
-	// whole tells that the commands for the state at hand could not be used.
-	whole bool
-	out   Output
+	// heldState is the latest state received from sources that are out of contact with
+	// control. A follower without a state holds it until all sources have been tried;
+	// version 0 means none. Further sources are asked only for what follows it, since a
+	// full state of 1,400 targets takes 0.26 s on a 2.6 Mbit/s link.
+	heldState steering.State
+	// incoming is the update that is being received.
+	incoming transfer
+	// lastActivity is when the current subscription was opened or the last bytes of a
+	// long update arrived.
+	lastActivity time.Time
+	// transferTimeout bounds the time to receive one update.
+	transferTimeout time.Duration
+	// needsFullState reports that the commands for the local state could not be
+	// applied.
+	needsFullState bool
+	out            Output
 }
 
-// NewFollower returns a follower with the empty state.
+// NewFollower returns a follower with the empty state. seed randomizes its back-off.
 func NewFollower(now time.Time, seed uint64) *Follower {
 	return &Follower{
-		random:      rand.New(rand.NewPCG(seed, 2)),
-		staleAfter:  defaultStaleAfter,
-		backOff:     minBackOff,
-		returnAfter: reconsiderAfter,
-		retryAt:     now,
-		heardAt:     now,
-		limit:       transferLimit,
+		random:          rand.New(rand.NewPCG(seed, 2)),
+		staleAfter:      defaultStaleAfter,
+		backOff:         minBackOff,
+		returnDelay:     minReturnDelay,
+		retryAt:         now,
+		lastContact:     now,
+		transferTimeout: minTransferTimeout,
 	}
 }
 
-// SetStaleAfter changes how old the word of control may be before the follower
-// looks for another upstream.
+// SetStaleAfter sets the control age beyond which the follower looks for another
+// upstream.
 func (f *Follower) SetStaleAfter(after time.Duration) { f.staleAfter = after }
 
-// State returns the state in force.
+// State returns the active state.
 func (f *Follower) State() steering.State { return f.state }
 
-// ControlAge returns how long ago control was last heard of.
-func (f *Follower) ControlAge(now time.Time) time.Duration { return now.Sub(f.heardAt) }
+// ControlAge returns the time since the last contact with control, directly or through
+// relays.
+func (f *Follower) ControlAge(now time.Time) time.Duration { return now.Sub(f.lastContact) }
 
-// Upstream returns the present upstream; ok is false if there is none.
+// Upstream returns the current upstream; ok is false if there is none.
 func (f *Follower) Upstream() (s Source, ok bool) {
 	if !f.open || f.current >= len(f.sources) {
 		return Source{}, false
@@ -179,36 +185,36 @@
 	return f.sources[f.current], true
 }
 
-// Handle takes one event at now and returns what to carry out.
+// Handle processes one event at the time now and returns what to carry out.
 func (f *Follower) Handle(now time.Time, e Event) Output {
 	f.out = Output{}
-	heardUntil := now
+	receivedUntil := now
 	switch e := e.(type) {
 	case SetSources:
 		f.setSources(now, e.Sources)
 		f.subscribe(now)
-		return f.out // what has come may still wait: other events tell of silence
+		return f.out // updates may still be queued, so this event says nothing about silence
 	case Opened:
 		if e.Attempt == f.attempt {
 			f.open = true
 			f.pending = false
 			f.openedAt = now
-			f.lastSign = now
+			f.lastActivity = now
 			f.sourceIsStale = false
 			f.out.Notice = "subscribed to " + f.sources[f.current].Name
 		}
 	case Lost:
 		if e.Attempt == f.attempt {
-			f.lost(now)
+			f.handleLost(now)
 		}
 	case Received:
-		f.received(now, e)
-		heardUntil = e.arrival(now) // more may wait behind it
+		f.handleReceived(now, e)
+		receivedUntil = e.arrivedAt(now) // later updates may still be queued
 	case Progress:
-		f.progress(now, e)
+		f.handleProgress(now, e)
 	case Tick:
 	}
-	f.tick(now, heardUntil)
+	f.checkTimeouts(now, receivedUntil)
 	return f.out
 }
 
@@ -218,7 +224,7 @@
 		current = f.sources[f.current]
 	}
 	if len(sources) == 0 || len(f.sources) == 0 || sources[0] != f.sources[0] {
-		f.returnAfter = reconsiderAfter
+		f.returnDelay = minReturnDelay
 	}
 	f.sources = sources
 	for i, s := range sources {
@@ -227,73 +233,74 @@
 			return
 		}
 	}
-	f.drop()
+	f.dropSubscription()
 	f.retryAt = now
 }
 
-// drop lets go of a subscription whose source is gone, and of the update on its
-// way; what it still brings belongs to no attempt.
-func (f *Follower) drop() {
+// dropSubscription abandons the subscription to a source that is no longer listed, and
+// the update in transfer. Its later events match no attempt and are ignored.
+func (f *Follower) dropSubscription() {
 	f.attempt++
 	f.current = 0
 	f.open = false
 	f.pending = false
-	f.arriving = transfer{}
+	f.incoming = transfer{}
 }
 
-func (f *Follower) lost(now time.Time) {
-	if f.open || f.pending && f.arriving.bytes > 0 {
-		f.out.Notice = f.why(now, "lost")
+func (f *Follower) handleLost(now time.Time) {
+	if f.open || f.pending && f.incoming.bytes > 0 {
+		f.out.Notice = f.describeUpstream(now, "lost")
 	}
 	f.open = false
 	f.pending = false
-	f.next(now)
+	f.tryNext(now)
 }
 
-// next goes on to the following candidate. After a whole round it waits a
-// while, spread at random so that boxes do not return all at once.
-func (f *Follower) next(now time.Time) {
+// tryNext moves on to the next candidate. After a full round it waits for a random
+// time, so that boxes do not all reconnect at once.
+func (f *Follower) tryNext(now time.Time) {
 	f.current++
 	f.retryAt = now
 	if f.current < len(f.sources) {
 		return
 	}
 	f.current = 0
-	f.takeHeld()
+	f.applyHeldState()
 	f.retryAt = now.Add(f.backOff/2 + time.Duration(f.random.Int64N(int64(f.backOff))))
 	f.backOff = min(2*f.backOff, maxBackOff)
 }
 
-// tick lets time pass. Silence is judged as at heardUntil, up to which all that
-// has come is known.
-func (f *Follower) tick(now, heardUntil time.Time) {
+// checkTimeouts leaves a source that is silent, stale or slow. Silence is judged at
+// receivedUntil, the time up to which everything received has been handled.
+func (f *Follower) checkTimeouts(now, receivedUntil time.Time) {
 	if len(f.sources) == 0 {
 		return
 	}
-	if f.pending && !now.Before(f.deadline) && !f.arrives(now) {
-		if f.arriving.bytes > 0 {
-			f.out.Notice = f.why(now, "gives up on")
+	if f.pending && !now.Before(f.deadline) && !f.isReceiving(now) {
+		if f.incoming.bytes > 0 {
+			f.out.Notice = f.describeUpstream(now, "gives up on")
 		}
 		f.pending = false
-		f.endTransfer(now)
-		f.next(now)
+		f.abortTransfer(now)
+		f.tryNext(now)
 	}
-	if f.open && f.shouldLeave(heardUntil) {
+	if f.open && f.shouldSwitch(receivedUntil) {
 		f.open = false
-		f.out.Notice = f.why(now, "leaves")
-		f.endTransfer(now)
+		f.out.Notice = f.describeUpstream(now, "leaves")
+		f.abortTransfer(now)
 		if f.ControlAge(now) <= f.staleAfter {
 			f.current = 0
 			f.retryAt = now
-			f.returnAfter = min(2*f.returnAfter, maxReconsiderAfter)
+			f.returnDelay = min(2*f.returnDelay, maxReturnDelay)
 		} else {
-			f.next(now)
+			f.tryNext(now)
 		}
 	}
 	f.subscribe(now)
 }
 
-// subscribe opens the next subscription when none is open and it is time to.
+// subscribe opens the next subscription if none is open or pending and the retry time
+// has come.
 func (f *Follower) subscribe(now time.Time) {
 	if len(f.sources) == 0 {
 		return
@@ -303,60 +310,61 @@
 	}
 	f.attempt++
 	f.pending = true
-	f.arriving = transfer{}
+	f.incoming = transfer{}
 	f.deadline = now.Add(connectTimeout)
-	f.out.Subscribe = &Subscribe{Attempt: f.attempt, Source: f.sources[f.current], Version: f.asked()}
+	f.out.Subscribe = &Subscribe{Attempt: f.attempt, Source: f.sources[f.current], Version: f.subscribeVersion()}
 }
 
-// shouldLeave reports whether another upstream may be better: this one has not
-// heard of control, or it is not the first choice.
-// It stays while an update arrives: what has come would have to come again.
-func (f *Follower) shouldLeave(now time.Time) bool {
-	if f.arrives(now) {
+// shouldSwitch reports whether another upstream may be better, because this one is out
+// of contact with control or is not the first choice. It stays while an update is being
+// received, since the bytes received so far would have to be sent again.
+func (f *Follower) shouldSwitch(now time.Time) bool {
+	if f.isReceiving(now) {
 		return false
 	}
-	if f.overdue(now) {
+	if f.transferTimedOut(now) {
 		return true
 	}
-	if f.ControlAge(now) > f.staleAfter && (f.sourceIsStale || now.Sub(f.lastSign) > f.staleAfter) {
+	if f.ControlAge(now) > f.staleAfter && (f.sourceIsStale || now.Sub(f.lastActivity) > f.staleAfter) {
 		return true
 	}
-	return f.current > 0 && now.Sub(f.openedAt) > f.returnAfter
+	return f.current > 0 && now.Sub(f.openedAt) > f.returnDelay
 }
 
-// received takes an update that leads to a higher version.
-func (f *Follower) received(now time.Time, e Received) {
+// handleReceived records the contact with control and applies an update that leads to a
+// higher version.
+func (f *Follower) handleReceived(now time.Time, e Received) {
 	if e.Attempt != f.attempt {
 		return
 	}
-	at := e.arrival(now)
+	at := e.arrivedAt(now)
 	sentAt := at
-	if f.arriving.bytes > 0 {
-		if f.arriving.began.Before(sentAt) {
-			sentAt = f.arriving.began
+	if f.incoming.bytes > 0 {
+		if f.incoming.startedAt.Before(sentAt) {
+			sentAt = f.incoming.startedAt
 		}
-		f.lastSign = at
-		f.limit = transferLimit
-		f.arriving = transfer{}
+		f.lastActivity = at
+		f.transferTimeout = minTransferTimeout
+		f.incoming = transfer{}
 	}
-	f.heard(now, sentAt, e.Update)
+	f.recordContact(now, sentAt, e.Update)
 	f.sourceIsStale = time.Duration(e.Update.AgeMilli)*time.Millisecond > f.staleAfter
 	if f.current == 0 && !f.sourceIsStale {
-		f.returnAfter = reconsiderAfter
+		f.returnDelay = minReturnDelay
 	}
 	if e.Update.Version <= f.state.Version() {
 		return
 	}
-	if f.holdsBack(now, e.Update) {
+	if f.holdStaleState(now, e.Update) {
 		return
 	}
-	f.putInForce(now, e.Update)
+	f.applyUpdate(now, e.Update)
 }
 
-// holdsBack keeps back what a source without word of control gives to a
-// follower that has just started, so that a box does not restart into an older
-// state than others of its zone still have.
-func (f *Follower) holdsBack(now time.Time, u *wire.Update) bool {
+// holdStaleState holds back a state from a source that is out of contact with control
+// if the follower has no state yet, so that a restarted box does not activate an older
+// state than other boxes of its zone still have.
+func (f *Follower) holdStaleState(now time.Time, u *wire.Update) bool {
 	if f.state.Version() > 0 || time.Duration(u.AgeMilli)*time.Millisecond <= f.staleAfter {
 		return false
 	}
@@ -364,71 +372,71 @@
 	if !ok {
 		return true
 	}
-	f.held = next
+	f.heldState = next
 	f.open = false
-	f.next(now)
+	f.tryNext(now)
 	return true
 }
 
-// takeHeld puts the highest state that was kept back in force.
-func (f *Follower) takeHeld() {
-	if f.held.Version() == 0 || f.state.Version() > 0 {
+// applyHeldState activates the latest state that was held back.
+func (f *Follower) applyHeldState() {
+	if f.heldState.Version() == 0 || f.state.Version() > 0 {
 		return
 	}
 	f.out.Notice = "no source has word of control, takes the latest state of all"
-	f.setState(f.held, nil)
+	f.setState(f.heldState, nil)
 }
 
-// putInForce takes an update that leads to a higher version.
-func (f *Follower) putInForce(now time.Time, u *wire.Update) {
+// applyUpdate activates the state that an update leads to.
+func (f *Follower) applyUpdate(now time.Time, u *wire.Update) {
 	next, commands, ok := f.advance(now, u)
 	if !ok {
 		return
 	}
-	if f.held.Version() > 0 {
-		commands = nil // they lead from a state that was never in force
+	if f.heldState.Version() > 0 {
+		commands = nil // they apply to a state that was never active
 	}
 	f.setState(next, commands)
 }
 
 func (f *Follower) setState(s steering.State, commands []*wire.Command) {
 	f.state = s
-	f.held = steering.State{}
+	f.heldState = steering.State{}
 	f.out.State = &s
 	f.out.Commands = commands
 }
 
-// advance returns what an update leads to. One that can't be used ends the
-// subscription.
+// advance applies an update to the latest state. If that fails the subscription is
+// ended.
 func (f *Follower) advance(now time.Time, u *wire.Update) (next steering.State, commands []*wire.Command, ok bool) {
-	latest := f.latest()
+	latest := f.latestState()
 	if u.State == nil && u.Version <= latest.Version() {
-		return latest, nil, true // nothing that is not known
+		return latest, nil, true // it has nothing new
 	}
 	next, commands, err := Advance(latest, u)
-	f.whole = needsWhole(err)
+	f.needsFullState = requiresFullState(err)
 	if err != nil {
-		f.lost(now)
+		f.handleLost(now)
 		f.out.Notice = err.Error()
 		return latest, nil, false
 	}
 	return next, commands, true
 }
 
-// latest is the state that updates are asked for upon.
-func (f *Follower) latest() steering.State {
+// latestState returns the state that further updates build on.
+func (f *Follower) latestState() steering.State {
 	if f.state.Version() == 0 {
-		return f.held
+		return f.heldState
 	}
 	return f.state
 }
 
-// heard takes the word of control in an update that its source began to send at
-// sentAt.
-func (f *Follower) heard(now, sentAt time.Time, u *wire.Update) {
+// recordContact updates the time of the last contact with control from an update that
+// its source started to send at sentAt.
+func (f *Follower) recordContact(now, sentAt time.Time, u *wire.Update) {
 	at := sentAt.Add(-time.Duration(u.AgeMilli) * time.Millisecond)
-	if at.After(f.heardAt) {
-		f.heardAt = at
+	if at.After(f.lastContact) {
+		f.lastContact = at
 	}
 	if f.ControlAge(now) <= f.staleAfter {
 		f.backOff = minBackOff
--- a/pkg/distribution/joining_test.go
+++ b/pkg/distribution/joining_test.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// joinTargets is how many targets the largest deployment of the users has.
+	// joinTargets is the number of targets in the largest of the users' deployments.
 	joinTargets = 1_400
-	// joinLink is what the link of one of its boxes carries, in bytes a second:
-	// 2.6 Mbit/s.
-	joinLink = 2_600_000 / 8
+	// joinLinkRate is the bandwidth of its boxes' links in bytes per second: 2.6
+	// Mbit/s.
+	joinLinkRate = 2_600_000 / 8
 )
 
-// targetsState returns a state with targets whose names and addresses look like
+// stateWithTargets returns a state with targets whose names and addresses look like
 // those of the users.
-func targetsState(t testing.TB, targets int) steering.State {
+func stateWithTargets(t testing.TB, targets int) steering.State {
 	t.Helper()
 	s := steering.State{}
 	r := rand.New(rand.NewPCG(1, 2))
@@ -45,19 +45,21 @@
 	return s
 }
 
-// Guards against a box that starts and receives the whole state from each source that it asks.
-func TestStateCrossesTheLinkOnceWhenAllWereDown(t *testing.T) {
-	full := targetsState(t, joinTargets)
-	earlier := targetsState(t, joinTargets-10)
+// Guards against a starting box that receives the full state from every source it
+// tries, as after an outage of all processes, when no source may be in contact with
+// control.
+func TestFullStateIsSentOnceAfterOutage(t *testing.T) {
+	full := stateWithTargets(t, joinTargets)
+	earlier := stateWithTargets(t, joinTargets-10)
 	for _, c := range []struct {
 		name     string
 		sources  []steering.State
 		ages     []time.Duration
-		mostOver float64 // bytes of all updates, in whole states
+		maxTotal float64 // total size of the updates, in full states
 	}{
 		{"all have the same", []steering.State{full, full, full}, []time.Duration{time.Hour, time.Hour, time.Hour}, 1.02},
 		{"the second is behind", []steering.State{full, earlier, full}, []time.Duration{time.Hour, time.Hour, time.Hour}, 1.02},
-		{"the last has word of control", []steering.State{full, full, full}, []time.Duration{time.Hour, time.Hour, 0}, 1.02},
+		{"the last is in contact with control", []steering.State{full, full, full}, []time.Duration{time.Hour, time.Hour, 0}, 1.02},
 		{"the last is ahead", []steering.State{earlier, earlier, full}, []time.Duration{time.Hour, time.Hour, time.Hour}, 2.04},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,27 +89,27 @@
 				}
 			}
 			if got, want := f.State().Version(), full.Version(); got != want {
-				t.Errorf("version %d in force, wanted %d", got, want)
+				t.Errorf("version %d is active, want %d", got, want)
 			}
-			whole := proto.Size(NewPublisher(full).FirstUpdate(0, 0))
-			if most := c.mostOver * float64(whole); float64(bytes) > most {
-				t.Errorf("%d bytes for a state of %d: %.0f ms of the link", bytes, whole, float64(bytes)/joinLink*1000)
+			fullSize := proto.Size(NewPublisher(full).FirstUpdate(0, 0))
+			if most := c.maxTotal * float64(fullSize); float64(bytes) > most {
+				t.Errorf("%d bytes for a state of %d: %.0f ms of the link", bytes, fullSize, float64(bytes)/joinLinkRate*1000)
 			}
-			t.Logf("%d bytes, a whole state is %d: %.0f ms of the link", bytes, whole, float64(bytes)/joinLink*1000)
+			t.Logf("%d bytes, a full state is %d: %.0f ms of the link", bytes, fullSize, float64(bytes)/joinLinkRate*1000)
 		})
 	}
 }
 
-// Commands upon a state that is kept back lead to the state that they stand for.
-func TestCommandsUponAHeldState(t *testing.T) {
-	list, commands := states(6)
+// Commands received after a state was held back apply to that state.
+func TestCommandsApplyToHeldState(t *testing.T) {
+	list, commands := testStates(6)
 	now := time.Unix(1000, 0)
 	f := NewFollower(now, 1)
 	out := f.Handle(now, SetSources{[]Source{{Name: "behind"}, {Name: "ahead"}}})
 	f.Handle(now, Opened{out.Subscribe.Attempt})
 	out = f.Handle(now, Received{Attempt: out.Subscribe.Attempt, Update: NewPublisher(list[4]).FirstUpdate(out.Subscribe.Version, time.Minute)})
 	if out.Subscribe == nil || out.Subscribe.Source.Name != "ahead" {
-		t.Fatal("the next source was not asked at once")
+		t.Fatal("the next source was not tried at once")
 	}
 	p := NewPublisher(list[3])
 	for i := 3; i < 6; i++ {
@@ -116,13 +118,13 @@
 	f.Handle(now, Opened{out.Subscribe.Attempt})
 	u := p.FirstUpdate(out.Subscribe.Version, 0)
 	if u.State != nil {
-		t.Error("the whole state was sent again")
+		t.Error("the full state was sent again")
 	}
 	out = f.Handle(now, Received{Attempt: out.Subscribe.Attempt, Update: u})
 	if out.State == nil || out.State.Version() != 6 {
-		t.Fatalf("not in force: version %d", f.State().Version())
+		t.Fatalf("version %d is active, want 6", f.State().Version())
 	}
 	if out.Commands != nil {
-		t.Error("commands that do not lead from the state in force")
+		t.Error("returned commands that do not apply to the previously active state")
 	}
 }
--- a/pkg/distribution/packing_test.go
+++ b/pkg/distribution/packing_test.go
@@ -16,29 +16,30 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// relayNode is a box that follows one node and publishes to others.
+// relayNode is a box that follows one upstream and publishes to others.
 type relayNode struct {
 	follower  *Follower
 	publisher *Publisher
-	// subscribed is nil while there is no subscription; sent is the version up
-	// to which it was served.
+	// subscribed is nil while there is no subscription.
 	subscribed *Subscribe
-	joined     bool
-	sent       uint64
+	// sentFirst reports whether the first update was sent, sentVersion is the version of
+	// the latest one.
+	sentFirst   bool
+	sentVersion uint64
 }
 
-// network is a control publisher, relays below it and boxes below these.
+// network is a control publisher with two levels of relays and boxes below it.
 type network struct {
 	now     time.Time
 	state   steering.State
 	texts   map[uint64]string // by version
 	control *Publisher
-	// settled are the commands that control has yet to publish, at once.
-	settled []*wire.Command
-	nodes   []*relayNode
+	// unpublished are commands that control has applied and not published yet.
+	unpublished []*wire.Command
+	nodes       []*relayNode
 }
 
-// upstreams names the sources of each node, best first; -1 is control.
+// upstreams lists the sources of each node, best first; -1 is control.
 var upstreams = [][]int{{-1}, {0, -1}, {0, -1}, {1, 0, -1}, {2, -1}}
 
 func newNetwork() *network {
@@ -56,7 +57,7 @@
 	for _, u := range upstreams[i] {
 		sources = append(sources, Source{Name: fmt.Sprint(u), Control: u < 0})
 	}
-	n.event(i, SetSources{sources})
+	n.handle(i, SetSources{sources})
 }
 
 func (n *network) apply(c *wire.Command) {
@@ -66,15 +67,15 @@
 	}
 	n.state = next
 	n.texts[next.Version()] = string(next.Catalog().Document().GetText())
-	n.settled = append(n.settled, c)
+	n.unpublished = append(n.unpublished, c)
 }
 
 func (n *network) publish() {
-	n.control.SetState(n.state, n.settled)
-	n.settled = nil
+	n.control.SetState(n.state, n.unpublished)
+	n.unpublished = nil
 }
 
-func (n *network) event(i int, e Event) {
+func (n *network) handle(i int, e Event) {
 	node := n.nodes[i]
 	out := node.follower.Handle(n.now, e)
 	if out.State != nil {
@@ -82,15 +83,15 @@
 	}
 	if out.Subscribe != nil {
 		node.subscribed = out.Subscribe
-		node.joined = false
-		node.sent = out.Subscribe.Version
+		node.sentFirst = false
+		node.sentVersion = out.Subscribe.Version
 	}
 }
 
-// step carries one update to a node; spoil changes it on its way. One that is
-// not changed must be of use.
-func (n *network) step(t rapid.TB, i int, spoil func(*wire.PackedDocument)) {
-	n.event(i, Tick{})
+// deliver sends one update to a node; corrupt, if not nil, alters it on the way. An
+// unaltered update must be usable.
+func (n *network) deliver(t rapid.TB, i int, corrupt func(*wire.PackedDocument)) {
+	n.handle(i, Tick{})
 	node := n.nodes[i]
 	s := node.subscribed
 	if s == nil {
@@ -102,44 +103,44 @@
 			upstream = other.publisher
 		}
 	}
-	answer := upstream.Update
-	if !node.joined {
-		answer = upstream.FirstUpdate
-		n.event(i, Opened{s.Attempt})
+	next := upstream.Update
+	if !node.sentFirst {
+		next = upstream.FirstUpdate
+		n.handle(i, Opened{s.Attempt})
 	}
-	node.joined = true
-	u, _ := carried(t, answer(node.sent, 0))
-	node.sent = max(node.sent, u.Version)
-	if spoil != nil {
-		spoilUpdate(u, spoil)
+	node.sentFirst = true
+	u, _ := roundTrip(t, next(node.sentVersion, 0))
+	node.sentVersion = max(node.sentVersion, u.Version)
+	if corrupt != nil {
+		corruptUpdate(u, corrupt)
 	}
-	whole := node.follower.whole
-	n.event(i, Received{Attempt: s.Attempt, Update: u})
-	if spoil == nil && node.follower.whole && !whole {
+	before := node.follower.needsFullState
+	n.handle(i, Received{Attempt: s.Attempt, Update: u})
+	if corrupt == nil && node.follower.needsFullState && !before {
 		t.Fatalf("node %d can't use an update from version %d to %d as it was sent", i, u.FromVersion, u.Version)
 	}
 }
 
-func spoilUpdate(u *wire.Update, spoil func(*wire.PackedDocument)) {
+func corruptUpdate(u *wire.Update, corrupt func(*wire.PackedDocument)) {
 	for _, c := range u.Commands {
 		if p := c.GetRoutes().GetPacked(); p != nil {
-			spoil(p)
+			corrupt(p)
 		}
 	}
 	if p := u.GetState().GetCatalog().GetPacked(); p != nil {
-		spoil(p)
+		corrupt(p)
 	}
 }
 
-// spoilers are the ways in which a packed document is not what was sent.
-var spoilers = map[string]func(*wire.PackedDocument){
+// corruptions alter a packed document in transit.
+var corruptions = map[string]func(*wire.PackedDocument){
 	"another base":   func(p *wire.PackedDocument) { p.Base += 1000 },
 	"another digest": func(p *wire.PackedDocument) { p.Digest++ },
 	"broken data":    func(p *wire.PackedDocument) { p.Data = p.Data[:len(p.Data)/2] },
 	"another length": func(p *wire.PackedDocument) { p.Length++ },
 }
 
-// nextText draws a text that keeps much of the one before, or none of it.
+// nextText draws a text that keeps much of the previous one, or none of it.
 func nextText(t *rapid.T, before []byte, number uint64) []byte {
 	line := fmt.Sprintf("{\"number\": %d, \"weight\": %d}\n", number, rapid.IntRange(0, 99).Draw(t, "weight"))
 	if rapid.IntRange(0, 9).Draw(t, "anew") == 0 {
@@ -150,10 +151,10 @@
 	return bytes.Join([][]byte{before[:at], []byte(line), before[cut:]}, nil)
 }
 
-// TestEveryFollowerEndsWithTheSameText lets documents and targets come while
-// relays and boxes join, drop out, come back and get broken updates: the text
-// that a node holds is always that of its version, and all end with the last.
-func TestEveryFollowerEndsWithTheSameText(t *testing.T) {
+// TestFollowersConverge publishes documents and targets while relays and boxes join,
+// disconnect, restart and receive corrupted updates. The text at a node must always be
+// that of its version, and all nodes must end at the latest version.
+func TestFollowersConverge(t *testing.T) {
 	names := []string{"another base", "another digest", "broken data", "another length"}
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork()
@@ -171,38 +172,38 @@
 				r := &wire.Registration{Id: fmt.Sprint(sequence % 7), Slots: uint32(sequence), Address: fmt.Sprint(sequence), Sequence: sequence}
 				n.apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: r}})
 			},
-			"step":   func(t *rapid.T) { n.step(t, node(t), nil) },
-			"spoilt": func(t *rapid.T) { n.step(t, node(t), spoilers[rapid.SampledFrom(names).Draw(t, "how")]) },
+			"step":   func(t *rapid.T) { n.deliver(t, node(t), nil) },
+			"spoilt": func(t *rapid.T) { n.deliver(t, node(t), corruptions[rapid.SampledFrom(names).Draw(t, "how")]) },
 			"drop": func(t *rapid.T) {
 				i := node(t)
-				n.event(i, Lost{n.nodes[i].follower.attempt})
+				n.handle(i, Lost{n.nodes[i].follower.attempt})
 			},
 			"restart":         func(t *rapid.T) { n.restart(node(t)) },
 			"publish":         func(*rapid.T) { n.publish() },
-			"control restart": func(*rapid.T) { n.control, n.settled = NewPublisher(n.state), nil },
+			"control restart": func(*rapid.T) { n.control, n.unpublished = NewPublisher(n.state), nil },
 			"pass":            func(*rapid.T) { n.now = n.now.Add(700 * time.Millisecond) },
 			"": func(t *rapid.T) {
 				for i, b := range n.nodes {
 					s := b.follower.State()
 					if string(s.Catalog().Document().GetText()) != n.texts[s.Version()] {
-						t.Fatalf("node %d holds another text than version %d", i, s.Version())
+						t.Fatalf("node %d has another text than that of version %d", i, s.Version())
 					}
 				}
 			},
 		})
-		n.settle(t)
+		n.converge(t)
 	})
 }
 
-// settle lets updates pass until every node must have the last state.
-func (n *network) settle(t rapid.TB) {
+// converge delivers updates until every node must have the latest state.
+func (n *network) converge(t rapid.TB) {
 	t.Helper()
 	n.publish()
-	const rounds = 40 // at 0.5 s each more than the longest back-off and two levels need
+	const rounds = 40 // of 0.5 s each: more than the longest back-off and two levels need
 	for range rounds {
 		n.now = n.now.Add(500 * time.Millisecond)
 		for i := range n.nodes {
-			n.step(t, i, nil)
+			n.deliver(t, i, nil)
 		}
 	}
 	for i, b := range n.nodes {
@@ -213,87 +214,84 @@
 	}
 }
 
-// TestUnusableCommandsLeadToTheWholeState gives a follower commands whose
-// document can't be unpacked: the error names it, the state stays, the next
-// subscription asks for the whole state and gets it, and the one after that
-// goes on from there.
-func TestUnusableCommandsLeadToTheWholeState(t *testing.T) {
-	for name, spoil := range spoilers {
+// A follower gets commands with a document that can't be unpacked. The error names the
+// document and the state stays. The next subscription asks for the full state and gets
+// it, and the one after that continues from there.
+func TestUnusableCommandsLeadToFullState(t *testing.T) {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
 			n := newNetwork()
-			put := func(text string) {
-				_, c := putRoutes(t, n.state, []byte(text))
+			publishText := func(text string) {
+				_, c := applyRoutes(t, n.state, []byte(text))
 				n.apply(c)
 				n.publish()
 			}
-			put("one")
-			n.step(t, 0, nil)
-			put("two")
+			publishText("one")
+			n.deliver(t, 0, nil)
+			publishText("two")
 			box := n.nodes[0]
 			version := box.follower.State().Version()
-			u, _ := carried(t, n.control.Update(version, 0))
-			spoilUpdate(u, spoil)
+			u, _ := roundTrip(t, n.control.Update(version, 0))
+			corruptUpdate(u, corrupt)
 			_, _, err := Advance(box.follower.State(), u)
 			var unpack *catalog.UnpackError
 			if !errors.As(err, &unpack) || unpack.Number != 2 {
 				t.Fatalf("the update gives %v", err)
 			}
-			n.step(t, 0, spoil)
+			n.deliver(t, 0, corrupt)
 			if got := box.follower.State().Version(); got != version {
 				t.Fatalf("went from version %d to %d", version, got)
 			}
 			n.now = n.now.Add(time.Second)
-			n.event(0, Tick{})
+			n.handle(0, Tick{})
 			if box.subscribed.Version != 0 {
-				t.Fatalf("asks for what follows version %d, want the whole state", box.subscribed.Version)
+				t.Fatalf("subscribes from version %d, want 0 for the full state", box.subscribed.Version)
 			}
 			if u := n.control.FirstUpdate(box.subscribed.Version, 0); u.State == nil {
-				t.Fatal("is answered with commands")
+				t.Fatal("the first update has commands instead of the full state")
 			}
-			n.settle(t)
-			n.event(0, Lost{box.follower.attempt})
+			n.converge(t)
+			n.handle(0, Lost{box.follower.attempt})
 			n.now = n.now.Add(time.Second)
-			n.event(0, Tick{})
+			n.handle(0, Tick{})
 			if box.subscribed.Version != n.state.Version() {
-				t.Fatalf("asks for what follows version %d, has %d", box.subscribed.Version, n.state.Version())
+				t.Fatalf("subscribes from version %d, want %d", box.subscribed.Version, n.state.Version())
 			}
 		})
 	}
 }
 
-// TestPlainDocumentsAreTaken gives updates as publishers sent them that did
-// not pack.
-func TestPlainDocumentsAreTaken(t *testing.T) {
-	first, one := putRoutes(t, steering.State{}, []byte("one"))
-	second, two := putRoutes(t, first, []byte("two"))
+// Updates of publishers that do not pack documents are accepted.
+func TestPlainDocumentsAreAccepted(t *testing.T) {
+	first, one := applyRoutes(t, steering.State{}, []byte("one"))
+	second, two := applyRoutes(t, first, []byte("two"))
 	got, _, err := Advance(steering.State{}, &wire.Update{Version: 2, Commands: []*wire.Command{one, two}})
 	if err != nil || string(got.Catalog().Document().GetText()) != "two" {
 		t.Errorf("commands: %v", err)
 	}
 	got, _, err = Advance(steering.State{}, &wire.Update{Version: 2, State: second.EncodeForBoxes()})
 	if err != nil || string(got.Catalog().Document().GetText()) != "two" {
-		t.Errorf("whole state: %v", err)
+		t.Errorf("full state: %v", err)
 	}
 }
 
-// TestDocumentIsPackedOnce checks that subscribers share what was packed, and
-// that a relay passes on what came to it.
+// Subscribers share one packed document, and a relay forwards it as received.
 func TestDocumentIsPackedOnce(t *testing.T) {
 	s := steering.State{}
 	p := NewPublisher(s)
-	next, c := putRoutes(t, s, []byte("one"))
+	next, c := applyRoutes(t, s, []byte("one"))
 	p.SetState(next, []*wire.Command{c})
 	if c.Routes.Document == nil || c.Routes.Packed != nil {
-		t.Fatal("the command of the replica was changed")
+		t.Fatal("the replica's command was modified")
 	}
 	first, second := p.Update(0, 0).Commands[0].Routes.Packed, p.Update(0, 0).Commands[0].Routes.Packed
 	if first == nil || first != second {
 		t.Error("packed again for a second subscriber")
 	}
 	if a, b := p.FirstUpdate(0, 0).State.Catalog, p.FirstUpdate(0, 0).State.Catalog; a.Packed == nil || a.Packed != b.Packed || a.Document != nil {
-		t.Error("the whole state is packed again for a second subscriber")
+		t.Error("the full state is packed again for a second subscriber")
 	}
-	u, _ := carried(t, p.Update(0, 0))
+	u, _ := roundTrip(t, p.Update(0, 0))
 	box, commands, err := Advance(s, u)
 	if err != nil {
 		t.Fatal(err)
@@ -301,15 +299,15 @@
 	relay := NewPublisher(s)
 	relay.SetState(box, commands)
 	if got := relay.Update(0, 0).Commands[0].Routes.Packed; got != u.Commands[0].Routes.Packed {
-		t.Error("the relay packed it anew")
+		t.Error("the relay packed the document again")
 	}
 }
 
-// TestPlainAfterPackedInOneBatch puts a document that came packed and a plain
-// one at once, as a relay between publishers of two kinds might.
-func TestPlainAfterPackedInOneBatch(t *testing.T) {
-	first, one := putRoutes(t, steering.State{}, []byte("one"))
-	second, two := putRoutes(t, first, []byte("two"))
+// One batch has a packed document followed by a plain one, as a relay may get from
+// publishers of different versions.
+func TestPlainAfterPackedDocument(t *testing.T) {
+	first, one := applyRoutes(t, steering.State{}, []byte("one"))
+	second, two := applyRoutes(t, first, []byte("two"))
 	p := NewPublisher(steering.State{})
 	p.SetState(second, []*wire.Command{PackCommands(steering.State{}, []*wire.Command{one})[0], two})
 	got, _, err := Advance(steering.State{}, p.Update(0, 0))
@@ -318,13 +316,13 @@
 	}
 }
 
-// TestSeveralDocumentsGiveOneState checks that what waits in one update comes
-// into force at once, so that a box decodes only the last document.
-func TestSeveralDocumentsGiveOneState(t *testing.T) {
+// Several documents in one update lead to one new state, so that a box decodes only the
+// last document.
+func TestUpdateIsAppliedAtOnce(t *testing.T) {
 	s := steering.State{}
 	p := NewPublisher(s)
 	for i := range 5 {
-		next, c := putRoutes(t, s, routesText(i+1, 20, 50+i))
+		next, c := applyRoutes(t, s, routesText(i+1, 20, 50+i))
 		p.SetState(next, []*wire.Command{c})
 		s = next
 	}
@@ -338,11 +336,11 @@
 	}
 }
 
-// TestKeptCommandsAreBounded puts documents that can't be packed well: a
-// publisher holds no texts, and bytes up to its bound or one command.
+// With documents that do not compress, a publisher keeps no texts and at most
+// maxCommandBytes, or a single command.
 func TestKeptCommandsAreBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, size := range []int{1000, 60_000, 2 * maxKeptBytes} {
+	for _, size := range []int{1000, 60_000, 2 * maxCommandBytes} {
 		s := steering.State{}
 		p := NewPublisher(s)
 		for range 12 {
@@ -350,7 +348,7 @@
 			for i := range text {
 				text[i] = byte(random.Uint32())
 			}
-			next, c := putRoutes(t, s, text)
+			next, c := applyRoutes(t, s, text)
 			p.SetState(next, []*wire.Command{c})
 			s = next
 		}
@@ -358,17 +356,17 @@
 		for _, c := range p.commands {
 			held += proto.Size(c)
 			if c.Routes.Document != nil {
-				t.Fatal("holds a text")
+				t.Fatal("a kept command has a document text")
 			}
 		}
-		if held != p.bytes || held > maxKeptBytes && len(p.commands) > 1 {
-			t.Errorf("texts of %d bytes: %d commands of %d bytes, counted %d", size, len(p.commands), held, p.bytes)
+		if held != p.commandBytes || held > maxCommandBytes && len(p.commands) > 1 {
+			t.Errorf("texts of %d bytes: %d commands of %d bytes, counted %d", size, len(p.commands), held, p.commandBytes)
 		}
 		if u := p.Update(s.Version()-1, 0); len(u.Commands) != 1 {
 			t.Errorf("texts of %d bytes: a subscriber that lacks one gets %d commands", size, len(u.Commands))
 		}
 		if u := p.Update(s.Version()-uint64(len(p.commands)), 0); len(u.Commands) != len(p.commands) {
-			t.Errorf("texts of %d bytes: a subscriber that lacks all that is kept gets %d commands", size, len(u.Commands))
+			t.Errorf("texts of %d bytes: a subscriber that lacks all kept commands gets %d", size, len(u.Commands))
 		}
 	}
 }
--- a/pkg/distribution/publisher.go
+++ b/pkg/distribution/publisher.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// maxKept is how many commands a publisher keeps to send as deltas.
-	maxKept = 1024
-	// maxKeptBytes bounds their encoded bytes, the newest command aside: what a
-	// box's link of 4 Mbit/s carries in 0.5 s. A subscriber that lacks more is
-	// as well served by the whole state, whose document is packed once.
-	maxKeptBytes = 250_000
+	// maxCommands is how many recent commands a publisher keeps to send as deltas.
+	maxCommands = 1024
+	// maxCommandBytes bounds their encoded size, not counting the newest command: what
+	// a box's link of 4 Mbit/s carries in 0.5 s. A subscriber that lacks more is served
+	// as well by the full state, whose document is packed once.
+	maxCommandBytes = 250_000
 )
 
 // Publisher makes the updates for subscribers from the state of its process.
 type Publisher struct {
 	state steering.State
-	// base is the version before the first kept command.
+	// base is the version that the first kept command applies to.
 	base uint64
-	// commands hold documents packed as differences, never their texts.
-	commands []*wire.Command
-	bytes    int
-	// alone is the document in force packed without a base, from the first
-	// subscriber that needs it until the next document.
-	alone *wire.PackedDocument
+	// commands hold documents packed as deltas, never their texts.
+	commands     []*wire.Command
+	commandBytes int
+	// packedDocument caches the active document packed without a base. It is made for
+	// the first subscriber that needs it.
+	packedDocument *wire.PackedDocument
 }
 
-// NewPublisher returns a publisher of a state without kept commands.
+// NewPublisher returns a publisher of a state, without commands that led to it.
 func NewPublisher(s steering.State) *Publisher {
 	return &Publisher{state: s, base: s.Version()}
 }
 
-// SetState takes the next state. Commands are those that led to it from the state
-// before, or nil if they are not known.
+// SetState publishes the next state. commands are those that led to it from the
+// previous state, or nil if they are not known.
 func (p *Publisher) SetState(s steering.State, commands []*wire.Command) {
 	if s.Version() <= p.state.Version() {
 		return
@@ -52,31 +52,32 @@
 	if before.Version()+uint64(len(commands)) != s.Version() {
 		p.base = s.Version()
 		p.commands = nil
-		p.bytes = 0
+		p.commandBytes = 0
 		return
 	}
 	for _, c := range PackCommands(before, commands) {
 		p.commands = append(p.commands, c)
-		p.bytes += proto.Size(c)
+		p.commandBytes += proto.Size(c)
 	}
 	p.trim()
 }
 
-// PackCommands returns commands that follow a state as subscribers get them. One that
-// came packed is the same for them.
+// PackCommands returns commands in the form sent to subscribers, with documents packed
+// as deltas; s is the state that the commands apply to. Commands that are already
+// packed stay as they are.
 func PackCommands(s steering.State, commands []*wire.Command) []*wire.Command {
 	before := s.Catalog().Document()
 	var out []*wire.Command
 	for _, c := range commands {
-		out = append(out, packed(before, c))
+		out = append(out, packCommand(before, c))
 		if r := c.GetRoutes(); r != nil {
-			before = r.GetDocument() // nil for one that came packed
+			before = r.GetDocument() // nil if it was packed already
 		}
 	}
 	return out
 }
 
-func packed(before *wire.RoutesDocument, c *wire.Command) *wire.Command {
+func packCommand(before *wire.RoutesDocument, c *wire.Command) *wire.Command {
 	document := c.GetRoutes().GetDocument()
 	if document == nil {
 		return c
@@ -87,11 +88,11 @@
 	}}
 }
 
-// trim lets go of the oldest commands beyond the bounds.
+// trim drops the oldest commands beyond the limits.
 func (p *Publisher) trim() {
 	extra := 0
-	for len(p.commands)-extra > maxKept || p.bytes > maxKeptBytes && len(p.commands)-extra > 1 {
-		p.bytes -= proto.Size(p.commands[extra])
+	for len(p.commands)-extra > maxCommands || p.commandBytes > maxCommandBytes && len(p.commands)-extra > 1 {
+		p.commandBytes -= proto.Size(p.commands[extra])
 		extra++
 	}
 	if extra > 0 {
@@ -103,9 +104,9 @@
 // Version returns the version of the published state.
 func (p *Publisher) Version() uint64 { return p.state.Version() }
 
-// Update returns what a subscriber at a version lacks: the commands if they
-// are kept, else the whole state. A subscriber that lacks nothing, or is ahead,
-// gets an empty update, which tells the age of the word of control.
+// Update returns what a subscriber at a version lacks: commands if they are still kept,
+// otherwise the full state. A subscriber that is up to date, or ahead, gets an empty
+// update that carries only age, the control age.
 func (p *Publisher) Update(version uint64, age time.Duration) *wire.Update {
 	u := &wire.Update{FromVersion: version, Version: version, AgeMilli: age.Milliseconds()}
 	if version >= p.state.Version() {
@@ -116,40 +117,40 @@
 		u.Commands = p.commands[version-p.base:]
 		return u
 	}
-	u.State = p.whole()
+	u.State = p.fullState()
 	return u
 }
 
-// FirstUpdate returns the first update of a subscription. Unlike later ones it carries
-// the whole state for version 0 also if all commands are kept: that is what a
-// subscriber asks for that could not use the commands.
+// FirstUpdate returns the first update of a subscription. Unlike Update it returns the
+// full state for version 0 even if all commands are kept, since subscribers ask for
+// version 0 when they could not apply the commands.
 func (p *Publisher) FirstUpdate(version uint64, age time.Duration) *wire.Update {
 	u := p.Update(version, age)
 	if version == 0 && u.Commands != nil {
 		u.Commands = nil
-		u.State = p.whole()
+		u.State = p.fullState()
 	}
 	return u
 }
 
-// whole returns the state with its document packed.
-func (p *Publisher) whole() *wire.State {
+// fullState returns the state with its document packed without a base.
+func (p *Publisher) fullState() *wire.State {
 	out := p.state.EncodeForBoxes()
 	document := out.GetCatalog().GetDocument()
 	if document == nil {
 		return out
 	}
-	if p.alone.GetNumber() != document.Number {
-		p.alone = catalog.Pack(nil, document)
+	if p.packedDocument.GetNumber() != document.Number {
+		p.packedDocument = catalog.Pack(nil, document)
 	}
 	out.Catalog.Document = nil
-	out.Catalog.Packed = p.alone
+	out.Catalog.Packed = p.packedDocument
 	return out
 }
 
-// Sources returns the candidates of a box, best first: its parents in the tree
-// of its zone's boxes, then the control replicas, spread over the boxes, then
-// the other boxes of the zone.
+// Sources returns the candidate sources of a box, best first: its ancestors in the tree
+// of its zone's boxes, then the control replicas, starting at a different one for each
+// box, then the other boxes of the zone.
 func Sources(box string, zone settings.Zone, controls []Source) []Source {
 	self := slices.IndexFunc(zone.Boxes, func(b settings.Box) bool { return b.Name == box })
 	var out []Source
@@ -174,7 +175,7 @@
 	return out
 }
 
-// parent returns the place of the parent of the box at place i, or -1.
+// parent returns the index of the parent of the box at index i, or -1.
 func parent(i int) int {
 	if i <= 0 {
 		return -1
@@ -182,8 +183,8 @@
 	return (i - 1) / MaxChildren
 }
 
-// CompareRank orders sources for a box by rendezvous hashing, so that boxes
-// spread evenly over the sources and keep theirs when others come and go.
+// CompareRank orders two sources for a box by rendezvous hashing, so that boxes spread
+// evenly over the sources and keep theirs when others are added or removed.
 func CompareRank(box, a, b string) int {
 	return cmp.Compare(xxhash.Sum64String(box+"\x00"+b), xxhash.Sum64String(box+"\x00"+a))
 }
--- a/pkg/distribution/transfer.go
+++ b/pkg/distribution/transfer.go
@@ -6,59 +6,61 @@
 )
 
 const (
-	// transferLimit is how long an update may arrive before another source is
-	// tried: 5 MB take 20 s over 2 Mbit/s, half of a box's link. It doubles with
-	// each update that takes longer, up to maxTransferLimit, in which the longest
-	// message, 64 MB, arrives at 0.9 Mbit/s; else a slow link would never carry
-	// a state that takes longer.
-	transferLimit    = 20 * time.Second
-	maxTransferLimit = 32 * transferLimit
+	// minTransferTimeout bounds the time to receive an update before another source is
+	// tried: 5 MB take 20 s at 2 Mbit/s, half of a box's link. It doubles with each
+	// update that takes longer, up to maxTransferTimeout, in which the longest message
+	// of 64 MB arrives at 0.9 Mbit/s. Otherwise a state that takes longer would never
+	// get through a slow link.
+	minTransferTimeout = 20 * time.Second
+	maxTransferTimeout = 32 * minTransferTimeout
 )
 
-// transfer is an update of which bytes have come; without bytes there is none.
+// transfer is an update that has been received in part. With zero bytes there is none.
 type transfer struct {
-	bytes uint64
-	began time.Time
+	bytes     uint64
+	startedAt time.Time
 }
 
-// progress takes that bytes have come. They are a sign of life, not a word of
-// control: that is as old as the last whole update.
-func (f *Follower) progress(now time.Time, e Progress) {
-	if e.Attempt != f.attempt || e.Bytes == f.arriving.bytes {
+// handleProgress records received bytes. They show that the source is alive but are no
+// contact with control, which dates from the last complete update.
+func (f *Follower) handleProgress(now time.Time, e Progress) {
+	if e.Attempt != f.attempt || e.Bytes == f.incoming.bytes {
 		return
 	}
-	if f.arriving.bytes == 0 {
-		f.arriving.began = now
+	if f.incoming.bytes == 0 {
+		f.incoming.startedAt = now
 	}
-	f.arriving.bytes = e.Bytes
-	f.lastSign = now
+	f.incoming.bytes = e.Bytes
+	f.lastActivity = now
 }
 
-// arrives reports whether an update is on its way and neither stands still nor
-// takes too long.
-func (f *Follower) arrives(now time.Time) bool {
-	return f.arriving.bytes > 0 && now.Sub(f.lastSign) <= f.staleAfter && !f.overdue(now)
+// isReceiving reports whether an update is being received that has neither stalled nor
+// timed out.
+func (f *Follower) isReceiving(now time.Time) bool {
+	return f.incoming.bytes > 0 && now.Sub(f.lastActivity) <= f.staleAfter && !f.transferTimedOut(now)
 }
 
-// overdue reports whether an update has been on its way for too long.
-func (f *Follower) overdue(now time.Time) bool {
-	return f.arriving.bytes > 0 && now.Sub(f.arriving.began) > f.limit
+// transferTimedOut reports whether receiving an update has taken too long.
+func (f *Follower) transferTimedOut(now time.Time) bool {
+	return f.incoming.bytes > 0 && now.Sub(f.incoming.startedAt) > f.transferTimeout
 }
 
-// endTransfer lets go of an update that has not come whole.
-func (f *Follower) endTransfer(now time.Time) {
-	if f.overdue(now) {
-		f.limit = min(2*f.limit, maxTransferLimit)
+// abortTransfer discards a partly received update and doubles the timeout if it was
+// exceeded.
+func (f *Follower) abortTransfer(now time.Time) {
+	if f.transferTimedOut(now) {
+		f.transferTimeout = min(2*f.transferTimeout, maxTransferTimeout)
 	}
-	f.arriving = transfer{}
+	f.incoming = transfer{}
 }
 
-// why tells what the follower knows of a source that it no longer follows.
-func (f *Follower) why(now time.Time, does string) string {
-	text := fmt.Sprintf("%s %s: word of control %d ms old", does, f.sources[f.current].Name, f.ControlAge(now).Milliseconds())
-	if f.arriving.bytes == 0 {
+// describeUpstream returns a timeline text on an upstream that the follower leaves.
+// verb is what the follower does.
+func (f *Follower) describeUpstream(now time.Time, verb string) string {
+	text := fmt.Sprintf("%s %s: word of control %d ms old", verb, f.sources[f.current].Name, f.ControlAge(now).Milliseconds())
+	if f.incoming.bytes == 0 {
 		return text + ", no update arriving"
 	}
-	return fmt.Sprintf("%s, %d bytes of an update in %d ms, none for %d ms", text, f.arriving.bytes,
-		now.Sub(f.arriving.began).Milliseconds(), now.Sub(f.lastSign).Milliseconds())
+	return fmt.Sprintf("%s, %d bytes of an update in %d ms, none for %d ms", text, f.incoming.bytes,
+		now.Sub(f.incoming.startedAt).Milliseconds(), now.Sub(f.lastActivity).Milliseconds())
 }
--- a/pkg/distribution/transfer_test.go
+++ b/pkg/distribution/transfer_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	testStale = 1600 * time.Millisecond
-	testStep  = 100 * time.Millisecond
+	testStaleAfter = 1600 * time.Millisecond
+	testStep       = 100 * time.Millisecond
 )
 
-// following is a follower in the middle of a test, with two sources.
-type following struct {
+// testFollower drives a Follower that has two sources, a and b.
+type testFollower struct {
 	*Follower
 	now     time.Time
 	attempt uint64
@@ -22,16 +22,16 @@
 	notices []string
 }
 
-func newTestFollowing() *following {
+func newTestFollower() *testFollower {
 	now := time.Unix(1000, 0)
-	f := &following{Follower: NewFollower(now, 1), now: now}
-	f.SetStaleAfter(testStale)
-	f.take(SetSources{[]Source{{Name: "a"}, {Name: "b"}}})
+	f := &testFollower{Follower: NewFollower(now, 1), now: now}
+	f.SetStaleAfter(testStaleAfter)
+	f.handle(SetSources{[]Source{{Name: "a"}, {Name: "b"}}})
 	return f
 }
 
-// take hands an event in and reports whether another upstream is sought.
-func (f *following) take(e Event) (left bool) {
+// handle passes on an event and reports whether the follower left its upstream.
+func (f *testFollower) handle(e Event) (left bool) {
 	out := f.Handle(f.now, e)
 	if out.Notice != "" {
 		f.notices = append(f.notices, out.Notice)
@@ -44,25 +44,25 @@
 	return out.Subscribe != nil || (!follows && !f.pending)
 }
 
-// open has the present subscription open and its first word of control come.
-func (f *following) open() {
-	f.take(Opened{f.attempt})
-	f.take(Received{Attempt: f.attempt, Update: f.nothing()})
+// openSubscription opens the current subscription and delivers its first update.
+func (f *testFollower) openSubscription() {
+	f.handle(Opened{f.attempt})
+	f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate()})
 }
 
-func (f *following) nothing() *wire.Update {
+func (f *testFollower) emptyUpdate() *wire.Update {
 	v := f.State().Version()
 	return &wire.Update{FromVersion: v, Version: v}
 }
 
-// arrive lets bytes arrive for a while and returns after what time another
-// upstream is sought.
-func (f *following) arrive(length time.Duration, bytesPerStep uint64) (after time.Duration, left bool) {
+// receiveBytes delivers bytes of an update at each step until the given time has passed
+// or the follower leaves its upstream, and returns the time until then.
+func (f *testFollower) receiveBytes(length time.Duration, bytesPerStep uint64) (after time.Duration, left bool) {
 	for after < length {
 		f.now = f.now.Add(testStep)
 		after += testStep
 		f.bytes += bytesPerStep
-		if f.take(Progress{f.attempt, f.bytes}) || f.take(Tick{}) {
+		if f.handle(Progress{f.attempt, f.bytes}) || f.handle(Tick{}) {
 			return after, true
 		}
 	}
@@ -70,115 +70,115 @@
 }
 
 // Guards against a follower that leaves its upstream in the middle of a long update.
-func TestUpstreamThatIsSendingAnUpdateIsKept(t *testing.T) {
-	f := newTestFollowing()
-	f.open()
-	if after, left := f.arrive(10*time.Second, 50_000); left {
+func TestSendingUpstreamIsKept(t *testing.T) {
+	f := newTestFollower()
+	f.openSubscription()
+	if after, left := f.receiveBytes(10*time.Second, 50_000); left {
 		t.Fatalf("left its upstream in the middle of an update, after %v", after)
 	}
 	if age := f.ControlAge(f.now); age < 10*time.Second {
-		t.Errorf("the word of control counts as %v old though none has come for 10 s", age)
+		t.Errorf("control age is %v, but there was no contact for 10 s", age)
 	}
-	if f.take(Received{Attempt: f.attempt, Update: f.nothing()}) {
-		t.Error("left its upstream with the end of the update")
+	if f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate()}) {
+		t.Error("left its upstream at the end of the update")
 	}
 	if age := f.ControlAge(f.now); age < 9*time.Second {
-		t.Errorf("the word of control counts as %v old: the update was made 10 s ago", age)
+		t.Errorf("control age is %v, but the update was made 10 s ago", age)
 	}
 	f.now = f.now.Add(testStep)
-	if f.take(Received{Attempt: f.attempt, Update: f.nothing()}) || f.ControlAge(f.now) > testStep {
-		t.Errorf("the word of control counts as %v old after a heartbeat", f.ControlAge(f.now))
+	if f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate()}) || f.ControlAge(f.now) > testStep {
+		t.Errorf("left its upstream, or control age is %v after a heartbeat", f.ControlAge(f.now))
 	}
 }
 
-func TestFirstUpdateMayTakeLongerThanTheConnecting(t *testing.T) {
-	f := newTestFollowing()
-	if after, left := f.arrive(10*time.Second, 50_000); left {
+func TestFirstUpdateMayExceedConnectTimeout(t *testing.T) {
+	f := newTestFollower()
+	if after, left := f.receiveBytes(10*time.Second, 50_000); left {
 		t.Fatalf("left its upstream in the middle of the first update, after %v", after)
 	}
-	f.open()
+	f.openSubscription()
 	if s, ok := f.Upstream(); !ok || s.Name != "a" {
 		t.Errorf("follows %v, %v after the first update", s, ok)
 	}
 }
 
-// A follower of its second choice does not go back to the first in the middle
-// of an update.
-func TestSecondChoiceIsKeptWhileItSendsAnUpdate(t *testing.T) {
-	f := newTestFollowing()
-	f.take(Lost{Attempt: f.attempt})
-	f.open()
-	if after, left := f.arrive(2*reconsiderAfter, 50_000); left {
+// A follower does not return from its second choice to the first in the middle of an
+// update.
+func TestSendingSecondChoiceIsKept(t *testing.T) {
+	f := newTestFollower()
+	f.handle(Lost{Attempt: f.attempt})
+	f.openSubscription()
+	if after, left := f.receiveBytes(2*minReturnDelay, 50_000); left {
 		t.Fatalf("left its upstream in the middle of an update, after %v", after)
 	}
 }
 
-// Silence is left as soon as before, counted from the last sign of life.
-func TestSilentUpstreamIsLeftInTime(t *testing.T) {
-	f := newTestFollowing()
-	if after, left := f.arrive(2*connectTimeout, 0); !left || after > connectTimeout {
-		t.Errorf("a source that sends nothing at all was left: %v, after %v", left, after)
+// A silent upstream is left after the usual timeout, counted from its last activity.
+func TestSilentUpstreamIsLeft(t *testing.T) {
+	f := newTestFollower()
+	if after, left := f.receiveBytes(2*connectTimeout, 0); !left || after > connectTimeout {
+		t.Errorf("a source that sends nothing at all: left %v, after %v", left, after)
 	}
-	f.open()
-	if after, left := f.arrive(2*testStale, 0); !left || after > testStale+testStep {
-		t.Errorf("an upstream that fell silent was left: %v, after %v", left, after)
+	f.openSubscription()
+	if after, left := f.receiveBytes(2*testStaleAfter, 0); !left || after > testStaleAfter+testStep {
+		t.Errorf("an upstream that became silent: left %v, after %v", left, after)
 	}
-	f.open()
-	f.arrive(2*time.Second, 50_000)
-	if after, left := f.arrive(2*testStale, 0); !left || after > testStale+testStep {
-		t.Errorf("an upstream that fell silent in the middle of an update was left: %v, after %v", left, after)
+	f.openSubscription()
+	f.receiveBytes(2*time.Second, 50_000)
+	if after, left := f.receiveBytes(2*testStaleAfter, 0); !left || after > testStaleAfter+testStep {
+		t.Errorf("an upstream that became silent in the middle of an update: left %v, after %v", left, after)
 	}
 	if last := f.notices[len(f.notices)-1]; !strings.Contains(last, "1000000 bytes") {
-		t.Errorf("the line does not tell what had arrived: %s", last)
+		t.Errorf("the notice does not say how many bytes were received: %s", last)
 	}
 }
 
-// An update that trickles is given up after the limit and another source is
-// tried, which gets twice as long; an update that came whole starts anew.
-func TestTrickleIsBounded(t *testing.T) {
-	f := newTestFollowing()
-	f.open()
-	for _, limit := range []time.Duration{transferLimit, 2 * transferLimit, 4 * transferLimit} {
+// A slow transfer is abandoned after the timeout, and the next source gets twice as
+// long. An update that is received completely resets the timeout.
+func TestSlowTransferTimesOut(t *testing.T) {
+	f := newTestFollower()
+	f.openSubscription()
+	for _, limit := range []time.Duration{minTransferTimeout, 2 * minTransferTimeout, 4 * minTransferTimeout} {
 		before := f.attempt
-		after, left := f.arrive(2*limit, 1)
+		after, left := f.receiveBytes(2*limit, 1)
 		if !left || after > limit+3*testStep {
-			t.Fatalf("a trickle was left: %v, after %v, the limit is %v", left, after, limit)
+			t.Fatalf("slow transfer: left %v, after %v, the timeout is %v", left, after, limit)
 		}
 		for f.attempt == before || !f.pending {
 			f.now = f.now.Add(testStep)
-			f.take(Tick{})
+			f.handle(Tick{})
 		}
 	}
-	f.open()
-	f.arrive(testStep, 1)
-	f.take(Received{Attempt: f.attempt, Update: f.nothing()})
-	if after, left := f.arrive(2*transferLimit, 1); !left || after > transferLimit+3*testStep {
-		t.Errorf("after a whole update a trickle was left: %v, after %v", left, after)
+	f.openSubscription()
+	f.receiveBytes(testStep, 1)
+	f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate()})
+	if after, left := f.receiveBytes(2*minTransferTimeout, 1); !left || after > minTransferTimeout+3*testStep {
+		t.Errorf("slow transfer after a complete update: left %v, after %v", left, after)
 	}
 }
 
-// An update counts from its arrival, or from the begin of its transfer where
-// that was seen, however long it waited to be handled. Silence is not judged by
-// one that waited: more may wait behind it.
-func TestUpdateThatWaitedIsAsOldAsItsArrival(t *testing.T) {
-	f := newTestFollowing()
-	f.open()
-	came := f.now.Add(testStep)
-	f.now = f.now.Add(3 * testStale)
-	if f.take(Received{Attempt: f.attempt, Update: f.nothing(), At: came}) {
-		t.Error("left its upstream by an update that waited, before what waits behind it")
-	}
-	if age, want := f.ControlAge(f.now), f.now.Sub(came); age != want {
-		t.Errorf("the word of control counts as %v old, it came %v ago", age, want)
-	}
-	if !f.take(Tick{}) {
-		t.Error("keeps an upstream that has been silent since")
-	}
-	f.open()
-	f.arrive(time.Second, 50_000)
-	began := f.arriving.began
-	f.take(Received{Attempt: f.attempt, Update: f.nothing(), At: f.now})
-	if age, want := f.ControlAge(f.now), f.now.Sub(began); age != want {
-		t.Errorf("the word of control counts as %v old, its transfer began %v ago", age, want)
+// The control age of an update counts from its arrival, or from the start of its
+// transfer if that was seen, however long it was queued. A queued update is no reason
+// to judge the upstream silent, because more updates may be queued behind it.
+func TestQueuedUpdateCountsFromArrival(t *testing.T) {
+	f := newTestFollower()
+	f.openSubscription()
+	arrivedAt := f.now.Add(testStep)
+	f.now = f.now.Add(3 * testStaleAfter)
+	if f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate(), At: arrivedAt}) {
+		t.Error("left its upstream on a queued update, before the updates behind it were handled")
+	}
+	if age, want := f.ControlAge(f.now), f.now.Sub(arrivedAt); age != want {
+		t.Errorf("control age is %v, but the update arrived %v ago", age, want)
+	}
+	if !f.handle(Tick{}) {
+		t.Error("stays with an upstream that has been silent since")
+	}
+	f.openSubscription()
+	f.receiveBytes(time.Second, 50_000)
+	startedAt := f.incoming.startedAt
+	f.handle(Received{Attempt: f.attempt, Update: f.emptyUpdate(), At: f.now})
+	if age, want := f.ControlAge(f.now), f.now.Sub(startedAt); age != want {
+		t.Errorf("control age is %v, but the transfer started %v ago", age, want)
 	}
 }
