--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -35,7 +35,7 @@
 }
 
 func newKeys(d *Daemon) *keys {
-	keep := settings.Tree{}.Values(settings.Path{}).KeyKeep
+	keep := settings.Tree{}.Values(settings.Path{}).KeyRetention
 	return &keys{
 		box: d,
 		call: func(ctx context.Context, address string, r *wire.CallRequest) (*wire.CallAnswer, error) {
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// CheckVoters refuses a change from t to next that changes more than one voter
+// CheckVoterChange refuses a change from t to next that changes more than one voter
 // of a zone's leases, since two sets that differ by one always share a majority
 // member and others need not. A zone that had no boxes may begin with any.
-func (t Tree) CheckVoters(next Tree) error {
+func (t Tree) CheckVoterChange(next Tree) error {
 	for _, z := range next.Zones() {
 		before, _ := t.Zone(z.Name)
 		if len(before.Boxes) == 0 {
--- a/pkg/settings/key.go
+++ b/pkg/settings/key.go
@@ -126,8 +126,8 @@
 	return keys[i], true
 }
 
-// Allowed says in words which values the key takes.
-func (k Key) Allowed() string {
+// AllowedValues says in words which values the key takes.
+func (k Key) AllowedValues() string {
 	switch k.Kind {
 	case Integer:
 		return fmt.Sprintf("%d to %d %s", k.Min, k.Max, k.Unit)
@@ -158,7 +158,7 @@
 	if ok {
 		return ""
 	}
-	return "allowed is " + k.Allowed()
+	return "allowed is " + k.AllowedValues()
 }
 
 func (k Key) checkList(value string) string {
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -121,8 +121,8 @@
 	return p, nil
 }
 
-// At returns the value that is set at exactly this path, if any.
-func (t Tree) At(p Path, key string) (string, bool) {
+// GetLocal returns the value that is set at exactly this path, if any.
+func (t Tree) GetLocal(p Path, key string) (string, bool) {
 	v, ok := t.nodes[p][key]
 	return v, ok
 }
@@ -201,7 +201,7 @@
 		if err != nil {
 			continue // only accepted edits are undone, and their paths can be read
 		}
-		value, had := t.At(p, e.Key)
+		value, had := t.GetLocal(p, e.Key)
 		out = append(out, &wire.Edit{Path: e.Path, Key: e.Key, Value: value, Unset: !had})
 	}
 	return out
@@ -212,13 +212,13 @@
 	var out []*wire.Edit
 	for _, s := range other.Settings() {
 		p, _ := ParsePath(s.Path)
-		if v, ok := t.At(p, s.Key); !ok || v != s.Value {
+		if v, ok := t.GetLocal(p, s.Key); !ok || v != s.Value {
 			out = append(out, &wire.Edit{Path: s.Path, Key: s.Key, Value: s.Value})
 		}
 	}
 	for _, s := range t.Settings() {
 		p, _ := ParsePath(s.Path)
-		if _, ok := other.At(p, s.Key); !ok {
+		if _, ok := other.GetLocal(p, s.Key); !ok {
 			out = append(out, &wire.Edit{Path: s.Path, Key: s.Key, Unset: true})
 		}
 	}
--- a/pkg/settings/tree_test.go
+++ b/pkg/settings/tree_test.go
@@ -112,14 +112,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := before.CheckVoters(one); err != nil {
+	if err := before.CheckVoterChange(one); err != nil {
 		t.Errorf("adding one voter: %v", err)
 	}
 	two, err := before.WithEdits(parse(t, "/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2,b9=127.0.0.1:7+127.0.0.1:8"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := before.CheckVoters(two); err == nil {
+	if err := before.CheckVoterChange(two); err == nil {
 		t.Error("replacing a voter in one change was allowed")
 	}
 }
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -23,7 +23,7 @@
 	ShiftCapShare      int
 	ShiftStepShare     int
 	Lease              time.Duration
-	KeyKeep            time.Duration
+	KeyRetention       time.Duration
 }
 
 // Values returns the values in force at a path.
@@ -48,6 +48,6 @@
 		ShiftCapShare:      t.integer(p, ShiftCapShare),
 		ShiftStepShare:     t.integer(p, ShiftStepShare),
 		Lease:              milliseconds(t.integer(p, LeaseMillis)),
-		KeyKeep:            milliseconds(t.integer(p, KeyKeepMillis)),
+		KeyRetention:       milliseconds(t.integer(p, KeyKeepMillis)),
 	}
 }
--- a/pkg/steering/change.go
+++ b/pkg/steering/change.go
@@ -52,7 +52,7 @@
 	}
 	next, err := s.tree.WithEdits(c.Edits)
 	if err == nil {
-		err = s.tree.CheckVoters(next)
+		err = s.tree.CheckVoterChange(next)
 	}
 	if err != nil {
 		v.Kind = wire.VerdictKind_VERDICT_KIND_INVALID
