--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Check checks the tree as a whole: names and addresses that must be unique,
-// keys that depend on each other, and that every service keeps a place to go.
+// Check validates the tree as a whole: unique names and addresses, settings that depend
+// on each other, and that no service has all of its targets draining.
 func (t Tree) Check() error {
 	zones := t.Zones()
 	if err := checkZoneNames(zones); err != nil {
@@ -22,7 +22,7 @@
 	if err := t.checkTargets(zones); err != nil {
 		return err
 	}
-	if err := t.checkShares(); err != nil {
+	if err := t.checkLimits(); err != nil {
 		return err
 	}
 	return t.checkDrains(zones)
@@ -93,20 +93,20 @@
 	for _, z := range zones {
 		for _, name := range z.Services {
 			path := Path{Region: z.Region, Zone: z.Name, Service: name}.String()
-			for _, g := range t.Service(z.Region, z.Name, name).Targets {
-				if other, ok := addresses[g.Address]; ok {
-					return &InvalidError{Path: path, Key: Targets, Value: g.Address, Reason: "target " + other + " has this address too"}
+			for _, target := range t.Service(z.Region, z.Name, name).Targets {
+				if other, ok := addresses[target.Address]; ok {
+					return &InvalidError{Path: path, Key: Targets, Value: target.Address, Reason: "target " + other + " has this address too"}
 				}
-				addresses[g.Address] = g.Name
+				addresses[target.Address] = target.Name
 			}
 		}
 	}
 	return nil
 }
 
-// checkShares goes through the paths in order, so that every replica gives the
-// same reason.
-func (t Tree) checkShares() error {
+// checkLimits compares settings that bound each other. It visits the paths in order, so
+// that every replica gives the same reason.
+func (t Tree) checkLimits() error {
 	for _, p := range t.paths() {
 		v := t.Values(p)
 		if v.ShiftStepShare > v.ShiftCapShare {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// checkDrains refuses a tree in which all targets of a service would drain.
+// checkDrains refuses a tree in which all targets of a service are draining.
 func (t Tree) checkDrains(zones []Zone) error {
 	capacity := make(map[string]int)
 	targets := make(map[string]int)
@@ -140,16 +140,17 @@
 	return nil
 }
 
-// CheckVoterChange refuses a change from t to next that changes more than one voter
-// of a zone's leases, since two sets that differ by one always share a majority
-// member and others need not. A zone that had no boxes may begin with any.
+// CheckVoterChange refuses a change from t to next that replaces more than one voter of
+// a zone's leases. Majorities of two voter sets that differ by one voter always
+// intersect; with a larger difference they may not. A zone without boxes may start with
+// any set.
 func (t Tree) CheckVoterChange(next Tree) error {
 	for _, z := range next.Zones() {
 		before, _ := t.Zone(z.Name)
 		if len(before.Boxes) == 0 {
 			continue
 		}
-		changed := difference(before.Voters(), z.Voters()) + difference(z.Voters(), before.Voters())
+		changed := countMissing(before.Voters(), z.Voters()) + countMissing(z.Voters(), before.Voters())
 		if changed > 1 {
 			path := Path{Region: z.Region, Zone: z.Name}.String()
 			return &InvalidError{Path: path, Key: EntryBoxes, Reason: "one entry box or witness of a zone may be added or removed at a time"}
@@ -158,7 +159,8 @@
 	return nil
 }
 
-func difference(a, b []string) int {
+// countMissing returns how many elements of a are not in b.
+func countMissing(a, b []string) int {
 	n := 0
 	for _, v := range a {
 		if !slices.Contains(b, v) {
--- a/pkg/settings/file.go
+++ b/pkg/settings/file.go
@@ -11,10 +11,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// ParseFile reads a tree file: a JSON object of paths, each an object of keys.
-// Numbers, booleans, strings and lists of strings are allowed as the key's
-// kind requires. The edits that make up the tree are returned in order; they
-// are checked only key by key, so that a caller may apply them to another tree.
+// ParseFile parses a tree file: a JSON object of paths, each an object of keys.
+// Depending on the key, a value is a number, a boolean, a string or a list of strings.
+// It returns the edits that build the tree, sorted by path and key. They are checked
+// one by one only, so that a caller may apply them to another tree.
 func ParseFile(data []byte) ([]*wire.Edit, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -28,7 +28,7 @@
 	var edits []*wire.Edit
 	for path, node := range nodes {
 		for key, raw := range node {
-			value, err := textOf(raw)
+			value, err := valueText(raw)
 			if err != nil {
 				return nil, &InvalidError{Path: path, Key: key, Reason: err.Error()}
 			}
@@ -45,7 +45,8 @@
 	return edits, nil
 }
 
-func textOf(raw any) (string, error) {
+// valueText converts a JSON value to the text form of a setting.
+func valueText(raw any) (string, error) {
 	switch v := raw.(type) {
 	case string:
 		return v, nil
@@ -67,7 +68,7 @@
 	return "", fmt.Errorf("a value is a number, a boolean, a string or a list of strings")
 }
 
-// FormatFile writes a tree as a tree file.
+// FormatFile encodes a tree as a tree file.
 func FormatFile(t Tree) ([]byte, error) {
 	nodes := make(map[string]map[string]any)
 	for _, s := range t.Settings() {
--- a/pkg/settings/key.go
+++ b/pkg/settings/key.go
@@ -1,8 +1,8 @@
-// Package settings is the tree of settings: defaults at the top, regions,
-// availability zones and services below, each overriding only what differs.
+// Package settings implements hierarchical settings: defaults at the root and
+// overrides for regions, availability zones and services below.
 //
-// A Tree is an immutable value. Every key is typed and range-checked, and a
-// tree is checked as a whole before it is accepted.
+// A Tree is an immutable value. Every key has a type and a range, and a tree is
+// validated as a whole before it is accepted.
 package settings
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Kind is the type of a key's values.
+// Kind is the value type of a key.
 type Kind string
 
-// The kinds of values.
+// The value types.
 const (
 	Integer Kind = "integer"
 	Boolean Kind = "boolean"
@@ -24,23 +24,23 @@
 	List    Kind = "list"
 )
 
-// Key describes one key of the tree.
+// Key describes one settings key.
 type Key struct {
 	Name string
 	Kind Kind
-	// Unit of an integer: milliseconds, percent, slots and so on.
+	// Unit is the unit of an integer: ms, percent, slots and so on.
 	Unit     string
 	Min, Max int
 	Choices  []string
 	Default  string
-	// ZoneOnly keys may stand only at an availability zone; ServiceOnly keys
-	// only at a service of a zone.
+	// ZoneOnly keys may be set only at an availability zone, ServiceOnly keys only at a
+	// service of a zone.
 	ZoneOnly    bool
 	ServiceOnly bool
 	Doc         string
 }
 
-// Names of the keys.
+// Key names.
 const (
 	AnswerTTLMillis      = "answerTtlMillis"
 	RequestTimeoutMillis = "requestTimeoutMillis"
@@ -73,7 +73,7 @@
 	Targets              = "targets"
 )
 
-// Choices of the keys policy and refuseFirst.
+// Values of the keys policy and refuseFirst.
 const (
 	RoundRobin   = "roundRobin"
 	LeastLoaded  = "leastLoaded"
@@ -114,7 +114,7 @@
 	{Name: Targets, Kind: List, ServiceOnly: true, Doc: "targets as name=address"},
 }
 
-// Keys returns the description of every key, in the order of the manual.
+// Keys returns the descriptions of all keys in the order of the documentation.
 func Keys() []Key { return slices.Clone(keys) }
 
 // Lookup returns the description of a key.
@@ -126,7 +126,7 @@
 	return keys[i], true
 }
 
-// AllowedValues says in words which values the key takes.
+// AllowedValues describes the values that the key accepts.
 func (k Key) AllowedValues() string {
 	switch k.Kind {
 	case Integer:
@@ -141,7 +141,7 @@
 	return ""
 }
 
-// check returns why value is not allowed, or the empty string.
+// check returns why the value is refused, or the empty string.
 func (k Key) check(value string) string {
 	ok := true
 	switch k.Kind {
--- a/pkg/settings/path.go
+++ b/pkg/settings/path.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Path names a node of the tree: "/" for the defaults, "/region",
-// "/region/zone", each with ":service" behind it for a service there.
+// Path identifies a node of the tree. Its text form is "/" for the defaults, "/region"
+// or "/region/zone", with ":service" appended for a service there.
 type Path struct {
 	Region  string
 	Zone    string
 	Service string
 }
 
-// PathError says why a path is not one.
+// PathError says why a path is invalid.
 type PathError struct {
 	Path   string
 	Reason string
@@ -22,7 +22,8 @@
 // Error implements error.
 func (e *PathError) Error() string { return fmt.Sprintf("path %q: %s", e.Path, e.Reason) }
 
-const maxName = 63
+// maxNameLength bounds names in the tree, and the part of a value that errors show.
+const maxNameLength = 63
 
 // ParsePath parses the text form of a path.
 func ParsePath(text string) (Path, error) {
@@ -69,8 +70,8 @@
 }
 
 func checkName(name string) error {
-	if name == "" || len(name) > maxName {
-		return fmt.Errorf("a name has 1 to %d characters, %q has %d", maxName, name, len(name))
+	if name == "" || len(name) > maxNameLength {
+		return fmt.Errorf("a name has 1 to %d characters, %q has %d", maxNameLength, name, len(name))
 	}
 	for _, c := range name {
 		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
--- a/pkg/settings/topology.go
+++ b/pkg/settings/topology.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// Box is an entry box: a machine of the system.
+// Box is an entry box.
 type Box struct {
 	Name   string
 	Region string
 	Zone   string
-	// CallerAddress serves callers, PeerAddress other processes of the system.
+	// CallerAddress accepts requests of callers, PeerAddress connections of other
+	// processes of the system.
 	CallerAddress string
 	PeerAddress   string
 	Draining      bool
@@ -25,13 +26,13 @@
 	Draining bool
 }
 
-// Zone is an availability zone with its entry boxes and services.
+// Zone is an availability zone with its entry boxes and the names of its services.
 type Zone struct {
 	Region  string
 	Name    string
 	Boxes   []Box
 	Witness string
-	// voters are the boxes named by leaseVoters.
+	// voters are the boxes listed in leaseVoters; empty means all.
 	voters   []string
 	Services []string
 	Draining bool
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// Regions returns the names of the regions that have an availability zone.
+// Regions returns the sorted names of the regions that have an availability zone.
 func (t Tree) Regions() []string {
 	var out []string
 	for p := range t.nodes {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// Zones returns the availability zones, ordered by region and name.
+// Zones returns the availability zones, sorted by region and name.
 func (t Tree) Zones() []Zone {
 	found := make(map[Path]bool)
 	for p := range t.nodes {
@@ -110,7 +111,7 @@
 	for _, item := range splitList(t.Get(p, EntryBoxes)) {
 		b, err := parseBox(item)
 		if err != nil {
-			continue // no tree holds an unchecked value
+			continue // can't happen: a tree holds only validated values
 		}
 		b.Region = p.Region
 		b.Zone = p.Zone
@@ -130,7 +131,7 @@
 	return z
 }
 
-// Zone returns one availability zone by its name.
+// Zone returns the availability zone with the given name.
 func (t Tree) Zone(name string) (Zone, bool) {
 	for p := range t.nodes {
 		if p.Zone == name {
@@ -140,7 +141,8 @@
 	return Zone{}, false
 }
 
-// Voters returns the names of the boxes that vote on the zone's leases.
+// Voters returns the names of the boxes that vote on the zone's leases, the witness
+// included.
 func (z Zone) Voters() []string {
 	out := slices.Clone(z.voters)
 	for _, b := range z.Boxes {
@@ -154,7 +156,7 @@
 	return out
 }
 
-// Service is what is in force for one service in one availability zone.
+// Service holds the effective settings of one service in one availability zone.
 type Service struct {
 	Name        string
 	Region      string
@@ -166,7 +168,7 @@
 	Values      Values
 }
 
-// Service returns what is in force for a service in a zone of a region.
+// Service returns the effective settings of a service in a zone.
 func (t Tree) Service(region, zone, name string) Service {
 	p := Path{Region: region, Zone: zone, Service: name}
 	s := Service{
@@ -180,28 +182,28 @@
 	}
 	draining := splitList(t.Get(p, DrainTargets))
 	for _, item := range splitList(t.Get(p, Targets)) {
-		g, err := parseTarget(item)
+		target, err := parseTarget(item)
 		if err != nil {
-			continue // no tree holds an unchecked value
+			continue // can't happen: a tree holds only validated values
 		}
-		g.Draining = s.Draining || slices.Contains(draining, g.Name)
-		s.Targets = append(s.Targets, g)
+		target.Draining = s.Draining || slices.Contains(draining, target.Name)
+		s.Targets = append(s.Targets, target)
 	}
 	return s
 }
 
-// Capacity returns the slots of the service's targets that are not draining.
+// Capacity returns the total slots of the targets that are not draining.
 func (s Service) Capacity() int {
 	n := 0
-	for _, g := range s.Targets {
-		if !g.Draining {
+	for _, target := range s.Targets {
+		if !target.Draining {
 			n += s.Slots
 		}
 	}
 	return n
 }
 
-// Services returns the names of all services that have targets anywhere.
+// Services returns the sorted names of all services configured in a zone.
 func (t Tree) Services() []string {
 	var out []string
 	for p := range t.nodes {
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -11,20 +11,19 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Bounds of a tree, so that a change can't exhaust the memory of the boxes.
+// Limits of a tree, so that a change can't exhaust the memory of the boxes.
 const (
 	MaxSettings   = 200_000
 	MaxValueBytes = 1 << 20
 )
 
-// Tree is an immutable tree of settings. The zero value is the empty tree,
-// with the default of every key in force.
+// Tree is an immutable tree of settings. In the zero value every key has its default.
 type Tree struct {
 	nodes map[Path]map[string]string
 	size  int
 }
 
-// InvalidError says which key at which path is wrong.
+// InvalidError says which key at which path is invalid, and why.
 type InvalidError struct {
 	Path   string
 	Key    string
@@ -35,8 +34,8 @@
 // Error implements error.
 func (e *InvalidError) Error() string {
 	value := e.Value
-	if len(value) > maxName {
-		value = value[:maxName] + "..."
+	if len(value) > maxNameLength {
+		value = value[:maxNameLength] + "..."
 	}
 	if e.Key == "" {
 		return fmt.Sprintf("at %s: %s", e.Path, e.Reason)
@@ -44,7 +43,7 @@
 	return fmt.Sprintf("at %s: key %s with value %q: %s", e.Path, e.Key, value, e.Reason)
 }
 
-// WithEdits returns the tree after the edits. The result is checked as a whole.
+// WithEdits returns the tree after the edits, validated as a whole.
 func (t Tree) WithEdits(edits []*wire.Edit) (Tree, error) {
 	next := Tree{nodes: maps.Clone(t.nodes), size: t.size}
 	if next.nodes == nil {
@@ -121,18 +120,18 @@
 	return p, nil
 }
 
-// GetLocal returns the value that is set at exactly this path, if any.
+// GetLocal returns the value set at exactly this path, without inheritance.
 func (t Tree) GetLocal(p Path, key string) (string, bool) {
 	v, ok := t.nodes[p][key]
 	return v, ok
 }
 
-// Get returns the value in force at a path: that of the most specific node
-// that sets the key. A service's node goes before the places around it, and
-// among nodes of the same sort the zone goes before the region and the region
-// before the defaults.
+// Get returns the effective value at a path: that of the most specific node that sets
+// the key, or else the default. Nodes of the service take precedence over nodes without
+// one, and among either the zone takes precedence over the region and the region over
+// the root.
 func (t Tree) Get(p Path, key string) string {
-	for _, level := range inheritance(p) {
+	for _, level := range lookupOrder(p) {
 		if v, ok := t.nodes[level][key]; ok {
 			return v
 		}
@@ -141,7 +140,8 @@
 	return k.Default
 }
 
-func inheritance(p Path) []Path {
+// lookupOrder returns the paths that a path inherits from, most specific first.
+func lookupOrder(p Path) []Path {
 	places := []Path{{Region: p.Region, Zone: p.Zone}, {Region: p.Region}, {}}
 	levels := make([]Path, 0, 2*len(places))
 	if p.Service != "" {
@@ -156,14 +156,14 @@
 func (t Tree) integer(p Path, key string) int {
 	n, err := strconv.Atoi(t.Get(p, key))
 	if err != nil {
-		return 0 // no tree holds an unchecked value
+		return 0 // can't happen: a tree holds only validated values
 	}
 	return n
 }
 
 func (t Tree) boolean(p Path, key string) bool { return t.Get(p, key) == "true" }
 
-// Settings returns all settings in the order of their paths and keys.
+// Settings returns all settings, sorted by path and key.
 func (t Tree) Settings() []*wire.Setting {
 	out := make([]*wire.Setting, 0, t.size)
 	for p, node := range t.nodes {
@@ -177,14 +177,14 @@
 	return out
 }
 
-// paths returns the paths that set a key, in order.
+// paths returns the paths that set a key, sorted.
 func (t Tree) paths() []Path {
 	return slices.SortedFunc(maps.Keys(t.nodes), func(a, b Path) int {
 		return strings.Compare(a.String(), b.String())
 	})
 }
 
-// FromSettings builds and checks a tree.
+// FromSettings builds and validates a tree.
 func FromSettings(list []*wire.Setting) (Tree, error) {
 	edits := make([]*wire.Edit, 0, len(list))
 	for _, s := range list {
@@ -193,13 +193,13 @@
 	return Tree{}.WithEdits(edits)
 }
 
-// Inverse returns the edits that would undo edits made to t.
+// Inverse returns the edits that undo edits made to t.
 func (t Tree) Inverse(edits []*wire.Edit) []*wire.Edit {
 	out := make([]*wire.Edit, 0, len(edits))
 	for _, e := range slices.Backward(edits) {
 		p, err := ParsePath(e.Path)
 		if err != nil {
-			continue // only accepted edits are undone, and their paths can be read
+			continue // can't happen: only accepted edits are undone, and their paths are valid
 		}
 		value, had := t.GetLocal(p, e.Key)
 		out = append(out, &wire.Edit{Path: e.Path, Key: e.Key, Value: value, Unset: !had})
@@ -207,7 +207,7 @@
 	return out
 }
 
-// Diff returns the edits that lead from t to other.
+// Diff returns the edits that turn t into other.
 func (t Tree) Diff(other Tree) []*wire.Edit {
 	var out []*wire.Edit
 	for _, s := range other.Settings() {
--- a/pkg/settings/tree_test.go
+++ b/pkg/settings/tree_test.go
@@ -14,15 +14,15 @@
 
 func mustTree(t *testing.T, edits ...string) Tree {
 	t.Helper()
-	tree, err := Tree{}.WithEdits(parse(t, edits...))
+	tree, err := Tree{}.WithEdits(parseEdits(t, edits...))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return tree
 }
 
-// parse reads edits of the form "path key=value" or "path key-".
-func parse(t *testing.T, edits ...string) []*wire.Edit {
+// parseEdits parses edits of the form "path key=value", or "path key-" to unset.
+func parseEdits(t *testing.T, edits ...string) []*wire.Edit {
 	t.Helper()
 	var out []*wire.Edit
 	for _, text := range edits {
@@ -33,7 +33,7 @@
 		}
 		key, value, ok := strings.Cut(rest, "=")
 		if !ok {
-			t.Fatalf("edit %q", text)
+			t.Fatalf("edit %q has no value", text)
 		}
 		out = append(out, &wire.Edit{Path: path, Key: key, Value: value})
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestWithEditsRefuses(t *testing.T) {
+func TestInvalidEditsAreRefused(t *testing.T) {
 	base := mustTree(
 		t,
 		"/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2", "/east/a:web targets=t1=127.0.0.1:9", "/west/c entryBoxes=b9=127.0.0.1:91+127.0.0.1:92",
@@ -88,7 +88,7 @@
 		"/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2,b1=x": "must be name=callerAddress+peerAddress",
 	}
 	for edit, want := range tests {
-		got, err := base.WithEdits(parse(t, edit))
+		got, err := base.WithEdits(parseEdits(t, edit))
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want an error with %q", edit, err, want)
 		}
@@ -99,23 +99,23 @@
 }
 
 func TestInvalidErrorNamesTheKey(t *testing.T) {
-	_, err := Tree{}.WithEdits(parse(t, "/east slots=0"))
+	_, err := Tree{}.WithEdits(parseEdits(t, "/east slots=0"))
 	var invalid *InvalidError
 	if !errors.As(err, &invalid) || invalid.Key != Slots || invalid.Path != "/east" {
 		t.Errorf("got %v, want an InvalidError that names slots at /east", err)
 	}
 }
 
-func TestOneVoterAtATime(t *testing.T) {
+func TestOneVoterChangeAtATime(t *testing.T) {
 	before := mustTree(t, "/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2,b2=127.0.0.1:3+127.0.0.1:4", "/east/b entryBoxes=b3=127.0.0.1:5+127.0.0.1:6")
-	one, err := before.WithEdits(parse(t, "/east/a leaseWitness=b3"))
+	one, err := before.WithEdits(parseEdits(t, "/east/a leaseWitness=b3"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := before.CheckVoterChange(one); err != nil {
 		t.Errorf("adding one voter: %v", err)
 	}
-	two, err := before.WithEdits(parse(t, "/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2,b9=127.0.0.1:7+127.0.0.1:8"))
+	two, err := before.WithEdits(parseEdits(t, "/east/a entryBoxes=b1=127.0.0.1:1+127.0.0.1:2,b9=127.0.0.1:7+127.0.0.1:8"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,18 +124,18 @@
 	}
 }
 
-func TestInverseUndoes(t *testing.T) {
+func TestInverseUndoesEdits(t *testing.T) {
 	before := mustTree(t, "/ slots=2", "/east slots=3")
-	edits := parse(t, "/ slots-", "/east slots=9", "/west slots=4", "/west slots=5")
+	edits := parseEdits(t, "/ slots-", "/east slots=9", "/west slots=4", "/west slots=5")
 	after, err := before.WithEdits(edits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := after.WithEdits(before.Inverse(edits))
+	restored, err := after.WithEdits(before.Inverse(edits))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(before.Settings(), back.Settings(), protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(before.Settings(), restored.Settings(), protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -154,11 +154,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := Tree{}.WithEdits(edits)
+	parsed, err := Tree{}.WithEdits(edits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(tree.Settings(), back.Settings(), protocmp.Transform()); diff != "" {
+	if diff := cmp.Diff(tree.Settings(), parsed.Settings(), protocmp.Transform()); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -176,13 +176,13 @@
 			var invalid *InvalidError
 			var path *PathError
 			if !errors.As(err, &invalid) && !errors.As(err, &path) {
-				t.Errorf("an error without a place: %v", err)
+				t.Errorf("got %v, want an InvalidError or a PathError", err)
 			}
 		}
 	})
 }
 
-// ExampleTree_Get shows a region that overrides a default.
+// ExampleTree_Get overrides a default for one region.
 func ExampleTree_Get() {
 	t, err := Tree{}.WithEdits([]*wire.Edit{
 		{Path: "/", Key: Slots, Value: "3"},
--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values are the keys in force at one path, in the types that code uses.
+// Values holds the effective settings at one path as typed values.
 type Values struct {
 	AnswerTTL          time.Duration
 	RequestTimeout     time.Duration
@@ -26,7 +26,7 @@
 	KeyRetention       time.Duration
 }
 
-// Values returns the values in force at a path.
+// Values returns the effective settings at a path.
 func (t Tree) Values(p Path) Values {
 	return Values{
 		AnswerTTL:          milliseconds(t.integer(p, AnswerTTLMillis)),
