--- a/pkg/batch/gatherer.go
+++ b/pkg/batch/gatherer.go
@@ -20,30 +20,30 @@
 type Config struct {
 	// MaxItems is how many items a batch has at most.
 	MaxItems int
-	// MaxUnderWay is how many batches are under way at once while they take Quick at
+	// MaxInFlight is how many batches are under way at once while they take Quick at
 	// most. Where they take longer there are fewer, in proportion, at least one: what
-	// is under way then is still what is done in MaxUnderWay times Quick.
-	MaxUnderWay int
-	Quick       time.Duration
-	// Spacing is the least time between the begins of two batches of which the
+	// is under way then is still what is done in MaxInFlight times Quick.
+	MaxInFlight     int
+	NominalDuration time.Duration
+	// MinInterval is the least time between the begins of two batches of which the
 	// second is not full.
-	Spacing time.Duration
-	// LeastLeft is the time with which an item is begun at least, or less if batches
+	MinInterval time.Duration
+	// MinTimeLeft is the time with which an item is begun at least, or less if batches
 	// are quicker.
-	LeastLeft time.Duration
+	MinTimeLeft time.Duration
 }
 
 // BusyError says that an item could not be settled while its asker waits.
 type BusyError struct {
-	// Waiting is how many items wait before it.
-	Waiting int
+	// Queued is how many items wait before it.
+	Queued int
 	// RetryAfter is when there will be room.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("%d others wait before it; room is expected in %s", e.Waiting, e.RetryAfter)
+	return fmt.Sprintf("%d others wait before it; room is expected in %s", e.Queued, e.RetryAfter)
 }
 
 // item is one that waits.
@@ -52,8 +52,8 @@
 	deadline time.Time
 }
 
-// Gatherer gathers items. It is not safe for concurrent use.
-type Gatherer[T any] struct {
+// Batcher gathers items. It is not safe for concurrent use.
+type Batcher[T any] struct {
 	config   Config
 	waiting  []item[T]
 	underWay int
@@ -64,7 +64,7 @@
 }
 
 // New returns a gatherer without items.
-func New[T any](c Config) *Gatherer[T] { return &Gatherer[T]{config: c} }
+func New[T any](c Config) *Batcher[T] { return &Batcher[T]{config: c} }
 
 // learnWeight is the weight of a batch in the time that batches are thought to take:
 // most of it is that of the last five. Other weights were not tried.
@@ -73,10 +73,10 @@
 // Add takes an item that is to be settled by a deadline. The error is a BusyError.
 // While less than a batch waits every item is taken, so that what batches take is
 // learned anew.
-func (g *Gatherer[T]) Add(now time.Time, value T, deadline time.Time) error {
+func (g *Batcher[T]) Add(now time.Time, value T, deadline time.Time) error {
 	if n := len(g.waiting); n >= g.config.MaxItems {
 		if wait := g.expected(n); now.Add(wait).After(deadline) {
-			return &BusyError{Waiting: n, RetryAfter: wait - g.took}
+			return &BusyError{Queued: n, RetryAfter: wait - g.took}
 		}
 	}
 	g.waiting = append(g.waiting, item[T]{value, deadline})
@@ -84,25 +84,25 @@
 }
 
 // expected is when an item with so many before it will be settled.
-func (g *Gatherer[T]) expected(before int) time.Duration {
+func (g *Batcher[T]) expected(before int) time.Duration {
 	rounds := 1 + float64(before)/float64(g.config.MaxItems*g.allowed())
 	return time.Duration(rounds * float64(g.took))
 }
 
 // allowed is how many batches may be under way.
-func (g *Gatherer[T]) allowed() int {
-	if g.took <= g.config.Quick {
-		return g.config.MaxUnderWay
+func (g *Batcher[T]) allowed() int {
+	if g.took <= g.config.NominalDuration {
+		return g.config.MaxInFlight
 	}
-	return max(int(float64(g.config.MaxUnderWay)*float64(g.config.Quick)/float64(g.took)), 1)
+	return max(int(float64(g.config.MaxInFlight)*float64(g.config.NominalDuration)/float64(g.took)), 1)
 }
 
-// Waiting is how many items wait.
-func (g *Gatherer[T]) Waiting() int { return len(g.waiting) }
+// Queued is how many items wait.
+func (g *Batcher[T]) Queued() int { return len(g.waiting) }
 
 // Next returns the batch to begin now, if there is one, and the items that are let go
 // as their askers go too soon. Ended must follow for each batch.
-func (g *Gatherer[T]) Next(now time.Time) (begin, late []T) {
+func (g *Batcher[T]) Next(now time.Time) (begin, late []T) {
 	late = g.letGo(now)
 	if len(g.waiting) == 0 || g.underWay >= g.allowed() || now.Before(g.due()) {
 		return nil, late
@@ -117,8 +117,8 @@
 	return begin, late
 }
 
-func (g *Gatherer[T]) letGo(now time.Time) (late []T) {
-	least := now.Add(min(g.took, g.config.LeastLeft))
+func (g *Batcher[T]) letGo(now time.Time) (late []T) {
+	least := now.Add(min(g.took, g.config.MinTimeLeft))
 	g.waiting = slices.DeleteFunc(g.waiting, func(i item[T]) bool {
 		if i.deadline.After(least) {
 			return false
@@ -129,24 +129,24 @@
 	return late
 }
 
-// Due returns when a batch may begin next if none ends before; ok is false if that
+// NextAt returns when a batch may begin next if none ends before; ok is false if that
 // takes the end of one, or an item.
-func (g *Gatherer[T]) Due() (at time.Time, ok bool) {
+func (g *Batcher[T]) NextAt() (at time.Time, ok bool) {
 	if len(g.waiting) == 0 || g.underWay >= g.allowed() {
 		return time.Time{}, false
 	}
 	return g.due(), true
 }
 
-func (g *Gatherer[T]) due() time.Time {
+func (g *Batcher[T]) due() time.Time {
 	if len(g.waiting) >= g.config.MaxItems {
 		return g.beganAt
 	}
-	return g.beganAt.Add(g.config.Spacing)
+	return g.beganAt.Add(g.config.MinInterval)
 }
 
-// Ended takes that a batch has ended that took so long.
-func (g *Gatherer[T]) Ended(took time.Duration) {
+// Done takes that a batch has ended that took so long.
+func (g *Batcher[T]) Done(took time.Duration) {
 	g.underWay--
 	if g.took == 0 {
 		g.took = took
--- a/pkg/batch/gatherer_test.go
+++ b/pkg/batch/gatherer_test.go
@@ -12,13 +12,13 @@
 var start = time.Unix(1000, 0)
 
 func testConfig() Config {
-	return Config{MaxItems: 4, MaxUnderWay: 2, Quick: 100 * time.Millisecond, Spacing: 40 * time.Millisecond, LeastLeft: 50 * time.Millisecond}
+	return Config{MaxItems: 4, MaxInFlight: 2, NominalDuration: 100 * time.Millisecond, MinInterval: 40 * time.Millisecond, MinTimeLeft: 50 * time.Millisecond}
 }
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func ExampleGatherer() {
-	g := New[string](Config{MaxItems: 2, MaxUnderWay: 1, Quick: time.Second, Spacing: 40 * time.Millisecond})
+func ExampleBatcher() {
+	g := New[string](Config{MaxItems: 2, MaxInFlight: 1, NominalDuration: time.Second, MinInterval: 40 * time.Millisecond})
 	now := time.Unix(0, 0)
 	for _, v := range []string{"a", "b", "c"} {
 		if err := g.Add(now, v, now.Add(time.Second)); err != nil {
@@ -26,12 +26,12 @@
 		}
 	}
 	begin, _ := g.Next(now)
-	fmt.Println(begin, g.Waiting())
+	fmt.Println(begin, g.Queued())
 	begin, _ = g.Next(now) // one is under way
-	fmt.Println(begin, g.Waiting())
-	g.Ended(10 * time.Millisecond)
+	fmt.Println(begin, g.Queued())
+	g.Done(10 * time.Millisecond)
 	begin, _ = g.Next(now.Add(40 * time.Millisecond))
-	fmt.Println(begin, g.Waiting())
+	fmt.Println(begin, g.Queued())
 	// Output:
 	// [a b] 1
 	// [] 1
@@ -52,7 +52,7 @@
 	if begin, _ := g.Next(at(39)); len(begin) != 0 {
 		t.Fatalf("began %v before its time", begin)
 	}
-	if due, ok := g.Due(); !ok || due != at(40) {
+	if due, ok := g.NextAt(); !ok || due != at(40) {
 		t.Fatalf("due at %v, %v", due, ok)
 	}
 	if begin, _ := g.Next(at(40)); len(begin) != 1 {
@@ -63,7 +63,7 @@
 func TestItemsWhoseAskersGoTooSoonAreLetGo(t *testing.T) {
 	g := New[int](testConfig())
 	g.underWay = 1
-	g.Ended(200 * time.Millisecond)
+	g.Done(200 * time.Millisecond)
 	for i, deadline := range []int{49, 50, 51} {
 		if err := g.Add(at(0), i, at(deadline)); err != nil {
 			t.Fatal(err)
@@ -78,7 +78,7 @@
 func TestBusyGathererTurnsAwayAtOnce(t *testing.T) {
 	g := New[int](testConfig())
 	g.underWay = 1
-	g.Ended(400 * time.Millisecond) // one batch may be under way
+	g.Done(400 * time.Millisecond) // one batch may be under way
 	var busy *BusyError
 	for i := range 100 {
 		err := g.Add(at(0), i, at(900))
@@ -88,7 +88,7 @@
 		if i < testConfig().MaxItems {
 			t.Fatalf("item %d of the first batch is turned away: %v", i, err)
 		}
-		if !errors.As(err, &busy) || busy.RetryAfter <= 0 || busy.Waiting != i {
+		if !errors.As(err, &busy) || busy.RetryAfter <= 0 || busy.Queued != i {
 			t.Fatalf("item %d: %v", i, err)
 		}
 		return
@@ -144,13 +144,13 @@
 			}
 			last = begin[len(begin)-1]
 			ends = append(ends, time.Duration(rapid.IntRange(1, 500).Draw(t, "took"))*time.Millisecond)
-			if len(begin) > c.MaxItems || len(ends) > c.MaxUnderWay {
+			if len(begin) > c.MaxItems || len(ends) > c.MaxInFlight {
 				t.Fatalf("%d items, %d batches under way", len(begin), len(ends))
 			}
 		}
 		end := func() {
 			if len(ends) > 0 {
-				g.Ended(ends[0])
+				g.Done(ends[0])
 				ends = ends[1:]
 			}
 		}
@@ -168,12 +168,12 @@
 			}
 		}
 		for range 3*added + len(ends) + 1 {
-			now = now.Add(c.Spacing)
+			now = now.Add(c.MinInterval)
 			step()
 			end()
 		}
-		if len(seen) != added || g.Waiting() != 0 {
-			t.Fatalf("%d of %d items came, %d wait", len(seen), added, g.Waiting())
+		if len(seen) != added || g.Queued() != 0 {
+			t.Fatalf("%d of %d items came, %d wait", len(seen), added, g.Queued())
 		}
 	})
 }
