--- a/pkg/timeline/clock.go
+++ b/pkg/timeline/clock.go
@@ -1,10 +1,10 @@
-// Package timeline orders the events of many processes. Each process stamps
-// its events by a hybrid logical clock, keeps the latest in a bounded ring and
-// hands them out; Merge puts the events of all processes into one order and
-// shows where some were lost.
+// Package timeline collects and orders the events of many processes. Each
+// process stamps its events with a hybrid logical clock and keeps the latest
+// ones in a ring buffer. Merge sorts the events of all processes and marks
+// where some are missing.
 //
 // The clock follows Kulkarni et al., "Logical Physical Clocks" (2014): it is
-// never behind the wall clock and never behind a stamp that it has seen.
+// never behind the wall clock or a timestamp that it has observed.
 package timeline
 
 import (
@@ -14,9 +14,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// maxAhead bounds how far a received stamp may push the clock ahead of the
-// wall clock, so that one process with a wrong clock can't carry all others
-// off.
+// maxAhead bounds how far a received timestamp may push the clock ahead of the wall
+// clock, so that one process with a wrong clock can't advance the clocks of all others.
 const maxAhead = time.Minute
 
 // Clock is a hybrid logical clock that is safe for concurrent use.
@@ -27,18 +26,19 @@
 	logical uint32
 }
 
-// NewClock returns a clock over a wall clock.
+// NewClock returns a clock that reads the wall clock through now.
 func NewClock(now func() time.Time) *Clock { return &Clock{now: now} }
 
-// Stamp returns a reading that is later than all earlier readings.
+// Stamp returns a timestamp later than all earlier ones.
 func (c *Clock) Stamp() *wire.Clock {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.advance(c.now().UnixMilli())
+	c.tick(c.now().UnixMilli())
 	return &wire.Clock{WallUnixMilli: c.wall, Logical: c.logical}
 }
 
-// Observe makes later readings later than a received one.
+// Observe makes later timestamps of this clock later than a received one. A timestamp
+// more than maxAhead in the future is ignored.
 func (c *Clock) Observe(seen *wire.Clock) {
 	if seen == nil {
 		return
@@ -53,10 +53,12 @@
 		c.wall = seen.WallUnixMilli
 		c.logical = seen.Logical
 	}
-	c.advance(wall)
+	c.tick(wall)
 }
 
-func (c *Clock) advance(wall int64) {
+// tick advances the clock to the wall time, or increments the logical part if the clock
+// is already there or ahead.
+func (c *Clock) tick(wall int64) {
 	if wall > c.wall {
 		c.wall = wall
 		c.logical = 0
@@ -65,7 +67,8 @@
 	c.logical++
 }
 
-// Before reports whether a was read before b, as far as the clock can tell.
+// Before reports whether timestamp a sorts before b, an order that is consistent with
+// causality.
 func Before(a, b *wire.Clock) bool {
 	if a.GetWallUnixMilli() != b.GetWallUnixMilli() {
 		return a.GetWallUnixMilli() < b.GetWallUnixMilli()
--- a/pkg/timeline/ring.go
+++ b/pkg/timeline/ring.go
@@ -8,7 +8,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Ring keeps the latest events of one process. It is safe for concurrent use.
+// Ring is a ring buffer of the latest events of one process. It is safe for concurrent
+// use.
 type Ring struct {
 	mu       sync.Mutex
 	process  string
@@ -19,13 +20,13 @@
 	sink     func(*wire.TimelineEvent)
 }
 
-// NewRing returns a ring of at most size events. If sink is not nil it gets
-// every event, to keep it longer.
+// NewRing returns a ring of at most size events. If sink is not nil it is called with
+// every event, for longer retention.
 func NewRing(process string, clock *Clock, size int, sink func(*wire.TimelineEvent)) *Ring {
 	return &Ring{process: process, clock: clock, events: make([]*wire.TimelineEvent, 0, size), sink: sink}
 }
 
-// Add stamps an event and keeps it, letting go of the oldest if need be.
+// Add stamps and stores an event; a full ring drops its oldest one.
 func (r *Ring) Add(e *wire.TimelineEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -44,8 +45,8 @@
 	r.next = (r.next + 1) % len(r.events)
 }
 
-// Events returns the kept events that the filter lets pass, oldest first, and
-// how many of the process's events are no longer kept.
+// Events returns the stored events that match the filter, oldest first, and how many
+// events of the process were dropped.
 func (r *Ring) Events(filter *wire.TimelineRequest) *wire.TimelineAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,22 +60,22 @@
 	return out
 }
 
-// Matches reports whether an event passes a filter; an empty field of the
-// filter lets everything pass.
+// Matches reports whether an event matches a filter. Empty fields of the filter match
+// everything.
 func Matches(e *wire.TimelineEvent, f *wire.TimelineRequest) bool {
-	return matches(e.Request, f.GetRequest()) &&
-		matches(e.Change, f.GetChange()) &&
-		matches(e.Shift, f.GetShift()) &&
-		(matches(e.Box, f.GetBox()) || e.Process == f.GetBox())
+	return matchesField(e.Request, f.GetRequest()) &&
+		matchesField(e.Change, f.GetChange()) &&
+		matchesField(e.Shift, f.GetShift()) &&
+		(matchesField(e.Box, f.GetBox()) || e.Process == f.GetBox())
 }
 
-func matches(have, want string) bool { return want == "" || have == want }
+func matchesField(have, want string) bool { return want == "" || have == want }
 
-// GapKind is the kind of the event that Merge puts where events were lost.
+// GapKind is the kind of event that Merge inserts where events are missing.
 const GapKind = "gap"
 
-// Merge puts the events of several processes into one order by their clocks.
-// Events that a process had to let go are shown as one gap before its first.
+// Merge sorts the events of several processes by their timestamps. If a process has
+// dropped events, a gap event is inserted before its first one.
 func Merge(answers ...*wire.TimelineAnswer) []*wire.TimelineEvent {
 	var out []*wire.TimelineEvent
 	for _, a := range answers {
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -10,9 +10,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// TestOrderFollowsMessages lets processes with wrong clocks exchange messages
-// and checks that what a process does after a message comes after the sending.
-func TestOrderFollowsMessages(t *testing.T) {
+// TestClockOrdersMessages exchanges messages between processes with skewed clocks: a
+// timestamp taken after receiving a message must be later than that of the sending.
+func TestClockOrdersMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		var clocks []*Clock
@@ -28,12 +28,12 @@
 			clocks[to].Observe(sent)
 			received := clocks[to].Stamp()
 			if !Before(sent, received) {
-				t.Fatalf("received at %v what was sent at %v", received, sent)
+				t.Fatalf("received at %v a message sent at %v", received, sent)
 			}
 			for i, stamp := range map[int]*wire.Clock{from: sent, to: received} {
 				if i != from || from != to {
 					if last[i] != nil && !Before(last[i], stamp) {
-						t.Fatal("a clock went back")
+						t.Fatal("a clock went backwards")
 					}
 				}
 			}
@@ -42,7 +42,8 @@
 	})
 }
 
-func TestWrongClockCarriesNobodyOff(t *testing.T) {
+// Guards against one process with a wrong clock advancing the clocks of all others.
+func TestStampFarAheadIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewClock(func() time.Time { return now })
 	c.Observe(&wire.Clock{WallUnixMilli: now.Add(time.Hour).UnixMilli()})
@@ -62,14 +63,14 @@
 		t.Errorf("got %v", all)
 	}
 	if got := r.Events(&wire.TimelineRequest{Change: "1"}); len(got.Events) != 1 {
-		t.Errorf("the filter let %d events pass, want 1", len(got.Events))
+		t.Errorf("the filter matched %d events, want 1", len(got.Events))
 	}
 	if merged := Merge(all); merged[0].Kind != GapKind || len(merged) != 4 {
 		t.Errorf("the gap is not shown: %v", merged)
 	}
 }
 
-// ExampleMerge puts the events of two processes into one order.
+// ExampleMerge merges the events of two processes whose clocks differ by a second.
 func ExampleMerge() {
 	now := time.Unix(1000, 0)
 	a, b := NewClock(func() time.Time { return now }), NewClock(func() time.Time { return now.Add(-time.Second) })
