--- a/pkg/catalog/editor.go
+++ b/pkg/catalog/editor.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for id := range e.indexByID {
-		ids.add(id) // an update may take over the address of this target
+		ids.add(id) // an update may take over the address of this target and thereby remove it
 	}
 	for i, d := range s.departed {
 		if ids.has(d.Id) {
--- a/pkg/catalog/quarantine.go
+++ b/pkg/catalog/quarantine.go
@@ -11,11 +11,11 @@
 
 // maxQuarantined bounds the list of quarantined requests: 512 entries of about 150
 // bytes add 77 KB to a full state, which takes 0.15 s on a 4 Mbit/s link. Each entry
-// stands for a request that has ended at least two targets.
+// stands for a request that has crashed at least two targets.
 const maxQuarantined = 512
 
-// Quarantined returns the requests that are watched or held, oldest first. The caller
-// must not modify them.
+// Quarantined returns the requests that are on probation or held, oldest first. The
+// caller must not modify them.
 func (s State) Quarantined() []*wire.Quarantined { return s.quarantined }
 
 // SharesQuarantined reports whether the list of quarantined requests is the same one as
@@ -25,8 +25,8 @@
 }
 
 // ApplyQuarantine adds, updates or releases a quarantined request. A held request stays
-// held until it is released. If the list is full the oldest watched request is evicted,
-// or the oldest held one if none is watched.
+// held until it is released. If the list is full the oldest request on probation is
+// evicted, or the oldest held one if none is on probation.
 func (s State) ApplyQuarantine(c *wire.QuarantineCommand) (State, bool) {
 	if c.Release && c.Every {
 		return s.releaseAll(c.GetRequest().GetDigest())
@@ -53,7 +53,7 @@
 	if len(next) > maxQuarantined {
 		out := max(slices.IndexFunc(next, func(q *wire.Quarantined) bool { return !q.Held }), 0)
 		if out == maxQuarantined {
-			return s, false // the list is full of held requests and the new one is only watched
+			return s, false // the list is full of held requests and the new one is only on probation
 		}
 		next = slices.Delete(next, out, out+1)
 	}
--- a/pkg/catalog/quarantine_test.go
+++ b/pkg/catalog/quarantine_test.go
@@ -22,8 +22,8 @@
 	return next
 }
 
-// A request is watched, then held, and stays held until it is released, also after the
-// state was encoded and decoded.
+// A request is on probation, then held, and stays held until it is released, also after
+// the state was encoded and decoded.
 func TestQuarantineIsKept(t *testing.T) {
 	s := applyQuarantine(t, State{}, quarantined("a", 0, false), false, true)
 	s = applyQuarantine(t, s, quarantined("a", 0, false), false, false)
@@ -51,8 +51,8 @@
 	}
 }
 
-// When the list is full, watched requests are evicted first, and a new watched request
-// never evicts a held one.
+// When the list is full, requests on probation are evicted first, and a new one on
+// probation never evicts a held one.
 func TestQuarantineIsBounded(t *testing.T) {
 	s := applyQuarantine(t, State{}, quarantined("watched", 0, false), false, true)
 	for i := range maxQuarantined {
--- a/pkg/catalog/state.go
+++ b/pkg/catalog/state.go
@@ -27,7 +27,7 @@
 	evacuated []string
 	targets   []*wire.Registration
 	departed  []*wire.Departure
-	// quarantined lists the requests that are watched or held, oldest first.
+	// quarantined lists the requests that are on probation or held, oldest first.
 	quarantined []*wire.Quarantined
 }
 
