--- a/pkg/settings/values.go
+++ b/pkg/settings/values.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values are the keys in force at one path, in the types that code uses.
+// Values holds the effective settings at one path as typed values.
 type Values struct {
 	AnswerTTL          time.Duration
 	RequestTimeout     time.Duration
@@ -23,10 +23,10 @@
 	ShiftCapShare      int
 	ShiftStepShare     int
 	Lease              time.Duration
-	KeyKeep            time.Duration
+	KeyRetention       time.Duration
 }
 
-// Values returns the values in force at a path.
+// Values returns the effective settings at a path.
 func (t Tree) Values(p Path) Values {
 	return Values{
 		AnswerTTL:          milliseconds(t.integer(p, AnswerTTLMillis)),
@@ -48,6 +48,6 @@
 		ShiftCapShare:      t.integer(p, ShiftCapShare),
 		ShiftStepShare:     t.integer(p, ShiftStepShare),
 		Lease:              milliseconds(t.integer(p, LeaseMillis)),
-		KeyKeep:            milliseconds(t.integer(p, KeyKeepMillis)),
+		KeyRetention:       milliseconds(t.integer(p, KeyKeepMillis)),
 	}
 }
