--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -225,7 +225,7 @@
 	waitEnds := c.gateway.permitWaitEnds(wait)
 	for {
 		wanted := c.wanted()
-		wanted.Unlimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
+		wanted.ExcludeLimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
 		choice, err := c.gateway.choose(wanted)
 		if err != nil || !choice.Limited {
 			return chosen{Choice: choice}, err
@@ -242,7 +242,7 @@
 }
 
 func maxSkippedOf(r balance.Request) int {
-	if r.Key != "" {
+	if r.AffinityKey != "" {
 		return maxSkippedLimitedObject
 	}
 	return maxSkippedLimited
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -85,7 +85,7 @@
 func (d *Daemon) backedOff() float64 {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return float64(d.balancing.balancer.BackedOff(d.clock.Now()))
+	return float64(d.balancing.balancer.BackedOffCount(d.clock.Now()))
 }
 
 // logUnread logs headers of a target that could not be read; the answer counts as without.
--- a/pkg/balance/backoff.go
+++ b/pkg/balance/backoff.go
@@ -68,8 +68,8 @@
 	return ended
 }
 
-// BackedOff returns how many targets this box sends nothing at their request.
-func (b *Balancer) BackedOff(now time.Time) (n int) {
+// BackedOffCount returns how many targets this box sends nothing at their request.
+func (b *Balancer) BackedOffCount(now time.Time) (n int) {
 	for _, t := range b.byID {
 		if t.isBackedOff(now) {
 			n++
--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -28,7 +28,7 @@
 }
 
 func (w *backOffWorld) choose() (Choice, error) {
-	return w.balancer.Choose(w.now, Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second})
+	return w.balancer.Choose(w.now, Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second})
 }
 
 func (w *backOffWorld) done(c Choice, o Outcome) {
@@ -185,8 +185,8 @@
 		}
 		w.done(c, Answered)
 	}
-	if skipped == 0 || w.balancer.BackedOff(w.now) != 1 || len(w.balancer.EndedBackOffs(w.now)) != 0 {
-		t.Errorf("%d skipped, %d backed off", skipped, w.balancer.BackedOff(w.now))
+	if skipped == 0 || w.balancer.BackedOffCount(w.now) != 1 || len(w.balancer.EndedBackOffs(w.now)) != 0 {
+		t.Errorf("%d skipped, %d backed off", skipped, w.balancer.BackedOffCount(w.now))
 	}
 	w.now = w.now.Add(3 * time.Second)
 	ended := w.balancer.EndedBackOffs(w.now)
@@ -208,7 +208,7 @@
 	if _, err := w.choose(); err == nil {
 		t.Fatal("a second request at once")
 	}
-	w.balancer.Overdue(w.now, Report{TargetID: c.Target.ID, Route: "r", Outcome: Stuck, Took: time.Second})
+	w.balancer.MarkOverdue(w.now, Report{TargetID: c.Target.ID, Route: "r", Outcome: Stuck, Took: time.Second})
 	w.now = w.now.Add(time.Minute)
 	if _, err := w.choose(); err != nil {
 		t.Errorf("gets nothing beside an overdue request: %v", err)
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// SetCold tells what cold targets of a service bear.
-func (b *Balancer) SetCold(name string, limit ColdLimit) { b.service(name).cold = limit }
+// SetColdLimit tells what cold targets of a service bear.
+func (b *Balancer) SetColdLimit(name string, limit ColdLimit) { b.service(name).cold = limit }
 
 // SetVersion sets the version of the state which the targets and evacuations are from.
 func (b *Balancer) SetVersion(version uint64) { b.version = version }
@@ -169,14 +169,14 @@
 func (b *Balancer) newTarget(now time.Time, given Target) *targetState {
 	t := newTargetState(given)
 	if given.Cold {
-		b.cool(now, t, given.ColdLeft)
+		b.cool(now, t, given.ColdRemaining)
 	}
 	return t
 }
 
 func (b *Balancer) change(now time.Time, t *targetState, given Target) {
 	if given.Cold && !t.Cold {
-		b.cool(now, t, given.ColdLeft)
+		b.cool(now, t, given.ColdRemaining)
 	}
 	if !given.Cold && t.Cold {
 		t.coldUntil = time.Time{}
@@ -192,16 +192,16 @@
 	t.Slots = slots
 }
 
-// Routes is how many routes the balancer remembers times of.
-func (b *Balancer) Routes() int { return len(b.times) }
+// RouteCount is how many routes the balancer remembers times of.
+func (b *Balancer) RouteCount() int { return len(b.times) }
 
 // KeepRoutes forgets the times of all other routes.
 func (b *Balancer) KeepRoutes(names map[string]bool) {
 	maps.DeleteFunc(b.times, func(name string, _ *times) bool { return !names[name] })
 }
 
-// Knows reports whether a target is registered.
-func (b *Balancer) Knows(id string) bool { return b.byID[id] != nil }
+// HasTarget reports whether a target is registered.
+func (b *Balancer) HasTarget(id string) bool { return b.byID[id] != nil }
 
 // IsLeaving reports whether a target ends as planned: it drains, reported that it leaves, or
 // has left.
--- a/pkg/balance/balancer_test.go
+++ b/pkg/balance/balancer_test.go
@@ -36,7 +36,7 @@
 }
 
 func (w *world) request(key string) Request {
-	return Request{Service: "s", Route: "r", Key: key, Objective: 400 * time.Millisecond, Left: 400 * time.Millisecond}
+	return Request{Service: "s", Route: "r", AffinityKey: key, Objective: 400 * time.Millisecond, Remaining: 400 * time.Millisecond}
 }
 
 func (w *world) choose(r Request) Choice {
@@ -77,7 +77,7 @@
 func TestFarRegionIsTheLastResort(t *testing.T) {
 	w := newWorld(t, 1, 8)
 	large := w.request("a")
-	large.Near = true
+	large.PreferLocal = true
 	hasty := w.request("a")
 	hasty.Objective = 100 * time.Millisecond
 	w.balancer.Done(w.now, Report{TargetID: "far0", Route: "r", Outcome: Answered, Took: 100 * time.Millisecond, Connect: 70 * time.Millisecond})
@@ -155,11 +155,11 @@
 	for _, box := range names {
 		b := New(Config{Box: box.Name, Zone: "near-a", Region: "near"})
 		b.SetBoxes(names)
-		b.SetCold("s", ColdLimit{Time: 3 * time.Second, Rate: rate})
-		b.SetTargets(now, []Target{{ID: "cold", Service: "s", Zone: "near-a", Region: "near", Slots: 9, Cold: true, ColdLeft: 3 * time.Second}})
+		b.SetColdLimit("s", ColdLimit{Time: 3 * time.Second, Rate: rate})
+		b.SetTargets(now, []Target{{ID: "cold", Service: "s", Zone: "near-a", Region: "near", Slots: 9, Cold: true, ColdRemaining: 3 * time.Second}})
 		for i := range 1000 {
 			at := now.Add(time.Duration(i) * time.Millisecond)
-			c, err := b.Choose(at, Request{Service: "s", Route: "r", Key: "a", Objective: time.Second, Left: time.Second})
+			c, err := b.Choose(at, Request{Service: "s", Route: "r", AffinityKey: "a", Objective: time.Second, Remaining: time.Second})
 			if err == nil {
 				sent++
 				b.Done(at, Report{TargetID: c.Target.ID, Route: "r", Outcome: Answered, Took: time.Millisecond})
@@ -255,7 +255,7 @@
 	w.tell(targetstatus.Load{Running: 1, Slots: 4})
 	home := w.fill("a")
 	hasty := w.request("a")
-	hasty.Left = 0 // it can't wait
+	hasty.Remaining = 0 // it can't wait
 	if got := w.choose(hasty).Target.ID; got == home {
 		t.Errorf("the request waits at %s while others have free slots", home)
 	}
@@ -264,7 +264,7 @@
 	w.tell(targetstatus.Load{Running: 4, Waiting: 3, Slots: 4})
 	w.fill("a")
 	r := w.request("a")
-	r.Left = 0 // it can't wait
+	r.Remaining = 0 // it can't wait
 	_, err := w.balancer.Choose(w.now, r)
 	var none *NoTargetError
 	if !errors.As(err, &none) || none.Reason != ReasonFull {
@@ -313,13 +313,13 @@
 	w.tell(targetstatus.Load{Running: 4, Waiting: 2, Slots: 4})
 	w.fill("a")
 	r := w.request("a")
-	r.Left = 0
+	r.Remaining = 0
 	_, err := w.balancer.Choose(w.now, r)
 	var none *NoTargetError
 	if !errors.As(err, &none) {
 		t.Fatalf("got %v", err)
 	}
-	if none.Target != "near0" || none.Registered != 1 || none.Slots != 4 || none.Load < 4 || none.Wait <= none.Longest || none.ServiceLoad < 1 {
+	if none.Target != "near0" || none.Registered != 1 || none.Slots != 4 || none.Load < 4 || none.ExpectedWait <= none.MaxWait || none.ServiceLoad < 1 {
 		t.Errorf("the refusal says %+v", none)
 	}
 }
@@ -343,7 +343,7 @@
 			t.Errorf("%v: the object goes to %s", o, c.Target.ID)
 		}
 		w.now = w.now.Add(2 * time.Second)
-		if got := w.balancer.Done(w.now, report); got != LeftOut {
+		if got := w.balancer.Done(w.now, report); got != Ejected {
 			t.Errorf("%v: a target that has answered nothing since is kept", o)
 		}
 	}
@@ -356,12 +356,12 @@
 		w := newWorld(t, 1, 0)
 		c := w.choose(w.request("a"))
 		r := Report{TargetID: c.Target.ID, Route: "r", Outcome: o, Took: time.Second}
-		w.balancer.Overdue(w.now, r)
+		w.balancer.MarkOverdue(w.now, r)
 		if got := w.balancer.byID["near0"].load(w.now); got != 1 {
 			t.Errorf("%v: with an overdue request the load is %g", o, got)
 		}
 		w.now = w.now.Add(firstEjection)
-		r.ToldOverdue = true
+		r.MarkedOverdue = true
 		w.balancer.Done(w.now, r)
 		w.now = w.now.Add(time.Minute)
 		if got := w.choose(w.request("a")); got.Load > 0.01 {
@@ -379,7 +379,7 @@
 	w.now = w.now.Add(500 * time.Millisecond)
 	w.done(w.choose(w.request("a")), Answered)
 	w.now = w.now.Add(500 * time.Millisecond)
-	if got := w.balancer.Overdue(w.now, report); got != Unchanged {
+	if got := w.balancer.MarkOverdue(w.now, report); got != Unchanged {
 		t.Error("a target that has just answered is left out")
 	}
 	lost := w.choose(w.request("a"))
@@ -393,7 +393,7 @@
 	if _, err := w.balancer.Choose(w.now, w.request("a")); err == nil {
 		t.Error("a target that was left out is tried by two requests at once")
 	}
-	report.ToldOverdue = true
+	report.MarkedOverdue = true
 	w.balancer.Done(w.now, report)
 	if _, err := w.balancer.Choose(w.now, w.request("a")); err == nil {
 		t.Error("the overdue request counts after its end")
@@ -408,7 +408,7 @@
 	w.balancer.SetTargets(w.now, nil)
 	w.balancer.SetTargets(w.now, w.targets)
 	report := Report{TargetID: old.Target.ID, Route: "r", Outcome: Stuck, Took: time.Second}
-	w.balancer.Overdue(w.now, report)
+	w.balancer.MarkOverdue(w.now, report)
 	w.now = w.now.Add(firstEjection)
 	w.choose(w.request("a"))
 	if _, err := w.balancer.Choose(w.now, w.request("a")); err == nil {
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -40,7 +40,7 @@
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			balancer, _ := sizedBalancer(n)
 			now := time.Unix(1, 0)
-			r := Request{Service: "s", Route: "r", Key: "k", Objective: 400 * time.Millisecond, Left: 400 * time.Millisecond}
+			r := Request{Service: "s", Route: "r", AffinityKey: "k", Objective: 400 * time.Millisecond, Remaining: 400 * time.Millisecond}
 			for b.Loop() {
 				c, err := balancer.Choose(now, r)
 				if err != nil {
--- a/pkg/balance/change_test.go
+++ b/pkg/balance/change_test.go
@@ -20,7 +20,7 @@
 		newBalancer := func() *Balancer {
 			b := New(Config{Box: "box1", Zone: "near-a", Region: "near"})
 			b.SetBoxes([]Box{{"box1", "near"}, {"box2", "far"}})
-			b.SetCold("s0", ColdLimit{Time: 3 * time.Second, Rate: 30})
+			b.SetColdLimit("s0", ColdLimit{Time: 3 * time.Second, Rate: 30})
 			return b
 		}
 		whole, changes := newBalancer(), newBalancer()
@@ -28,14 +28,14 @@
 		joined := 0 // no id is used twice
 		draw := func(id string) Target {
 			return Target{
-				ID:       id,
-				Service:  rapid.SampledFrom([]string{"s0", "s0", "s0", "s1"}).Draw(t, "service"),
-				Zone:     rapid.SampledFrom([]string{"near-a", "near-b"}).Draw(t, "zone"),
-				Region:   rapid.SampledFrom([]string{"near", "far"}).Draw(t, "region"),
-				Slots:    rapid.IntRange(1, 3).Draw(t, "slots"),
-				Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0,
-				Cold:     rapid.IntRange(0, 4).Draw(t, "cold") == 0,
-				ColdLeft: time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond,
+				ID:            id,
+				Service:       rapid.SampledFrom([]string{"s0", "s0", "s0", "s1"}).Draw(t, "service"),
+				Zone:          rapid.SampledFrom([]string{"near-a", "near-b"}).Draw(t, "zone"),
+				Region:        rapid.SampledFrom([]string{"near", "far"}).Draw(t, "region"),
+				Slots:         rapid.IntRange(1, 3).Draw(t, "slots"),
+				Draining:      rapid.IntRange(0, 4).Draw(t, "draining") == 0,
+				Cold:          rapid.IntRange(0, 4).Draw(t, "cold") == 0,
+				ColdRemaining: time.Duration(rapid.IntRange(0, 3000).Draw(t, "left")) * time.Millisecond,
 			}
 		}
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -63,12 +63,12 @@
 			whole.SetTargets(now, all)
 			changes.ChangeTargets(now, changed, ended)
 			for _, id := range ended {
-				if changes.Knows(id) {
+				if changes.HasTarget(id) {
 					t.Fatalf("%s has ended and is known", id)
 				}
 			}
 			for i := range 4 {
-				r := Request{Service: "s0", Route: "r", Key: fmt.Sprint("k", (step+i)%7), Objective: time.Second, Left: time.Second}
+				r := Request{Service: "s0", Route: "r", AffinityKey: fmt.Sprint("k", (step+i)%7), Objective: time.Second, Remaining: time.Second}
 				want, wantErr := whole.Choose(now, r)
 				got, gotErr := changes.Choose(now, r)
 				if diff := cmp.Diff(want, got); diff != "" || fmt.Sprint(wantErr) != fmt.Sprint(gotErr) {
--- a/pkg/balance/choose.go
+++ b/pkg/balance/choose.go
@@ -45,7 +45,7 @@
 	}
 	wait := chosen.wait(now, learned.mixed)
 	longest := longestWait(r, learned)
-	if hasHome && wait > learned.detour(r, longest) && (r.Key == "" || !s.crowd.isCrowded()) {
+	if hasHome && wait > learned.detour(r, longest) && (r.AffinityKey == "" || !s.crowd.isCrowded()) {
 		chosen, wait = b.besideHome(now, s, r, key, b.inReach(chosen, r)).pick(now, learned.mixed)
 	}
 	if wait > longest {
@@ -72,16 +72,16 @@
 // full says that the best target would let a request wait for too long.
 func full(now time.Time, s *service, best *targetState, wait, longest time.Duration) *NoTargetError {
 	return &NoTargetError{
-		Service:     s.name,
-		Reason:      ReasonFull,
-		RetryAfter:  max(wait, leastRetryAfter),
-		Registered:  len(s.targets),
-		Target:      best.ID,
-		Load:        best.load(now),
-		Slots:       best.Slots,
-		Wait:        wait,
-		Longest:     longest,
-		ServiceLoad: s.crowd.load,
+		Service:      s.name,
+		Reason:       ReasonFull,
+		RetryAfter:   max(wait, leastRetryAfter),
+		Registered:   len(s.targets),
+		Target:       best.ID,
+		Load:         best.load(now),
+		Slots:        best.Slots,
+		ExpectedWait: wait,
+		MaxWait:      longest,
+		ServiceLoad:  s.crowd.load,
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 func (b *Balancer) rank(t *targetState, r Request, key uint64) ranked {
-	return ranked{target: t, rank: mix(key ^ t.hash), near: r.Near && t.Zone == b.config.Zone}
+	return ranked{target: t, rank: mix(key ^ t.hash), near: r.PreferLocal && t.Zone == b.config.Zone}
 }
 
 // mayTake reports whether a target may be sent the request now.
@@ -150,7 +150,7 @@
 	if t.Region == b.config.Region {
 		return true
 	}
-	return !r.Near && b.distances[t.Region] <= time.Duration(reachPart*float64(r.Objective))
+	return !r.PreferLocal && b.distances[t.Region] <= time.Duration(reachPart*float64(r.Objective))
 }
 
 // RetryAfter returns when a request that a target turned away may come back: once
@@ -183,7 +183,7 @@
 // longestWait is how long a request may wait for a slot. One that would wait for
 // longer is refused at once: it would hold a slot for an answer that comes too late.
 func longestWait(r Request, learned *times) time.Duration {
-	return time.Duration(waitPart * float64(max(r.Left-learned.warm, 0)))
+	return time.Duration(waitPart * float64(max(r.Remaining-learned.warm, 0)))
 }
 
 func (b *Balancer) take(now time.Time, t *targetState, wait time.Duration, learned *times) Choice {
@@ -193,13 +193,13 @@
 		t.tokens--
 	}
 	return Choice{
-		Target:   t.Target,
-		Limited:  t.limited,
-		Remote:   t.Region != b.config.Region,
-		Wait:     wait,
-		Patience: max(patienceFactor*learned.cold+wait, leastPatience),
-		Load:     load,
-		Version:  b.version,
+		Target:       t.Target,
+		Limited:      t.limited,
+		Remote:       t.Region != b.config.Region,
+		ExpectedWait: wait,
+		HedgeDelay:   max(patienceFactor*learned.cold+wait, leastPatience),
+		Load:         load,
+		Version:      b.version,
 	}
 }
 
@@ -227,9 +227,9 @@
 // keyHash stands for the object, or for a different one each time where the
 // object does not matter.
 func (s *service) keyHash(r Request) uint64 {
-	if r.Key == "" {
+	if r.AffinityKey == "" {
 		s.turns++
 		return mix(s.turns)
 	}
-	return xxhash.Sum64String(r.Key)
+	return xxhash.Sum64String(r.AffinityKey)
 }
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// SetColdLeft takes a target's own word on how much longer it is cold.
-func (b *Balancer) SetColdLeft(now time.Time, id string, left time.Duration) {
+// SetColdRemaining takes a target's own word on how much longer it is cold.
+func (b *Balancer) SetColdRemaining(now time.Time, id string, left time.Duration) {
 	if t := b.byID[id]; t != nil && left > 0 {
 		b.cool(now, t, left)
 	}
--- a/pkg/balance/limited.go
+++ b/pkg/balance/limited.go
@@ -54,7 +54,7 @@
 // nextAvailable returns when a target that is at its limit or backed off may have room for a
 // request; ok is false if there is none that could be used.
 func (b *Balancer) nextAvailable(now time.Time, s *service, r Request) (next availability, ok bool) {
-	r.Unlimited = false
+	r.ExcludeLimited = false
 	for _, t := range s.targets {
 		if !r.allows(t) || !b.isOpen(now, t) {
 			continue
--- a/pkg/balance/limited_test.go
+++ b/pkg/balance/limited_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-var anyRequest = Request{Service: "s", Route: "r", Key: "a", Objective: time.Second, Left: time.Second}
+var anyRequest = Request{Service: "s", Route: "r", AffinityKey: "a", Objective: time.Second, Remaining: time.Second}
 
 // A cold target that is throttled for want of a permit keeps its turn: it may be sent the
 // next request as soon as there is one.
 func TestWithheldTargetKeepsItsTurnWhileItIsCold(t *testing.T) {
 	b := New(Config{Box: "box", Zone: "z", Region: "r"})
 	b.SetBoxes([]Box{{"box", "r"}})
-	b.SetCold("s", ColdLimit{Time: time.Hour, Rate: 0.1})
+	b.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 0.1})
 	now := time.Unix(0, 0)
-	b.SetTargets(now, []Target{{ID: "t", Service: "s", Zone: "z", Region: "r", Slots: 4, Cold: true, ColdLeft: time.Hour}})
+	b.SetTargets(now, []Target{{ID: "t", Service: "s", Zone: "z", Region: "r", Slots: 4, Cold: true, ColdRemaining: time.Hour}})
 	b.SetLimited("t", true)
 	now = now.Add(time.Minute)
 	choice, err := b.Choose(now, anyRequest)
@@ -67,7 +67,7 @@
 	}
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		c, err := balancer.Choose(now, Request{Service: "s", Route: "r", Key: fmt.Sprint(i % 900), Objective: time.Second, Left: time.Second})
+		c, err := balancer.Choose(now, Request{Service: "s", Route: "r", AffinityKey: fmt.Sprint(i % 900), Objective: time.Second, Remaining: time.Second})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -89,7 +89,7 @@
 		b.SetLimited(given.ID, true)
 	}
 	r := anyRequest
-	r.Unlimited = true
+	r.ExcludeLimited = true
 	if choice, err := b.Choose(now, r); err != nil || choice.Target.ID != "t0" || choice.Limited {
 		t.Errorf("got %+v, %v", choice, err)
 	}
--- a/pkg/balance/report.go
+++ b/pkg/balance/report.go
@@ -44,8 +44,8 @@
 	HasLoad bool
 	// Connect is how long a new connection took to come up; zero if none was made.
 	Connect time.Duration
-	// ToldOverdue says that Overdue was told of the request before.
-	ToldOverdue bool
+	// MarkedOverdue says that Overdue was told of the request before.
+	MarkedOverdue bool
 }
 
 // Change is what a report changed about a target.
@@ -54,16 +54,16 @@
 // The changes of a target.
 const (
 	Unchanged Change = iota
-	// LeftOut: the target could not be reached and gets nothing for a while.
-	LeftOut
-	// Returned: a target that was left out has answered.
-	Returned
+	// Ejected: the target could not be reached and gets nothing for a while.
+	Ejected
+	// Readmitted: a target that was left out has answered.
+	Readmitted
 )
 
-// Overdue takes that a request which is counted at a target, and stays so until Done,
+// MarkOverdue takes that a request which is counted at a target, and stays so until Done,
 // has had no answer for as long as one is waited for. The target is left out for a
 // while unless it has answered another request since.
-func (b *Balancer) Overdue(now time.Time, r Report) Change {
+func (b *Balancer) MarkOverdue(now time.Time, r Report) Change {
 	t := b.byID[r.TargetID]
 	if t == nil {
 		return Unchanged
@@ -73,7 +73,7 @@
 		return Unchanged
 	}
 	t.eject(now)
-	return LeftOut
+	return Ejected
 }
 
 // Done takes what became of a request that was counted at a target.
@@ -87,7 +87,7 @@
 		t.observeLoad(now, r.Load)
 	}
 	b.observeDistance(t.Region, r.Connect)
-	t.recordEnd(r.ToldOverdue)
+	t.recordEnd(r.MarkedOverdue)
 	if r.Outcome == Answered || r.Outcome == TurnedAway {
 		b.service(t.Service).crowd.note(b.crowdLoad(t, r))
 	}
@@ -99,15 +99,15 @@
 	case TurnedAway:
 		b.observeFull(now, t, r)
 	case Unreachable, Stuck:
-		if r.ToldOverdue || t.answeredSince(now.Add(-r.Took)) {
+		if r.MarkedOverdue || t.answeredSince(now.Add(-r.Took)) {
 			return Unchanged
 		}
 		t.eject(now)
-		return LeftOut
+		return Ejected
 	case Broken:
 		if t.broken++; t.broken >= maxBroken {
 			t.eject(now)
-			return LeftOut
+			return Ejected
 		}
 		return Unchanged
 	case Dropped, Withdrawn:
@@ -117,7 +117,7 @@
 	t.failures = 0
 	t.broken = 0
 	if wasOut {
-		return Returned
+		return Readmitted
 	}
 	return Unchanged
 }
--- a/pkg/balance/request.go
+++ b/pkg/balance/request.go
@@ -11,19 +11,19 @@
 	Service string
 	// Route names the route, whose service times are learned.
 	Route string
-	// Key is the object that the request is about; empty if it does not matter
+	// AffinityKey is the object that the request is about; empty if it does not matter
 	// which target has seen it.
-	Key string
+	AffinityKey string
 	// Regions are the only ones that may serve it; all if it is empty.
 	Regions []string
-	// Near prefers targets of the box's zone, for answers that are large.
-	Near bool
+	// PreferLocal prefers targets of the box's zone, for answers that are large.
+	PreferLocal bool
 	// Objective is the latency at which the answer is still on time, and Left
 	// what remains of it.
 	Objective time.Duration
-	Left      time.Duration
-	// Unlimited leaves out targets that name limits.
-	Unlimited bool
+	Remaining time.Duration
+	// ExcludeLimited leaves out targets that name limits.
+	ExcludeLimited bool
 	// Tried are the targets that it was sent to before.
 	Tried []string
 }
@@ -36,11 +36,11 @@
 	Limited bool
 	// Remote tells that the target is in another region.
 	Remote bool
-	// Wait is how long the request is thought to wait for a slot there.
-	Wait time.Duration
-	// Patience is how long to wait for the answer before another target is
+	// ExpectedWait is how long the request is thought to wait for a slot there.
+	ExpectedWait time.Duration
+	// HedgeDelay is how long to wait for the answer before another target is
 	// sought beside this one, which may be stuck.
-	Patience time.Duration
+	HedgeDelay time.Duration
 	// Load is what the target was thought to have.
 	Load float64
 	// Version is that of the state whose targets and evacuations the choice went by.
@@ -64,11 +64,11 @@
 	// used first; Load is how
 	// many requests it was thought to have, Wait for how long one more would wait
 	// there, and Longest for how long it may.
-	Target  string
-	Load    float64
-	Slots   int
-	Wait    time.Duration
-	Longest time.Duration
+	Target       string
+	Load         float64
+	Slots        int
+	ExpectedWait time.Duration
+	MaxWait      time.Duration
 	// ServiceLoad is the mean load of the service's targets, in requests a slot.
 	ServiceLoad float64
 }
@@ -90,7 +90,7 @@
 
 // allows reports whether a target is one that the request may be sent to.
 func (r Request) allows(t *targetState) bool {
-	if r.Unlimited && t.limited {
+	if r.ExcludeLimited && t.limited {
 		return false
 	}
 	if len(r.Regions) > 0 && !slices.Contains(r.Regions, t.Region) {
--- a/pkg/balance/room_test.go
+++ b/pkg/balance/room_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	var underWay []Choice
 	for range 1000 {
-		c, err := w.balancer.Choose(w.now, Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Hour})
+		c, err := w.balancer.Choose(w.now, Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Hour})
 		if err != nil {
 			break
 		}
--- a/pkg/balance/routes_test.go
+++ b/pkg/balance/routes_test.go
@@ -12,7 +12,7 @@
 	}
 	before := w.balancer.times["kept"]
 	w.balancer.KeepRoutes(map[string]bool{"kept": true, "new": true})
-	if w.balancer.Routes() != 1 || w.balancer.times["kept"] != before {
-		t.Errorf("%d routes are remembered", w.balancer.Routes())
+	if w.balancer.RouteCount() != 1 || w.balancer.times["kept"] != before {
+		t.Errorf("%d routes are remembered", w.balancer.RouteCount())
 	}
 }
--- a/pkg/balance/sharers_test.go
+++ b/pkg/balance/sharers_test.go
@@ -17,19 +17,19 @@
 		list = append(list, Box{Name: fmt.Sprint("box", i), Region: fmt.Sprint("r", i%3)})
 	}
 	balancer.SetBoxes(list)
-	balancer.SetCold("s", ColdLimit{Time: time.Hour, Rate: 3.1})
+	balancer.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 3.1})
 	var all []Target
 	for i := range targets {
 		all = append(all, Target{
 			ID: fmt.Sprint("i", i), Service: "s", Zone: fmt.Sprint("z", i%9), Region: fmt.Sprint("r", i%3), Slots: 9,
-			Cold: i%3 == 0, ColdLeft: time.Hour,
+			Cold: i%3 == 0, ColdRemaining: time.Hour,
 		})
 	}
 	now := time.Unix(0, 0)
 	balancer.SetTargets(now, all)
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(60 * time.Millisecond)
-		c, err := balancer.Choose(now, Request{Service: "s", Route: "r", Key: fmt.Sprint(i % 900), Objective: time.Second, Left: time.Second})
+		c, err := balancer.Choose(now, Request{Service: "s", Route: "r", AffinityKey: fmt.Sprint(i % 900), Objective: time.Second, Remaining: time.Second})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -41,10 +41,10 @@
 // target's present region, however often they were asked for before.
 func TestSharersFollowBoxesAndRegions(t *testing.T) {
 	b := New(Config{Box: "box0", Zone: "z", Region: "r0"})
-	b.SetCold("s", ColdLimit{Time: time.Hour, Rate: 30})
+	b.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 30})
 	now := time.Unix(0, 0)
 	target := func(region string) Target {
-		return Target{ID: "i", Service: "s", Zone: region + "z", Region: region, Slots: 9, Cold: true, ColdLeft: time.Hour}
+		return Target{ID: "i", Service: "s", Zone: region + "z", Region: region, Slots: 9, Cold: true, ColdRemaining: time.Hour}
 	}
 	b.SetTargets(now, []Target{target("r0")})
 	for round := range 40 {
--- a/pkg/balance/target.go
+++ b/pkg/balance/target.go
@@ -35,8 +35,8 @@
 	Draining bool
 	// Cold tells that it has not warmed up; ColdLeft is how much longer it
 	// stays so as of the time when it was registered.
-	Cold     bool
-	ColdLeft time.Duration
+	Cold          bool
+	ColdRemaining time.Duration
 }
 
 const (
--- a/pkg/balance/times.go
+++ b/pkg/balance/times.go
@@ -36,7 +36,7 @@
 // left its home as soon as it had to wait. A home that would let the request wait
 // for longer than it may is left in any case.
 func (t *times) detour(r Request, longest time.Duration) time.Duration {
-	if r.Key == "" {
+	if r.AffinityKey == "" {
 		return 0
 	}
 	return min(max(t.cold-t.warm, 0), longest)
