--- a/pkg/balance/backoff.go
+++ b/pkg/balance/backoff.go
@@ -7,68 +7,70 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// BackOff takes a rejection in which a target asked this box to send it nothing for a time,
-// and reports whether it had not before. The rejected request still counts as in flight.
+// BackOff records a rejection whose response asked this box to send the target nothing for
+// status.BackOff. It reports whether this starts a new back-off. The rejected request still counts
+// as in flight.
 func (b *Balancer) BackOff(now time.Time, id string, status targetstatus.Status) (began bool) {
 	t := b.byID[id]
 	wait := status.BackOff
 	if t == nil || wait <= 0 {
 		return false
 	}
-	t.room = b.roomOf(t).withRejection(now, t.Slots, t.load(now)-1, status.ReportedLoad())
-	if t.room.requests > 0 {
-		b.service(t.Service).roomPerSlot = t.room.requests / float64(max(t.Slots, 1))
+	t.capacity = b.capacityOf(t).withRejection(now, t.Slots, t.load(now)-1, status.ReportedLoad())
+	if t.capacity.requests > 0 {
+		b.service(t.Service).capacityPerSlot = t.capacity.requests / float64(max(t.Slots, 1))
 	}
 	began = !t.isBackedOff(now)
-	_, b.jitterTurn = math.Modf(b.jitterTurn + goldenPart)
-	t.backOff = t.backOff.With(now.Add(wait + targetstatus.Jitter(wait, b.jitterTurn)))
-	t.backOffOpen = true
+	_, b.jitterPhase = math.Modf(b.jitterPhase + phaseStep)
+	t.backOff = t.backOff.With(now.Add(wait + targetstatus.Jitter(wait, b.jitterPhase)))
+	t.backOffUnreported = true
 	return began
 }
 
-// roomOf returns what is known of a target's room: what it taught itself, or another target of
-// its service.
-func (b *Balancer) roomOf(t *targetState) targetRoom {
-	if t.room.requests > 0 {
-		return t.room
+// capacityOf returns the target's capacity estimate: its own, or else one derived from the last
+// rejection by another target of its service.
+func (b *Balancer) capacityOf(t *targetState) capacityEstimate {
+	if t.capacity.requests > 0 {
+		return t.capacity
 	}
-	return targetRoom{requests: b.service(t.Service).roomPerSlot * float64(max(t.Slots, 1)), part: 1}
+	return capacityEstimate{requests: b.service(t.Service).capacityPerSlot * float64(max(t.Slots, 1)), usableShare: 1}
 }
 
-// hasRoom reports whether one more request fits, as far as is known.
-func (b *Balancer) hasRoom(now time.Time, t *targetState) bool {
-	return b.roomOf(t).allows(now, t.load(now))
+// hasCapacity reports whether one more request fits the target's estimated capacity.
+func (b *Balancer) hasCapacity(now time.Time, t *targetState) bool {
+	return b.capacityOf(t).allows(now, t.load(now))
 }
 
-// CanSend reports whether a request may still be sent to the target that was chosen for it:
-// since then the target may have asked for a back-off, drained, left, ended or been evacuated.
+// CanSend reports whether a request may still be sent to the target that was chosen for it. Since
+// the choice the target may have asked for a back-off, started draining, left, been deregistered or
+// been evacuated.
 func (b *Balancer) CanSend(now time.Time, id string) bool {
 	t := b.byID[id]
-	return t != nil && b.isServing(t) && !t.isBackedOff(now) && !t.isGone(now)
+	return t != nil && b.isInService(t) && !t.isBackedOff(now) && !t.hasLeft(now)
 }
 
-// EndedBackOff is a back-off that is over.
+// EndedBackOff describes a back-off that has ended.
 type EndedBackOff struct {
 	TargetID string
-	// Skipped is how many requests went elsewhere, or were refused, that would have gone
-	// to the target.
+	// Skipped counts the requests that would have gone to the target but were sent elsewhere or
+	// refused.
 	Skipped int
 }
 
-// EndedBackOffs returns the back-offs that have ended since it was called last.
+// EndedBackOffs returns the back-offs that have ended since the previous call.
 func (b *Balancer) EndedBackOffs(now time.Time) (ended []EndedBackOff) {
 	for id, t := range b.byID {
-		if !t.backOffOpen || t.isBackedOff(now) {
+		if !t.backOffUnreported || t.isBackedOff(now) {
 			continue
 		}
 		ended = append(ended, EndedBackOff{TargetID: id, Skipped: t.skipped})
-		t.backOffOpen = false
+		t.backOffUnreported = false
 		t.skipped = 0
 	}
 	return ended
 }
 
-// BackedOffCount returns how many targets this box sends nothing at their request.
+// BackedOffCount returns the number of targets that this box is backing off from.
 func (b *Balancer) BackedOffCount(now time.Time) (n int) {
 	for _, t := range b.byID {
 		if t.isBackedOff(now) {
@@ -78,7 +80,7 @@
 	return n
 }
 
-// trying is how many requests are in flight whose answers may still come in time.
-func (t *targetState) trying() int { return t.inFlight - t.overdue }
+// inFlightOnTime returns the number of requests in flight that are not overdue.
+func (t *targetState) inFlightOnTime() int { return t.inFlight - t.overdue }
 
 func (t *targetState) isBackedOff(now time.Time) bool { return t.backOff.IsActive(now) }
--- a/pkg/balance/balancer.go
+++ b/pkg/balance/balancer.go
@@ -8,203 +8,203 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config is what a Balancer is told at its start.
+// Config identifies the box that a Balancer runs on.
 type Config struct {
 	Box    string
 	Zone   string
 	Region string
 }
 
-// Box is an entry box that serves.
+// Box is an entry box in service.
 type Box struct {
 	Name   string
 	Region string
 }
 
-// service is what the box knows of one service.
+// service is the state that the box keeps for one service.
 type service struct {
-	name    string
-	targets []*targetState
-	cold    ColdLimit
-	mean    time.Duration
-	crowd   crowd
-	// roomPerSlot is what the target bears, in requests a slot, that was last learned of;
-	// zero for none. It stands for the targets that nothing was learned of.
-	roomPerSlot float64
-	// turns spreads requests without a key, and returnTurn callers that come back.
-	turns      uint64
-	returnTurn float64
+	name      string
+	targets   []*targetState
+	coldLimit ColdLimit
+	meanTime  time.Duration
+	load      serviceLoad
+	// capacityPerSlot is the capacity learned from the last rejection, in requests per slot, or
+	// zero if there was none. It applies to targets that have no estimate of their own.
+	capacityPerSlot float64
+	// keylessRequests varies the ranking of requests without an affinity key, and retryPhase
+	// spreads the Retry-After given to callers.
+	keylessRequests uint64
+	retryPhase      float64
 }
 
 // Balancer chooses targets. It is not safe for concurrent use.
 type Balancer struct {
-	config    Config
-	services  map[string]*service
-	byID      map[string]*targetState
-	times     map[string]*times
-	evacuated map[string]bool
-	// version is that of the state which targets and evacuations are from.
+	config     Config
+	services   map[string]*service
+	byID       map[string]*targetState
+	routeTimes map[string]*serviceTimes
+	evacuated  map[string]bool
+	// version is the version of the state that the targets and evacuations come from.
 	version uint64
 	boxes   []rankedBox
-	// boxesChange counts the changes of the boxes.
-	boxesChange uint64
-	// distances are the shortest round trips to the regions; a region that is
-	// not known yet is thought to be near.
-	distances map[string]time.Duration
-	// jitterTurn spreads the ends of back-offs.
-	jitterTurn float64
+	// boxesRevision counts the calls of SetBoxes.
+	boxesRevision uint64
+	// roundTrips holds the shortest round trip measured to each region. A region without a
+	// measurement counts as near.
+	roundTrips map[string]time.Duration
+	// jitterPhase spreads the ends of back-offs.
+	jitterPhase float64
 }
 
 // New returns a balancer without targets.
 func New(c Config) *Balancer {
 	return &Balancer{
-		config:    c,
-		services:  make(map[string]*service),
-		byID:      make(map[string]*targetState),
-		times:     make(map[string]*times),
-		evacuated: make(map[string]bool),
-		distances: make(map[string]time.Duration),
+		config:     c,
+		services:   make(map[string]*service),
+		byID:       make(map[string]*targetState),
+		routeTimes: make(map[string]*serviceTimes),
+		evacuated:  make(map[string]bool),
+		roundTrips: make(map[string]time.Duration),
 
-		jitterTurn: firstTurn(c.Box),
+		jitterPhase: initialPhase(c.Box),
 	}
 }
 
-// rankedBox is a box with the hash by which it ranks for cold targets.
+// rankedBox is a box with the hash that ranks it for cold targets.
 type rankedBox struct {
 	Box
 	hash uint64
 }
 
-// SetBoxes tells which entry boxes serve, this one included.
+// SetBoxes sets the entry boxes in service, including this one.
 func (b *Balancer) SetBoxes(boxes []Box) {
-	b.boxesChange++
+	b.boxesRevision++
 	b.boxes = make([]rankedBox, 0, len(boxes))
 	for _, box := range boxes {
 		b.boxes = append(b.boxes, rankedBox{Box: box, hash: xxhash.Sum64String(box.Name)})
 	}
 }
 
-// SetColdLimit tells what cold targets of a service bear.
-func (b *Balancer) SetColdLimit(name string, limit ColdLimit) { b.service(name).cold = limit }
+// SetColdLimit sets the request limit for cold targets of a service.
+func (b *Balancer) SetColdLimit(name string, limit ColdLimit) { b.service(name).coldLimit = limit }
 
-// SetVersion sets the version of the state which the targets and evacuations are from.
+// SetVersion sets the version of the state that the targets and evacuations come from.
 func (b *Balancer) SetVersion(version uint64) { b.version = version }
 
-// SetEvacuated tells the zones whose targets get nothing. The targets of a
-// zone whose evacuation has ended count as cold.
+// SetEvacuated sets the zones whose targets receive no requests. When the evacuation of a zone
+// ends, its targets count as cold.
 func (b *Balancer) SetEvacuated(now time.Time, zones []string) {
 	for zone := range b.evacuated {
 		if slices.Contains(zones, zone) {
 			continue
 		}
 		delete(b.evacuated, zone)
-		b.coolZone(now, zone)
+		b.markZoneCold(now, zone)
 	}
 	for _, zone := range zones {
 		b.evacuated[zone] = true
 	}
 }
 
-// SetTargets replaces the registered targets. What is known of those that stay
-// is kept.
+// SetTargets replaces the registered targets. The state of targets that remain registered is kept.
 func (b *Balancer) SetTargets(now time.Time, targets []Target) {
 	next := make(map[string]*targetState, len(targets))
 	for _, s := range b.services {
 		s.targets = nil
 	}
-	for _, given := range targets {
-		t := b.byID[given.ID]
+	for _, registered := range targets {
+		t := b.byID[registered.ID]
 		if t == nil {
-			t = b.newTarget(now, given)
+			t = b.newTarget(now, registered)
 		}
-		b.change(now, t, given)
-		next[given.ID] = t
-		b.addTo(given.Service, t)
+		b.update(now, t, registered)
+		next[registered.ID] = t
+		b.addToService(registered.Service, t)
 	}
 	b.byID = next
 }
 
-// ChangeTargets takes registrations that are new or have changed and the ids of those
-// that have ended, the latter first; the others stay as they are. It leads to the
-// same as SetTargets with all of them and costs what changes.
+// ChangeTargets removes the targets with the ended IDs, then adds or updates the changed ones; all
+// others stay as they are. The result equals that of SetTargets with the full list, at a cost
+// proportional to the change.
 func (b *Balancer) ChangeTargets(now time.Time, changed []Target, ended []string) {
-	b.remove(ended)
-	for _, given := range changed {
-		t := b.byID[given.ID]
-		if t != nil && t.Service != given.Service {
+	b.removeTargets(ended)
+	for _, registered := range changed {
+		t := b.byID[registered.ID]
+		if t != nil && t.Service != registered.Service {
 			s := b.service(t.Service)
 			s.targets = slices.DeleteFunc(s.targets, func(other *targetState) bool { return other == t })
-			b.addTo(given.Service, t)
+			b.addToService(registered.Service, t)
 		}
 		if t == nil {
-			t = b.newTarget(now, given)
-			b.byID[given.ID] = t
-			b.addTo(given.Service, t)
+			t = b.newTarget(now, registered)
+			b.byID[registered.ID] = t
+			b.addToService(registered.Service, t)
 		}
-		b.change(now, t, given)
+		b.update(now, t, registered)
 	}
 }
 
-func (b *Balancer) remove(ended []string) {
-	gone := make(map[*targetState]bool, len(ended))
+func (b *Balancer) removeTargets(ended []string) {
+	removed := make(map[*targetState]bool, len(ended))
 	services := make(map[string]bool)
 	for _, id := range ended {
 		if t := b.byID[id]; t != nil {
-			gone[t] = true
+			removed[t] = true
 			services[t.Service] = true
 			delete(b.byID, id)
 		}
 	}
 	for name := range services {
 		s := b.service(name)
-		s.targets = slices.DeleteFunc(s.targets, func(t *targetState) bool { return gone[t] })
+		s.targets = slices.DeleteFunc(s.targets, func(t *targetState) bool { return removed[t] })
 	}
 }
 
-func (b *Balancer) addTo(name string, t *targetState) {
+func (b *Balancer) addToService(name string, t *targetState) {
 	s := b.service(name)
 	s.targets = append(s.targets, t)
 }
 
-func (b *Balancer) newTarget(now time.Time, given Target) *targetState {
-	t := newTargetState(given)
-	if given.Cold {
-		b.cool(now, t, given.ColdRemaining)
+func (b *Balancer) newTarget(now time.Time, registered Target) *targetState {
+	t := newTargetState(registered)
+	if registered.Cold {
+		b.markCold(now, t, registered.ColdRemaining)
 	}
 	return t
 }
 
-func (b *Balancer) change(now time.Time, t *targetState, given Target) {
-	if given.Cold && !t.Cold {
-		b.cool(now, t, given.ColdRemaining)
+func (b *Balancer) update(now time.Time, t *targetState, registered Target) {
+	if registered.Cold && !t.Cold {
+		b.markCold(now, t, registered.ColdRemaining)
 	}
-	if !given.Cold && t.Cold {
+	if !registered.Cold && t.Cold {
 		t.coldUntil = time.Time{}
 	}
 	if t.Slots == 0 {
-		t.Slots = given.Slots
+		t.Slots = registered.Slots
 	}
-	if t.Region != given.Region {
-		t.sharersKnown = 0
+	if t.Region != registered.Region {
+		t.sharersRevision = 0
 	}
 	slots := t.Slots
-	t.Target = given
+	t.Target = registered
 	t.Slots = slots
 }
 
-// RouteCount is how many routes the balancer remembers times of.
-func (b *Balancer) RouteCount() int { return len(b.times) }
+// RouteCount returns the number of routes that service times are kept for.
+func (b *Balancer) RouteCount() int { return len(b.routeTimes) }
 
-// KeepRoutes forgets the times of all other routes.
+// KeepRoutes drops the service times of all routes but the named ones.
 func (b *Balancer) KeepRoutes(names map[string]bool) {
-	maps.DeleteFunc(b.times, func(name string, _ *times) bool { return !names[name] })
+	maps.DeleteFunc(b.routeTimes, func(name string, _ *serviceTimes) bool { return !names[name] })
 }
 
 // HasTarget reports whether a target is registered.
 func (b *Balancer) HasTarget(id string) bool { return b.byID[id] != nil }
 
-// IsLeaving reports whether a target ends as planned: it drains, reported that it leaves, or
-// has left.
+// IsLeaving reports whether a target is in a planned stop: it is draining, has reported that it is
+// leaving, or is no longer registered.
 func (b *Balancer) IsLeaving(id string) bool {
 	t := b.byID[id]
 	return t == nil || t.Draining || t.isLeaving()
@@ -213,17 +213,17 @@
 func (b *Balancer) service(name string) *service {
 	s := b.services[name]
 	if s == nil {
-		s = &service{name: name, returnTurn: firstTurn(b.config.Box)}
+		s = &service{name: name, retryPhase: initialPhase(b.config.Box)}
 		b.services[name] = s
 	}
 	return s
 }
 
-func (b *Balancer) timesOf(r Request) *times {
-	t := b.times[r.Route]
+func (b *Balancer) timesOfRoute(r Request) *serviceTimes {
+	t := b.routeTimes[r.Route]
 	if t == nil {
-		t = newTimes(r.Objective)
-		b.times[r.Route] = t
+		t = newServiceTimes(r.Objective)
+		b.routeTimes[r.Route] = t
 	}
 	return t
 }
--- a/pkg/balance/bench_test.go
+++ b/pkg/balance/bench_test.go
@@ -8,8 +8,9 @@
 
 var benchTargets = []int{100, 400, 3000}
 
-// sizedBalancer has so many targets of one service in three regions.
-func sizedBalancer(targets int) (*Balancer, []Target) {
+// balancerWithTargets returns a balancer with the given number of targets of one service in three
+// regions.
+func balancerWithTargets(targets int) (*Balancer, []Target) {
 	b := New(Config{Box: "box1", Zone: "r0-a", Region: "r0"})
 	b.SetBoxes([]Box{{"box1", "r0"}})
 	list := make([]Target, 0, targets)
@@ -21,12 +22,12 @@
 	return b, list
 }
 
-// BenchmarkSetTargets is how long a box's requests wait while its targets are
-// put in force.
+// BenchmarkSetTargets measures how long a box's requests are blocked while its targets are
+// replaced.
 func BenchmarkSetTargets(b *testing.B) {
 	for _, n := range benchTargets {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			balancer, list := sizedBalancer(n)
+			balancer, list := balancerWithTargets(n)
 			for b.Loop() {
 				balancer.SetTargets(time.Unix(1, 0), list)
 			}
@@ -34,11 +35,11 @@
 	}
 }
 
-// BenchmarkChoose is one choice with its report.
+// BenchmarkChoose measures one choice and its report.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range benchTargets {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			balancer, _ := sizedBalancer(n)
+			balancer, _ := balancerWithTargets(n)
 			now := time.Unix(1, 0)
 			r := Request{Service: "s", Route: "r", AffinityKey: "k", Objective: 400 * time.Millisecond, Remaining: 400 * time.Millisecond}
 			for b.Loop() {
--- a/pkg/balance/change_test.go
+++ b/pkg/balance/change_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Each state put all targets in force anew, at 3,000 targets 0.3 ms of a core while
-// requests wait, 25 times a second while targets are replaced. Changes alone must lead
-// to the same: two balancers, one told of all targets with each change, one of what
-// changed, give the same choices for the same requests and reports.
+// Guards against ChangeTargets diverging from SetTargets. SetTargets on every new state took 0.3 ms
+// of a core at 3,000 targets, while requests wait, 25 times a second while targets are being
+// replaced. Of two balancers, one gets the full list with each change and the other only the
+// change; both must make the same choices for the same requests and reports.
 func TestChangesLeadToTheSameTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -23,9 +23,9 @@
 			b.SetColdLimit("s0", ColdLimit{Time: 3 * time.Second, Rate: 30})
 			return b
 		}
-		whole, changes := newBalancer(), newBalancer()
+		full, incremental := newBalancer(), newBalancer()
 		var all []Target
-		joined := 0 // no id is used twice
+		joined := 0 // IDs are not reused
 		draw := func(id string) Target {
 			return Target{
 				ID:            id,
@@ -57,20 +57,20 @@
 					all = slices.Clone(all)
 					all[i] = draw(all[i].ID)
 					changed = slices.DeleteFunc(changed, func(c Target) bool { return c.ID == all[i].ID })
-					changed = append(changed, all[i]) // each target stands once
+					changed = append(changed, all[i]) // each target occurs once
 				}
 			}
-			whole.SetTargets(now, all)
-			changes.ChangeTargets(now, changed, ended)
+			full.SetTargets(now, all)
+			incremental.ChangeTargets(now, changed, ended)
 			for _, id := range ended {
-				if changes.HasTarget(id) {
-					t.Fatalf("%s has ended and is known", id)
+				if incremental.HasTarget(id) {
+					t.Fatalf("%s has ended and is still registered", id)
 				}
 			}
 			for i := range 4 {
 				r := Request{Service: "s0", Route: "r", AffinityKey: fmt.Sprint("k", (step+i)%7), Objective: time.Second, Remaining: time.Second}
-				want, wantErr := whole.Choose(now, r)
-				got, gotErr := changes.Choose(now, r)
+				want, wantErr := full.Choose(now, r)
+				got, gotErr := incremental.Choose(now, r)
 				if diff := cmp.Diff(want, got); diff != "" || fmt.Sprint(wantErr) != fmt.Sprint(gotErr) {
 					t.Fatalf("step %d: %v, want %v\n%s", step, gotErr, wantErr, diff)
 				}
@@ -79,16 +79,16 @@
 				}
 				report := Report{TargetID: want.Target.ID, Route: "r", Outcome: Outcome(rapid.IntRange(0, 5).Draw(t, "outcome")), Took: 200 * time.Millisecond}
 				if rapid.Bool().Draw(t, "reported") {
-					whole.Done(now, report)
-					changes.Done(now, report)
+					full.Done(now, report)
+					incremental.Done(now, report)
 				}
 			}
 		}
 	})
 }
 
-// BenchmarkChangeTargets is how long a box's requests wait while a target joins and
-// another one ends.
+// BenchmarkChangeTargets measures how long a box's requests are blocked while one target joins and
+// another leaves.
 func BenchmarkChangeTargets(b *testing.B) {
 	for _, n := range []int{100, 400, 1400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/pkg/balance/choose.go
+++ b/pkg/balance/choose.go
@@ -7,104 +7,101 @@
 )
 
 const (
-	// waitPart is the part of the time in which the answer of a target that knows
-	// the object would still be on time, for which a request may wait for a slot;
-	// the rest is for what other boxes send at the same moment.
-	waitPart = 0.75
-	// patienceFactor is how many times the mean time of a target that has not
-	// seen the object is waited for an answer before another target is sought.
-	patienceFactor = 3
-	// leastPatience bounds the patience from below: some turns of a network
-	// with losses.
-	leastPatience = 700 * time.Millisecond
-	// firstRetryAfter is the wait told when no target can be used.
-	firstRetryAfter = 300 * time.Millisecond
-	// leastRetryAfter is the shortest wait told to a refused request: about what
-	// the way to the caller and a new connection take, so that it bounds how
-	// often a caller asks and hardly delays it.
-	leastRetryAfter = 20 * time.Millisecond
-	// reachPart is the part of a route's objective that the way to another
-	// region and back may take; a target that knows the object needs about
-	// half of the objective.
-	reachPart = 0.4
+	// maxWaitShare is the share of a request's spare time that it may wait for a slot. The spare
+	// time is what remains of its objective after the service time of a target that has cached the
+	// object; the rest of it covers requests that other boxes send at the same moment.
+	maxWaitShare = 0.75
+	// hedgeDelayFactor is the hedge delay, beyond the expected wait for a slot, as a multiple of the
+	// mean service time of targets that have not cached the object.
+	hedgeDelayFactor = 3
+	// minHedgeDelay is the minimum hedge delay: a few round trips on a network with packet loss.
+	minHedgeDelay = 700 * time.Millisecond
+	// noTargetRetryAfter is the Retry-After when no target is usable.
+	noTargetRetryAfter = 300 * time.Millisecond
+	// minRetryAfter is the shortest Retry-After. It is about as long as a round trip to the caller
+	// and a new connection, so that it limits how often a caller retries and hardly delays it.
+	minRetryAfter = 20 * time.Millisecond
+	// maxRoundTripShare is the share of a route's objective that the round trip to another region
+	// may take. A target that has cached the object needs about half of the objective.
+	maxRoundTripShare = 0.4
 )
 
-// Choose returns the target that a request is to be sent to, and counts the
-// request there until Done. The error is a NoTargetError.
+// Choose returns the target to send a request to, and counts the request as in flight there until
+// Done, Release or ThrottleUntil. The error is a *NoTargetError.
 func (b *Balancer) Choose(now time.Time, r Request) (Choice, error) {
 	s := b.service(r.Service)
-	learned := b.timesOf(r)
+	times := b.timesOfRoute(r)
 	key := s.keyHash(r)
-	chosen, skipped := b.home(now, s, r, key)
+	chosen, skipped := b.homeTarget(now, s, r, key)
 	hasHome := chosen != nil
 	if !hasHome {
-		chosen = b.lastResort(now, s, r, key)
+		chosen = b.leavingTarget(now, s, r, key)
 	}
 	if chosen == nil {
-		return Choice{}, b.noneUsable(now, s, r)
+		return Choice{}, b.noUsableTargetError(now, s, r)
 	}
-	wait := chosen.wait(now, learned.mixed)
-	longest := longestWait(r, learned)
-	if hasHome && wait > learned.detour(r, longest) && (r.AffinityKey == "" || !s.crowd.isCrowded()) {
-		chosen, wait = b.besideHome(now, s, r, key, b.inReach(chosen, r)).pick(now, learned.mixed)
+	wait := chosen.expectedWait(now, times.overall)
+	waitLimit := maxWait(r, times)
+	if hasHome && wait > times.maxHomeWait(r, waitLimit) && (r.AffinityKey == "" || !s.load.isSaturated()) {
+		chosen, wait = b.preferredTargets(now, s, r, key, b.isWithinReach(chosen, r)).pick(now, times.overall)
 	}
-	if wait > longest {
-		return Choice{}, full(now, s, chosen, wait, longest)
+	if wait > waitLimit {
+		return Choice{}, allFullError(now, s, chosen, wait, waitLimit)
 	}
-	choice := b.take(now, chosen, wait, learned)
+	choice := b.assign(now, chosen, wait, times)
 	if skipped != nil {
 		choice.Skipped = skipped.ID
 	}
 	return choice, nil
 }
 
-// noneUsable says that no target of a service can be used.
-func (b *Balancer) noneUsable(now time.Time, s *service, r Request) *NoTargetError {
+// noUsableTargetError returns the error for a service without a usable target.
+func (b *Balancer) noUsableTargetError(now time.Time, s *service, r Request) *NoTargetError {
 	if next, ok := b.nextAvailable(now, s, r); ok {
 		return &NoTargetError{
-			Service: s.name, Reason: next.reason, RetryAfter: s.spread(next.wait), Registered: len(s.targets), Target: next.target.ID,
+			Service: s.name, Reason: next.reason, RetryAfter: s.spreadRetryAfter(next.wait), Registered: len(s.targets), Target: next.target.ID,
 			BackedOff: next.backedOff,
 		}
 	}
-	return &NoTargetError{Service: s.name, Reason: ReasonNone, RetryAfter: firstRetryAfter, Registered: len(s.targets)}
+	return &NoTargetError{Service: s.name, Reason: ReasonNone, RetryAfter: noTargetRetryAfter, Registered: len(s.targets)}
 }
 
-// full says that the best target would let a request wait for too long.
-func full(now time.Time, s *service, best *targetState, wait, longest time.Duration) *NoTargetError {
+// allFullError returns the error for a request that would wait too long even at the best target.
+func allFullError(now time.Time, s *service, best *targetState, wait, waitLimit time.Duration) *NoTargetError {
 	return &NoTargetError{
 		Service:      s.name,
 		Reason:       ReasonFull,
-		RetryAfter:   max(wait, leastRetryAfter),
+		RetryAfter:   max(wait, minRetryAfter),
 		Registered:   len(s.targets),
 		Target:       best.ID,
 		Load:         best.load(now),
 		Slots:        best.Slots,
 		ExpectedWait: wait,
-		MaxWait:      longest,
-		ServiceLoad:  s.crowd.load,
+		MaxWait:      waitLimit,
+		ServiceLoad:  s.load.perSlot,
 	}
 }
 
-// home returns the target that ranks highest for an object, in reach if there
-// is one; nil if none can be used. A target that ranks higher and is backed off is
-// skipped, and returned besides.
-func (b *Balancer) home(now time.Time, s *service, r Request, key uint64) (chosen, skipped *targetState) {
+// homeTarget returns the highest-ranked usable target, preferring those within reach, or nil if
+// none is usable. If a backed-off target ranks higher, it counts the request as skipped there and
+// returns that target as well.
+func (b *Balancer) homeTarget(now time.Time, s *service, r Request, key uint64) (chosen, skipped *targetState) {
 	var near, far, backedOff ranked
 	for _, t := range s.targets {
 		if t.isBackedOff(now) {
-			if c := b.rank(t, r, key); b.isOpen(now, t) && r.allows(t) && (backedOff.target == nil || c.above(backedOff)) {
+			if c := b.rank(t, r, key); b.isAvailable(now, t) && r.allows(t) && (backedOff.target == nil || c.ranksAbove(backedOff)) {
 				backedOff = c
 			}
 			continue
 		}
-		if !b.mayTake(now, s, t, r) {
+		if !b.mayReceive(now, s, t, r) {
 			continue
 		}
 		best := &far
-		if b.inReach(t, r) {
+		if b.isWithinReach(t, r) {
 			best = &near
 		}
-		if c := b.rank(t, r, key); best.target == nil || c.above(*best) {
+		if c := b.rank(t, r, key); best.target == nil || c.ranksAbove(*best) {
 			*best = c
 		}
 	}
@@ -112,81 +109,81 @@
 	if best.target == nil {
 		best = far
 	}
-	if backedOff.target != nil && (best.target == nil || backedOff.above(best)) {
+	if backedOff.target != nil && (best.target == nil || backedOff.ranksAbove(best)) {
 		skipped = backedOff.target
 		skipped.skipped++
 	}
 	return best.target, skipped
 }
 
-// besideHome returns the targets that rank highest for an object, its home among
-// them: of those in reach, or of the others if none is.
-func (b *Balancer) besideHome(now time.Time, s *service, r Request, key uint64, reach bool) *ranking {
+// preferredTargets returns the highest-ranked usable targets, including the home target: those
+// within reach if reach is true, otherwise the others.
+func (b *Balancer) preferredTargets(now time.Time, s *service, r Request, key uint64, withinReach bool) *ranking {
 	var out ranking
 	for _, t := range s.targets {
-		if b.inReach(t, r) == reach && b.mayTake(now, s, t, r) {
-			out.consider(b.rank(t, r, key))
+		if b.isWithinReach(t, r) == withinReach && b.mayReceive(now, s, t, r) {
+			out.add(b.rank(t, r, key))
 		}
 	}
 	return &out
 }
 
 func (b *Balancer) rank(t *targetState, r Request, key uint64) ranked {
-	return ranked{target: t, rank: mix(key ^ t.hash), near: r.PreferLocal && t.Zone == b.config.Zone}
+	return ranked{target: t, rank: mix(key ^ t.hash), local: r.PreferLocal && t.Zone == b.config.Zone}
 }
 
-// mayTake reports whether a target may be sent the request now.
-func (b *Balancer) mayTake(now time.Time, s *service, t *targetState, r Request) bool {
+// mayReceive reports whether a target may be sent the request now.
+func (b *Balancer) mayReceive(now time.Time, s *service, t *targetState, r Request) bool {
 	if !b.isUsable(now, t) || !r.allows(t) {
 		return false
 	}
-	return !t.isCold(now) || b.mayWarm(now, s, t)
+	return !t.isCold(now) || b.mayWarmUp(now, s, t)
 }
 
-// inReach reports whether a target counts for the request like one of the
-// box's own region. A large answer stays in the region; other requests may go
-// as far as leaves enough of their objective for the target.
-func (b *Balancer) inReach(t *targetState, r Request) bool {
+// isWithinReach reports whether a target is treated for the request like one of the box's own
+// region. Requests with large responses stay in the region. Others may go to a region whose round
+// trip leaves the target enough of the objective.
+func (b *Balancer) isWithinReach(t *targetState, r Request) bool {
 	if t.Region == b.config.Region {
 		return true
 	}
-	return !r.PreferLocal && b.distances[t.Region] <= time.Duration(reachPart*float64(r.Objective))
+	return !r.PreferLocal && b.roundTrips[t.Region] <= time.Duration(maxRoundTripShare*float64(r.Objective))
 }
 
-// RetryAfter returns when a request that a target turned away may come back: once
-// a slot is free there as far as is known, or at once where the target had one
-// and turned it away for another reason.
+// RetryAfter returns when a request that a target rejected may be retried: when a slot there is
+// expected to be free, or after the minimum delay if the target had a free slot and rejected it for
+// another reason.
 func (b *Balancer) RetryAfter(now time.Time, targetID, route string) time.Duration {
-	t, learned := b.byID[targetID], b.times[route]
-	if t == nil || learned == nil {
-		return leastRetryAfter
+	t, times := b.byID[targetID], b.routeTimes[route]
+	if t == nil || times == nil {
+		return minRetryAfter
 	}
 	if t.isBackedOff(now) {
-		return b.untilOtherTarget(now, b.service(t.Service))
+		return b.retryAfterBackOff(now, b.service(t.Service))
 	}
-	return max(t.wait(now, learned.mixed), leastRetryAfter)
+	return max(t.expectedWait(now, times.overall), minRetryAfter)
 }
 
-// untilOtherTarget is when a request may come back whose target asked for a back-off.
-func (b *Balancer) untilOtherTarget(now time.Time, s *service) time.Duration {
+// retryAfterBackOff returns when a request may be retried whose target asked for a back-off.
+func (b *Balancer) retryAfterBackOff(now time.Time, s *service) time.Duration {
 	for _, t := range s.targets {
 		if b.isUsable(now, t) {
-			return leastRetryAfter
+			return minRetryAfter
 		}
 	}
 	if next, ok := b.nextAvailable(now, s, Request{}); ok {
-		return s.spread(next.wait)
+		return s.spreadRetryAfter(next.wait)
 	}
-	return firstRetryAfter
+	return noTargetRetryAfter
 }
 
-// longestWait is how long a request may wait for a slot. One that would wait for
-// longer is refused at once: it would hold a slot for an answer that comes too late.
-func longestWait(r Request, learned *times) time.Duration {
-	return time.Duration(waitPart * float64(max(r.Remaining-learned.warm, 0)))
+// maxWait returns how long a request may wait for a slot. One that would wait longer is refused at
+// once, because it would occupy a slot for a response that comes too late.
+func maxWait(r Request, times *serviceTimes) time.Duration {
+	return time.Duration(maxWaitShare * float64(max(r.Remaining-times.hit, 0)))
 }
 
-func (b *Balancer) take(now time.Time, t *targetState, wait time.Duration, learned *times) Choice {
+func (b *Balancer) assign(now time.Time, t *targetState, wait time.Duration, times *serviceTimes) Choice {
 	load := t.load(now)
 	t.inFlight++
 	if t.isCold(now) {
@@ -197,39 +194,38 @@
 		Limited:      t.limited,
 		Remote:       t.Region != b.config.Region,
 		ExpectedWait: wait,
-		HedgeDelay:   max(patienceFactor*learned.cold+wait, leastPatience),
+		HedgeDelay:   max(hedgeDelayFactor*times.miss+wait, minHedgeDelay),
 		Load:         load,
 		Version:      b.version,
 	}
 }
 
-// isUsable reports whether a target may be sent any request at all.
+// isUsable reports whether a target may be sent any request now.
 func (b *Balancer) isUsable(now time.Time, t *targetState) bool {
-	return b.isOpen(now, t) && !now.Before(t.throttledUntil) && t.backOff.Allows(now, t.trying()) && b.hasRoom(now, t)
+	return b.isAvailable(now, t) && !now.Before(t.throttledUntil) && t.backOff.Allows(now, t.inFlightOnTime()) && b.hasCapacity(now, t)
 }
 
-// isOpen is isUsable but for permits, back-offs and room.
-func (b *Balancer) isOpen(now time.Time, t *targetState) bool {
-	return !t.isLeaving() && b.isReachable(now, t)
+// isAvailable is isUsable without the checks for permits, back-offs and capacity.
+func (b *Balancer) isAvailable(now time.Time, t *targetState) bool {
+	return !t.isLeaving() && b.isHealthy(now, t)
 }
 
-// isReachable reports whether a target is registered as serving, and neither ejected nor
-// slow.
-func (b *Balancer) isReachable(now time.Time, t *targetState) bool {
-	return b.isServing(t) && !t.isOut(now) && t.paceNow(now) <= slowPace
+// isHealthy reports whether a target is in service, not ejected and not slow.
+func (b *Balancer) isHealthy(now time.Time, t *targetState) bool {
+	return b.isInService(t) && !t.isEjected(now) && t.relativeLatencyAt(now) <= maxRelativeLatency
 }
 
-// isServing reports whether a target neither drains nor is evacuated.
-func (b *Balancer) isServing(t *targetState) bool {
+// isInService reports whether a target is neither draining nor evacuated.
+func (b *Balancer) isInService(t *targetState) bool {
 	return !t.Draining && !b.evacuated[t.Zone]
 }
 
-// keyHash stands for the object, or for a different one each time where the
-// object does not matter.
+// keyHash returns the hash of the affinity key. A request without a key gets a different hash each
+// time.
 func (s *service) keyHash(r Request) uint64 {
 	if r.AffinityKey == "" {
-		s.turns++
-		return mix(s.turns)
+		s.keylessRequests++
+		return mix(s.keylessRequests)
 	}
 	return xxhash.Sum64String(r.AffinityKey)
 }
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -7,32 +7,31 @@
 )
 
 const (
-	// coldShare is the part of a cold target's rate that the boxes use
-	// together, and coldBoxes how many boxes share it: each may be one
-	// request ahead of its share.
-	coldShare = 0.9
-	coldBoxes = 3
+	// coldShare is the share of a cold target's rate that the boxes use together. The rest allows
+	// for each of the up to maxColdSharers boxes that share the rate to be one request ahead.
+	coldShare      = 0.9
+	maxColdSharers = 3
 )
 
-// ColdLimit bounds the requests to a cold target of a service, all entry boxes
-// together.
+// ColdLimit limits the requests that all entry boxes together send to a cold target, one that is
+// still warming up.
 type ColdLimit struct {
 	// Time is how long a target stays cold.
 	Time time.Duration
-	// Rate is the requests a second that it bears.
+	// Rate is the number of requests per second that a cold target can take.
 	Rate float64
 }
 
-func (b *Balancer) coolZone(now time.Time, zone string) {
+func (b *Balancer) markZoneCold(now time.Time, zone string) {
 	for _, t := range b.byID {
 		if t.Zone == zone {
-			b.cool(now, t, b.service(t.Service).cold.Time)
+			b.markCold(now, t, b.service(t.Service).coldLimit.Time)
 		}
 	}
 }
 
-func (b *Balancer) cool(now time.Time, t *targetState, left time.Duration) {
-	until := now.Add(left)
+func (b *Balancer) markCold(now time.Time, t *targetState, remaining time.Duration) {
+	until := now.Add(remaining)
 	if until.After(t.coldUntil) {
 		t.coldUntil = until
 		t.tokens = 0
@@ -40,38 +39,39 @@
 	}
 }
 
-// SetColdRemaining takes a target's own word on how much longer it is cold.
-func (b *Balancer) SetColdRemaining(now time.Time, id string, left time.Duration) {
-	if t := b.byID[id]; t != nil && left > 0 {
-		b.cool(now, t, left)
+// SetColdRemaining applies the remaining warm-up time that a target itself reported.
+func (b *Balancer) SetColdRemaining(now time.Time, id string, remaining time.Duration) {
+	if t := b.byID[id]; t != nil && remaining > 0 {
+		b.markCold(now, t, remaining)
 	}
 }
 
-// mayWarm reports whether this box may send a cold target a request now. A few
-// boxes, the same by every box's reckoning, share what it bears.
-func (b *Balancer) mayWarm(now time.Time, s *service, t *targetState) bool {
+// mayWarmUp reports whether this box may send a cold target a request now. A few boxes share the
+// target's rate; all boxes compute the same ones.
+func (b *Balancer) mayWarmUp(now time.Time, s *service, t *targetState) bool {
 	sharers := b.sharers(t)
 	if sharers == 0 {
 		return false
 	}
-	rate := s.cold.Rate * coldShare / float64(sharers)
+	rate := s.coldLimit.Rate * coldShare / float64(sharers)
 	t.tokens = min(t.tokens+rate*now.Sub(t.tokensAt).Seconds(), 1)
 	t.tokensAt = now
 	return t.tokens >= 1
 }
 
-// sharers returns how many boxes share what a cold target bears, or zero if this
-// box is none of them. It is worked out once for each change of the boxes, as a choice looks
-// at all cold targets.
+// sharers returns how many boxes share a cold target's rate, or zero if this box is not one of
+// them. The result is cached until the boxes change, because every choice looks at all cold
+// targets.
 func (b *Balancer) sharers(t *targetState) int {
-	if t.sharersKnown != b.boxesChange {
+	if t.sharersRevision != b.boxesRevision {
 		t.sharers = b.countSharers(t)
-		t.sharersKnown = b.boxesChange
+		t.sharersRevision = b.boxesRevision
 	}
 	return t.sharers
 }
 
-// countSharers counts the boxes of the target's region that rank highest for it.
+// countSharers counts the boxes of the target's region that rank highest for it, up to
+// maxColdSharers. It returns zero if this box is not one of them.
 func (b *Balancer) countSharers(t *targetState) int {
 	count, above := 0, 0
 	own := mix(xxhash.Sum64String(b.config.Box) ^ t.hash)
@@ -89,8 +89,8 @@
 			above++
 		}
 	}
-	if !known || above >= coldBoxes {
+	if !known || above >= maxColdSharers {
 		return 0
 	}
-	return min(count, coldBoxes)
+	return min(count, maxColdSharers)
 }
--- a/pkg/balance/fade.go
+++ b/pkg/balance/decay.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// fade returns what is left of 1 after a time with a half-life.
-func fade(after, halfLife time.Duration) float64 {
-	if after <= 0 {
+// decay returns the factor by which a value with the given half-life has shrunk after a time.
+func decay(elapsed, halfLife time.Duration) float64 {
+	if elapsed <= 0 {
 		return 1
 	}
-	return math.Exp2(-float64(after) / float64(halfLife))
+	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
 
 // mix spreads the bits of a number (the finalizer of SplitMix64).
--- a/pkg/balance/ranking.go
+++ b/pkg/balance/ranking.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// ranked is a target with its rank for an object.
+// ranked is a target with its rank for a request.
 type ranked struct {
 	target *targetState
 	rank   uint64
-	near   bool
+	local  bool
 }
 
-func (r ranked) above(other ranked) bool {
-	if r.near != other.near {
-		return r.near
+func (r ranked) ranksAbove(other ranked) bool {
+	if r.local != other.local {
+		return r.local
 	}
 	return r.rank > other.rank
 }
 
-// maxPreferred bounds the targets that are considered for one object.
-const maxPreferred = 4
+// maxPreferredTargets is the maximum number of targets considered for one request.
+const maxPreferredTargets = 4
 
-// ranking holds the targets that rank highest for an object.
+// ranking holds the highest-ranked targets for a request, highest first.
 type ranking struct {
-	top   [maxPreferred]ranked
+	top   [maxPreferredTargets]ranked
 	count int
 }
 
-func (d *ranking) consider(r ranked) {
-	at := d.count
-	if at == maxPreferred {
-		if !r.above(d.top[at-1]) {
+func (rk *ranking) add(r ranked) {
+	at := rk.count
+	if at == maxPreferredTargets {
+		if !r.ranksAbove(rk.top[at-1]) {
 			return
 		}
 		at--
 	} else {
-		d.count++
+		rk.count++
 	}
-	for at > 0 && r.above(d.top[at-1]) {
-		d.top[at] = d.top[at-1]
+	for at > 0 && r.ranksAbove(rk.top[at-1]) {
+		rk.top[at] = rk.top[at-1]
 		at--
 	}
-	d.top[at] = r
+	rk.top[at] = r
 }
 
-// pick returns the highest target that has a free slot, or else the one with
-// the shortest wait.
-func (d *ranking) pick(now time.Time, mean time.Duration) (*targetState, time.Duration) {
+// pick returns the highest-ranked target that has a free slot, or else the one with the shortest
+// wait.
+func (rk *ranking) pick(now time.Time, mean time.Duration) (*targetState, time.Duration) {
 	var best *targetState
 	shortest := time.Duration(0)
-	for _, r := range d.top[:d.count] {
-		wait := r.target.wait(now, mean)
+	for _, r := range rk.top[:rk.count] {
+		wait := r.target.expectedWait(now, mean)
 		if wait == 0 {
 			return r.target, 0
 		}
--- a/pkg/balance/limited_test.go
+++ b/pkg/balance/ratelimit_test.go
@@ -9,9 +9,9 @@
 
 var anyRequest = Request{Service: "s", Route: "r", AffinityKey: "a", Objective: time.Second, Remaining: time.Second}
 
-// A cold target that is throttled for want of a permit keeps its turn: it may be sent the
-// next request as soon as there is one.
-func TestWithheldTargetKeepsItsTurnWhileItIsCold(t *testing.T) {
+// Guards against a cold target that loses its token when no permit is granted. It must receive the
+// next request as soon as a permit is available.
+func TestThrottledColdTargetKeepsItsToken(t *testing.T) {
 	b := New(Config{Box: "box", Zone: "z", Region: "r"})
 	b.SetBoxes([]Box{{"box", "r"}})
 	b.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 0.1})
@@ -26,17 +26,17 @@
 	b.ThrottleUntil(now, "t", now.Add(time.Second))
 	var none *NoTargetError
 	if _, err := b.Choose(now, anyRequest); !errors.As(err, &none) || none.Reason != ReasonLimited || none.RetryAfter < time.Second {
-		t.Errorf("while it is throttled: %v", err)
+		t.Errorf("while the target is throttled: %v", err)
 	}
 	now = now.Add(time.Second)
 	if choice, err := b.Choose(now, anyRequest); err != nil || choice.Load > 0 {
-		t.Errorf("after that: %+v, %v", choice, err)
+		t.Errorf("after the throttling: %+v, %v", choice, err)
 	}
 }
 
-// Targets that can't be used for other reasons don't have callers told that there will be
-// room.
-func TestRefusalTellsOfRoomOnlyWhereThereWillBe(t *testing.T) {
+// Guards against a Retry-After that promises capacity at rate-limited targets that cannot be used
+// for another reason.
+func TestEvacuatedTargetsAreNotReportedAsLimited(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := New(Config{Box: "box", Zone: "z", Region: "r"})
 	b.SetTargets(now, []Target{{ID: "t", Service: "s", Zone: "z", Region: "r", Slots: 4}, {ID: "u", Service: "s", Zone: "z", Region: "r", Slots: 4, Draining: true}})
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkChooseAmongLimited is one choice and its report where a third of 3,000 targets is
-// throttled for want of permits.
+// BenchmarkChooseAmongLimited measures one choice and its report while a third of 3,000 targets is
+// throttled for lack of permits.
 func BenchmarkChooseAmongLimited(b *testing.B) {
 	balancer := New(Config{Box: "box0", Zone: "z0", Region: "r0"})
 	var all []Target
@@ -75,9 +75,9 @@
 	}
 }
 
-// Where no rate-limited target has room, one without a limit is found at once; where there is
-// none, callers are told when the first has room.
-func TestUnlimitedRequestPassesTargetsInNeed(t *testing.T) {
+// A request that excludes rate-limited targets goes straight to one without a limit. If there is
+// none, the error gives the limits as the reason.
+func TestExcludeLimitedSkipsLimitedTargets(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := New(Config{Box: "box", Zone: "z", Region: "r"})
 	var all []Target
@@ -96,6 +96,6 @@
 	b.SetLimited("t0", true)
 	var none *NoTargetError
 	if _, err := b.Choose(now, r); !errors.As(err, &none) || none.Reason != ReasonLimited {
-		t.Errorf("where all name limits: %v", err)
+		t.Errorf("when all targets have rate limits: %v", err)
 	}
 }
--- a/pkg/balance/report.go
+++ b/pkg/balance/report.go
@@ -6,63 +6,66 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// Outcome is what became of a request at a target.
+// Outcome is the result of a request at a target.
 type Outcome int
 
 // The outcomes of a request at a target.
 const (
-	// Answered: the target gave its answer.
+	// Answered: the target responded.
 	Answered Outcome = iota
-	// TurnedAway: the target was full, or wants nothing from this box, and did not run it.
+	// TurnedAway: the target was full or wanted no requests from this box, and rejected the request
+	// without running it.
 	TurnedAway
-	// Unreachable: no connection was had.
+	// Unreachable: no connection could be made.
 	Unreachable
-	// Stuck: no answer came in time.
+	// Stuck: no response arrived in time.
 	Stuck
-	// Broken: the connection or the answer broke.
+	// Broken: the connection or the response broke off.
 	Broken
-	// Dropped: the caller left.
+	// Dropped: the caller canceled the request.
 	Dropped
-	// Withdrawn: it was not sent, as the target was closed to requests after it was chosen.
+	// Withdrawn: the request was not sent, because the target stopped being usable after the
+	// choice.
 	Withdrawn
 )
 
-// String returns the name as it stands in logs.
+// String returns the name used in logs.
 func (o Outcome) String() string {
 	return [...]string{"answered", "turnedAway", "unreachable", "stuck", "broken", "dropped", "withdrawn"}[o]
 }
 
-// Report tells what became of a request at a target.
+// Report is the result of a request at a target.
 type Report struct {
 	TargetID string
 	Route    string
 	Outcome  Outcome
-	// Took is the time to the answer.
+	// Took is the time until the response.
 	Took time.Duration
-	// Load is what the answer told, if HasLoad.
+	// Load is the load that the response reported, if HasLoad is set.
 	Load    targetstatus.Load
 	HasLoad bool
-	// Connect is how long a new connection took to come up; zero if none was made.
+	// Connect is how long it took to open a new connection; zero if an existing one was used.
 	Connect time.Duration
-	// MarkedOverdue says that Overdue was told of the request before.
+	// MarkedOverdue is set if MarkOverdue was called for the request before.
 	MarkedOverdue bool
 }
 
-// Change is what a report changed about a target.
+// Change is the effect of a report on its target.
 type Change int
 
-// The changes of a target.
+// The effects of a report on its target.
 const (
 	Unchanged Change = iota
-	// Ejected: the target could not be reached and gets nothing for a while.
+	// Ejected: the target could not be reached or did not respond, and receives nothing for a
+	// while.
 	Ejected
-	// Readmitted: a target that was left out has answered.
+	// Readmitted: a target that was ejected has responded.
 	Readmitted
 )
 
-// MarkOverdue takes that a request which is counted at a target, and stays so until Done,
-// has had no answer for as long as one is waited for. The target is left out for a
-// while unless it has answered another request since.
+// MarkOverdue records that a request has had no response within its hedge delay. The request stays
+// in flight until Done. The target is ejected for a while unless it has responded to another
+// request since.
 func (b *Balancer) MarkOverdue(now time.Time, r Report) Change {
 	t := b.byID[r.TargetID]
 	if t == nil {
@@ -76,28 +79,28 @@
 	return Ejected
 }
 
-// Done takes what became of a request that was counted at a target.
+// Done records the result of a request and ends it at its target.
 func (b *Balancer) Done(now time.Time, r Report) Change {
 	t := b.byID[r.TargetID]
 	if t == nil {
 		return Unchanged
 	}
 	if r.HasLoad {
-		t.room = b.roomOf(t).withLoad(r.Load)
+		t.capacity = b.capacityOf(t).withLoad(r.Load)
 		t.observeLoad(now, r.Load)
 	}
-	b.observeDistance(t.Region, r.Connect)
+	b.observeRoundTrip(t.Region, r.Connect)
 	t.recordEnd(r.MarkedOverdue)
 	if r.Outcome == Answered || r.Outcome == TurnedAway {
-		b.service(t.Service).crowd.note(b.crowdLoad(t, r))
+		b.service(t.Service).load.observe(b.loadPerSlot(t, r))
 	}
 	wasOut := t.failures > 0
 	switch r.Outcome {
 	case Answered:
-		b.observeTime(now, t, r)
+		b.observeServiceTime(now, t, r)
 		t.backOff = t.backOff.WithRun(now, t.Slots)
 	case TurnedAway:
-		b.observeFull(now, t, r)
+		b.observeRejection(now, t, r)
 	case Unreachable, Stuck:
 		if r.MarkedOverdue || t.answeredSince(now.Add(-r.Took)) {
 			return Unchanged
@@ -105,7 +108,7 @@
 		t.eject(now)
 		return Ejected
 	case Broken:
-		if t.broken++; t.broken >= maxBroken {
+		if t.brokenAnswers++; t.brokenAnswers >= maxBrokenAnswers {
 			t.eject(now)
 			return Ejected
 		}
@@ -113,42 +116,42 @@
 	case Dropped, Withdrawn:
 		return Unchanged
 	}
-	t.answeredAt = now
+	t.lastAnswerAt = now
 	t.failures = 0
-	t.broken = 0
+	t.brokenAnswers = 0
 	if wasOut {
 		return Readmitted
 	}
 	return Unchanged
 }
 
-func (b *Balancer) observeDistance(region string, connect time.Duration) {
+func (b *Balancer) observeRoundTrip(region string, connect time.Duration) {
 	if connect <= 0 {
 		return
 	}
-	if known, ok := b.distances[region]; !ok || connect < known {
-		b.distances[region] = connect
+	if known, ok := b.roundTrips[region]; !ok || connect < known {
+		b.roundTrips[region] = connect
 	}
 }
 
-func (b *Balancer) observeTime(now time.Time, t *targetState, r Report) {
-	if learned := b.times[r.Route]; learned != nil {
-		learned.note(r.Took)
+func (b *Balancer) observeServiceTime(now time.Time, t *targetState, r Report) {
+	if times := b.routeTimes[r.Route]; times != nil {
+		times.observe(r.Took)
 	}
 	s := b.service(t.Service)
-	if s.mean == 0 {
-		s.mean = r.Took
+	if s.meanTime == 0 {
+		s.meanTime = r.Took
 	}
-	t.observePace(now, float64(r.Took)/float64(max(s.mean, time.Millisecond)))
-	s.mean = average(s.mean, r.Took)
+	t.observeRelativeLatency(now, float64(r.Took)/float64(max(s.meanTime, time.Millisecond)))
+	s.meanTime = movingAverage(s.meanTime, r.Took)
 }
 
-// observeFull makes a target that turned a request away count as full for a
-// while, also where it does not tell its load.
-func (b *Balancer) observeFull(now time.Time, t *targetState, r Report) {
+// observeRejection treats a target that rejected a request as full for a while, even if it reports
+// no load.
+func (b *Balancer) observeRejection(now time.Time, t *targetState, r Report) {
 	if r.HasLoad {
 		return
 	}
-	t.foreign = max(float64(t.Slots-t.inFlight), t.foreign)
-	t.foreignAt = now
+	t.otherLoad = max(float64(t.Slots-t.inFlight), t.otherLoad)
+	t.otherLoadAt = now
 }
--- a/pkg/balance/request.go
+++ b/pkg/balance/request.go
@@ -6,70 +6,69 @@
 	"time"
 )
 
-// Request is what a target is sought for.
+// Request describes a request that a target is to be chosen for.
 type Request struct {
 	Service string
-	// Route names the route, whose service times are learned.
+	// Route is the name of the route. Service times are learned per route.
 	Route string
-	// AffinityKey is the object that the request is about; empty if it does not matter
-	// which target has seen it.
+	// AffinityKey identifies the object that the request is about. It is empty if any target serves
+	// the request equally well.
 	AffinityKey string
-	// Regions are the only ones that may serve it; all if it is empty.
+	// Regions restricts the request to targets of these regions; empty allows all.
 	Regions []string
-	// PreferLocal prefers targets of the box's zone, for answers that are large.
+	// PreferLocal prefers targets of the box's zone, then of its region. It is set for large
+	// responses.
 	PreferLocal bool
-	// Objective is the latency at which the answer is still on time, and Left
-	// what remains of it.
+	// Objective is the latency objective of the request, and Remaining the time left until it.
 	Objective time.Duration
 	Remaining time.Duration
-	// ExcludeLimited leaves out targets that name limits.
+	// ExcludeLimited excludes targets that report a rate limit.
 	ExcludeLimited bool
-	// Tried are the targets that it was sent to before.
+	// Tried holds the IDs of targets that the request was sent to before.
 	Tried []string
 }
 
-// Choice is the target that a request is to be sent to. Done must follow.
+// Choice is the target to send a request to. It must be followed by Done, Release or ThrottleUntil.
 type Choice struct {
 	Target Target
-	// Limited tells that the target names a limit. Without a permit of it the choice must
-	// be taken back by ThrottleUntil.
+	// Limited is set if the target reports a rate limit. Without a permit for it, the choice must
+	// be taken back with ThrottleUntil.
 	Limited bool
-	// Remote tells that the target is in another region.
+	// Remote is set if the target is in another region.
 	Remote bool
-	// ExpectedWait is how long the request is thought to wait for a slot there.
+	// ExpectedWait is how long the request is expected to wait for a slot.
 	ExpectedWait time.Duration
-	// HedgeDelay is how long to wait for the answer before another target is
-	// sought beside this one, which may be stuck.
+	// HedgeDelay is how long to wait for a response before the request is hedged to another target,
+	// because this one may be stuck.
 	HedgeDelay time.Duration
-	// Load is what the target was thought to have.
+	// Load is the target's estimated load before this request.
 	Load float64
-	// Version is that of the state whose targets and evacuations the choice went by.
+	// Version is the version of the state that the choice was based on.
 	Version uint64
-	// Skipped is the target that would have been chosen, had it not asked this box for a
-	// back-off; empty for none.
+	// Skipped is the ID of the target that would have been chosen if it had not asked this box for
+	// a back-off; empty for none.
 	Skipped string
 }
 
-// NoTargetError says why no target can run a request in time.
+// NoTargetError reports why no target can run a request in time.
 type NoTargetError struct {
 	Service string
 	Reason  string
-	// RetryAfter is when there may be room.
+	// RetryAfter is when a target may be usable again.
 	RetryAfter time.Duration
-	// Registered is how many targets the service has.
+	// Registered is the number of registered targets of the service.
 	Registered int
-	// BackedOff is how many targets this box backs off from.
+	// BackedOff is the number of targets that this box is backing off from.
 	BackedOff int
-	// Target is the one with the shortest wait, if any can be used, or the one that can be
-	// used first; Load is how
-	// many requests it was thought to have, Wait for how long one more would wait
-	// there, and Longest for how long it may.
+	// Target is the usable target with the shortest wait, or else the one that may be usable first.
+	// Load is its estimated load, ExpectedWait how long one more request would wait there, and
+	// MaxWait how long it may.
 	Target       string
 	Load         float64
 	Slots        int
 	ExpectedWait time.Duration
 	MaxWait      time.Duration
-	// ServiceLoad is the mean load of the service's targets, in requests a slot.
+	// ServiceLoad is the mean load of the service's targets, in requests per slot.
 	ServiceLoad float64
 }
 
@@ -78,17 +77,17 @@
 	return fmt.Sprintf("no target of %s: %s; try again in %s", e.Service, e.Reason, e.RetryAfter)
 }
 
-// Reasons of a NoTargetError.
+// The reasons of a NoTargetError.
 const (
 	ReasonNone = "none can be used"
 	ReasonFull = "all are full"
-	// ReasonLimited: those that could be used name limits, which leave no room now.
+	// ReasonLimited: the targets that could be used have rate limits, which are used up.
 	ReasonLimited = "all are at their limits"
-	// ReasonBackedOff: those that could be used asked this box for a back-off.
+	// ReasonBackedOff: the targets that could be used asked this box for a back-off.
 	ReasonBackedOff = "all asked for a back-off"
 )
 
-// allows reports whether a target is one that the request may be sent to.
+// allows reports whether the request may be sent to a target at all.
 func (r Request) allows(t *targetState) bool {
 	if r.ExcludeLimited && t.limited {
 		return false
--- a/pkg/balance/routes_test.go
+++ b/pkg/balance/routes_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// The times of routes that are kept go on, those of others are forgotten.
+// KeepRoutes keeps the service times of the named routes and drops all others.
 func TestTimesOfKeptRoutesStay(t *testing.T) {
-	w := newWorld(t, 2, 0)
+	f := newRegionsFixture(t, 2, 0)
 	for _, name := range []string{"kept", "gone"} {
-		r := w.request("a")
+		r := f.request("a")
 		r.Route = name
-		w.done(w.choose(r), Dropped)
+		f.done(f.choose(r), Dropped)
 	}
-	before := w.balancer.times["kept"]
-	w.balancer.KeepRoutes(map[string]bool{"kept": true, "new": true})
-	if w.balancer.RouteCount() != 1 || w.balancer.times["kept"] != before {
-		t.Errorf("%d routes are remembered", w.balancer.RouteCount())
+	before := f.balancer.routeTimes["kept"]
+	f.balancer.KeepRoutes(map[string]bool{"kept": true, "new": true})
+	if f.balancer.RouteCount() != 1 || f.balancer.routeTimes["kept"] != before {
+		t.Errorf("%d routes are kept, want only the one named kept", f.balancer.RouteCount())
 	}
 }
--- a/pkg/balance/sharers_test.go
+++ b/pkg/balance/sharers_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// BenchmarkChooseAmongCold is one choice and its report at one of 273 boxes while a
-// third of 1,188 targets is cold, as after a zone came back or half of a service was
-// replaced.
+// BenchmarkChooseAmongCold measures one choice and its report at one of 273 boxes while a third of
+// 1,188 targets is cold, as after a zone has returned or half of a service was replaced.
 func BenchmarkChooseAmongCold(b *testing.B) {
 	const boxes, targets = 273, 1188
 	balancer := New(Config{Box: "box0", Zone: "z0", Region: "r0"})
@@ -37,8 +36,8 @@
 	}
 }
 
-// The boxes that share a cold target are those of the present boxes and of the
-// target's present region, however often they were asked for before.
+// Guards against a stale count of the boxes that share a cold target, after the boxes or the
+// target's region have changed.
 func TestSharersFollowBoxesAndRegions(t *testing.T) {
 	b := New(Config{Box: "box0", Zone: "z", Region: "r0"})
 	b.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 30})
--- a/pkg/balance/split.go
+++ b/pkg/balance/split.go
@@ -2,15 +2,13 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// splitStep moves a split along by the golden ratio's fraction: of all steps it
-// spreads any number of requests most evenly over weights that are not known
-// beforehand.
+// splitStep is the fractional part of the golden ratio. Of all step sizes it spreads any number of
+// requests most evenly over weights that are not known beforehand.
 const splitStep = 0.6180339887498949
 
-// Split divides the requests of one route among its services. The share of each
-// follows its weight over a few dozen requests of a box. Boxes begin at
-// different points, so that all together also hold the shares when each of them
-// has had a few requests only.
+// Split divides the requests of one route among its services. Within a few dozen requests of a box,
+// each service's share matches its weight. Boxes start at different positions, so that the shares
+// also hold over all boxes when each has had only a few requests.
 type Split struct{ position float64 }
 
 // NewSplit returns the split of a route at an entry box.
@@ -19,8 +17,8 @@
 	return &Split{position: float64(mix(xxhash.Sum64String(box)^xxhash.Sum64String(route))%mantissa) / mantissa}
 }
 
-// Next returns the index of the service that the next request is for. Weights
-// are not negative and one at least is above zero.
+// Next returns the index of the service for the next request. No weight may be negative, and at
+// least one must be positive.
 func (s *Split) Next(weights []float64) int {
 	s.position += splitStep
 	if s.position >= 1 {
@@ -42,5 +40,5 @@
 		due -= w
 		last = i
 	}
-	return last // rounding may leave a little of the sum
+	return last // rounding may leave a small remainder
 }
--- a/pkg/balance/split_test.go
+++ b/pkg/balance/split_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// One box alone keeps the shares over a few dozen requests.
+// A single box matches the weights over a few dozen requests.
 func TestSplitFollowsTheWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(0, 100), 2, 4).Draw(t, "weights")
@@ -18,7 +18,7 @@
 	})
 }
 
-// Many boxes that have had one to three requests each keep them together.
+// Many boxes with one to three requests each match the weights together.
 func TestSplitOfManyBoxesFollowsTheWeights(t *testing.T) {
 	for _, weights := range [][]float64{{50, 50}, {60, 40}, {90, 10}, {1, 2, 1}} {
 		for each := 1; each <= 3; each++ {
@@ -31,13 +31,13 @@
 	}
 }
 
-// tester is what checkShares needs of a test.
+// tester is the part of testing.TB that checkShares needs; *rapid.T has it too.
 type tester interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-func checkShares(t tester, weights []float64, off float64, next func(n int) int) {
+func checkShares(t tester, weights []float64, tolerance float64, next func(n int) int) {
 	t.Helper()
 	const requests = 240
 	counts := make([]int, len(weights))
@@ -49,7 +49,7 @@
 		sum += w
 	}
 	for i, w := range weights {
-		if got := float64(counts[i]) / requests; math.Abs(got-w/sum) > off {
+		if got := float64(counts[i]) / requests; math.Abs(got-w/sum) > tolerance {
 			t.Fatalf("service %d of %v got %.3f of the requests", i, weights, got)
 		}
 	}
--- a/pkg/balance/target.go
+++ b/pkg/balance/target.go
@@ -1,13 +1,12 @@
-// Package balance decides which target runs a request, or that none can in
-// time. It is a state machine without I/O: a Balancer takes the present time
-// and what became of earlier requests and returns choices.
+// Package balance decides which target runs a request, or that none can run it in time. It is a
+// state machine without I/O: a Balancer takes the current time and the results of earlier requests,
+// and returns choices.
 //
-// The targets of a service are ranked for each object by rendezvous hashing,
-// the same at every entry box; the first of them that can be used is the
-// object's home, where it was seen lately. When the home has no slot the next
-// in rank may take the request, unless the whole service is crowded. Targets of
-// another region count like those of the box's own if the way there leaves
-// enough of the request's objective.
+// The targets of a service are ranked for each affinity key by rendezvous hashing, with the same
+// result at every entry box. The highest-ranked usable target is the key's home target, which is
+// likely to have the object cached. If the home target has no free slot, the next in rank may take
+// the request, unless the whole service is saturated. Targets of another region are treated like
+// those of the box's own region if the round trip leaves enough of the request's latency objective.
 package balance
 
 import (
@@ -19,152 +18,152 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// Target is one registered target.
+// Target is a registered target.
 type Target struct {
-	// ID is unique to one life of the target: a target that starts again is another
-	// one, of which nothing is known. Name is what all its lives have in common, by
-	// which it ranks for objects; the ID stands for it where it is empty.
+	// ID identifies one incarnation of the target: after a restart it is a new target, of which
+	// nothing is known. Name is the same for all incarnations and determines the target's rank; if
+	// it is empty, the ID is used instead.
 	ID      string
 	Name    string
 	Service string
 	Address string
 	Zone    string
 	Region  string
-	// Slots is how many requests it runs at once.
+	// Slots is how many requests the target runs at once.
 	Slots    int
 	Draining bool
-	// Cold tells that it has not warmed up; ColdLeft is how much longer it
-	// stays so as of the time when it was registered.
+	// Cold is set while the target is warming up. ColdRemaining is how much longer that takes, as
+	// of its registration.
 	Cold          bool
 	ColdRemaining time.Duration
 }
 
 const (
-	// foreignHalfLife is how fast the memory of the load that other boxes put
-	// on a target fades: about the service time of a request.
-	foreignHalfLife = 600 * time.Millisecond
-	// firstEjection and longestEjection are how long a target that can't be
-	// reached is left out, doubled with each failure in a row.
-	firstEjection   = 250 * time.Millisecond
-	longestEjection = 2 * time.Second
-	// maxBroken is how many answers in a row may break before the target is
-	// left out like one that can't be reached. Single ones break also at sound
-	// targets.
-	maxBroken = 3
-	// paceWeight is the weight of one observation in a target's pace.
-	paceWeight = 0.2
-	// slowPace is how many times slower than the service's mean a target must
-	// be to be left out. A target that has seen none of the objects yet takes
-	// about three times the mean and is not slow.
-	slowPace = 4.0
-	// paceHalfLife is how fast a slow pace is forgotten, so that the target is
-	// tried again.
-	paceHalfLife = 2 * time.Second
+	// otherLoadHalfLife is the half-life of the load from other boxes: about the service time of a
+	// request.
+	otherLoadHalfLife = 600 * time.Millisecond
+	// minEjection is how long a target is ejected that cannot be reached. The time doubles with
+	// each consecutive failure, up to maxEjection.
+	minEjection = 250 * time.Millisecond
+	maxEjection = 2 * time.Second
+	// maxBrokenAnswers is the number of consecutive broken responses after which the target is
+	// ejected like an unreachable one. Single responses break at healthy targets too.
+	maxBrokenAnswers = 3
+	// relativeLatencyWeight is the weight of one observation in a target's relative latency.
+	relativeLatencyWeight = 0.2
+	// maxRelativeLatency is the relative latency above which a target is too slow to be used. A
+	// target that has cached none of the objects takes about three times the mean and must not
+	// count as slow.
+	maxRelativeLatency = 4.0
+	// relativeLatencyHalfLife is the half-life of a high relative latency, after which the target
+	// is tried again.
+	relativeLatencyHalfLife = 2 * time.Second
 )
 
-// targetState is what the box knows of one target.
+// targetState is the state that the box keeps for one target.
 type targetState struct {
 	Target
 	hash     uint64
 	inFlight int
-	// overdue are those in flight whose answer is overdue.
-	overdue   int
-	foreign   float64
-	foreignAt time.Time
-	// failures in a row, and until when the target is left out for them.
+	// overdue counts the requests in flight that are overdue.
+	overdue     int
+	otherLoad   float64
+	otherLoadAt time.Time
+	// failures counts consecutive failures. The target is ejected until ejectedUntil because of
+	// them.
 	failures     int
 	ejectedUntil time.Time
-	// broken counts the answers that broke since the last whole one, which came
-	// at answeredAt.
-	broken     int
-	answeredAt time.Time
-	// pace is the mean time of its answers relative to the service's.
-	pace   float64
-	paceAt time.Time
-	// limited tells that the target names a limit, so that a request to it needs a permit,
-	// and throttledUntil is until when there is none to be had.
+	// brokenAnswers counts the broken responses since the last complete one, which arrived at
+	// lastAnswerAt.
+	brokenAnswers int
+	lastAnswerAt  time.Time
+	// relativeLatency is the mean latency of the target divided by that of its service.
+	relativeLatency        float64
+	relativeLatencyUpdated time.Time
+	// limited is set if the target reports a rate limit, so that requests to it need permits. No
+	// permit is available before throttledUntil.
 	limited        bool
 	throttledUntil time.Time
-	// backOff is until when the target asked this box to send it nothing.
+	// backOff is the back-off that the target asked this box for.
 	backOff targetstatus.BackOff
-	// room is what its rejections taught of how much it bears.
-	room targetRoom
-	// backOffOpen tells that the end of a back-off has not been reported, and skipped is
-	// how many requests were kept from the target since it began.
-	backOffOpen bool
-	skipped     int
-	// leavingSince is when the target reported that it leaves; zero if it did not.
+	// capacity is learned from the target's rejections.
+	capacity capacityEstimate
+	// backOffUnreported is set until the end of a back-off has been reported, and skipped counts
+	// the requests kept from the target since it began.
+	backOffUnreported bool
+	skipped           int
+	// leavingSince is when the target reported that it is leaving; zero if it has not.
 	leavingSince time.Time
-	// coldUntil is when the target counts as warm; tokens are the requests
-	// that this box may send it before that.
+	// The target is cold until coldUntil. Until then this box may send it as many requests as it
+	// has tokens.
 	coldUntil time.Time
 	tokens    float64
 	tokensAt  time.Time
-	// sharers is how many boxes share what it bears while it is cold, as of the
-	// change of the boxes sharersKnown; zero for none known.
-	sharers      int
-	sharersKnown uint64
+	// sharers is how many boxes share the target's rate while it is cold, as of sharersRevision;
+	// zero if this box is not one of them.
+	sharers         int
+	sharersRevision uint64
 }
 
 func newTargetState(t Target) *targetState {
-	return &targetState{Target: t, hash: xxhash.Sum64String(cmp.Or(t.Name, t.ID)), pace: 1}
+	return &targetState{Target: t, hash: xxhash.Sum64String(cmp.Or(t.Name, t.ID)), relativeLatency: 1}
 }
 
-// load is how many requests the target is thought to have, by own count and by
-// what its last answer told of other boxes.
+// load returns the target's estimated load: the box's own requests plus what the last response
+// revealed of other boxes.
 func (t *targetState) load(now time.Time) float64 {
-	return float64(t.inFlight) + t.foreign*fade(now.Sub(t.foreignAt), foreignHalfLife)
+	return float64(t.inFlight) + t.otherLoad*decay(now.Sub(t.otherLoadAt), otherLoadHalfLife)
 }
 
-// observeLoad takes the load that an answer told, made while inFlight requests of
-// this box were there, the answered one included.
+// observeLoad applies the load reported by a response. t.inFlight must still include the request
+// that was responded to.
 func (t *targetState) observeLoad(now time.Time, l targetstatus.Load) {
-	t.foreign = max(float64(l.Running+l.Waiting-t.inFlight), 0)
-	t.foreignAt = now
+	t.otherLoad = max(float64(l.Running+l.Waiting-t.inFlight), 0)
+	t.otherLoadAt = now
 	if l.Slots > 0 {
 		t.Slots = l.Slots
 	}
 }
 
-func (t *targetState) observePace(now time.Time, ratio float64) {
-	t.pace = t.paceNow(now)*(1-paceWeight) + ratio*paceWeight
-	t.paceAt = now
+func (t *targetState) observeRelativeLatency(now time.Time, ratio float64) {
+	t.relativeLatency = t.relativeLatencyAt(now)*(1-relativeLatencyWeight) + ratio*relativeLatencyWeight
+	t.relativeLatencyUpdated = now
 }
 
-func (t *targetState) paceNow(now time.Time) float64 {
-	if t.pace <= 1 {
-		return t.pace
+func (t *targetState) relativeLatencyAt(now time.Time) float64 {
+	if t.relativeLatency <= 1 {
+		return t.relativeLatency
 	}
-	return 1 + (t.pace-1)*fade(now.Sub(t.paceAt), paceHalfLife)
+	return 1 + (t.relativeLatency-1)*decay(now.Sub(t.relativeLatencyUpdated), relativeLatencyHalfLife)
 }
 
-// eject leaves the target out for a while.
+// eject stops requests to the target for a while.
 func (t *targetState) eject(now time.Time) {
-	out := firstEjection << min(t.failures, 4)
+	out := minEjection << min(t.failures, 4)
 	t.failures++
-	t.ejectedUntil = now.Add(min(out, longestEjection))
+	t.ejectedUntil = now.Add(min(out, maxEjection))
 }
 
-// answeredSince reports whether the target has answered another request since a
-// time. An answer or a connection that was lost in that time says nothing of the
-// target then; leaving it out would send all its objects, for 0.25 s at least, to
-// targets that do not know them.
-func (t *targetState) answeredSince(at time.Time) bool { return t.answeredAt.After(at) }
+// answeredSince reports whether the target has responded to another request since a time. If it
+// has, a response or connection lost in that time does not mean that the target is unavailable, and
+// ejecting it would send all its objects, for at least 0.25 s, to targets that have not cached
+// them.
+func (t *targetState) answeredSince(at time.Time) bool { return t.lastAnswerAt.After(at) }
 
-// isOut reports whether the target is left out. After its time one request at
-// once tries it; those that are overdue try nothing any more.
-func (t *targetState) isOut(now time.Time) bool {
+// isEjected reports whether the target is ejected. After the ejection it gets one trial request at
+// a time; overdue requests do not count as trials.
+func (t *targetState) isEjected(now time.Time) bool {
 	if t.failures == 0 {
 		return false
 	}
 	return now.Before(t.ejectedUntil) || t.inFlight > t.overdue
 }
 
-// recordOverdue takes that a request in flight is overdue. One that was sent before
-// the target was registered anew is not counted in flight.
+// recordOverdue counts a request in flight as overdue. A request that was sent before the target
+// was deregistered and registered again is not in flight.
 func (t *targetState) recordOverdue() { t.overdue = min(t.overdue+1, t.inFlight) }
 
-// recordEnd takes that a request has ended.
+// recordEnd counts a request as ended.
 func (t *targetState) recordEnd(wasOverdue bool) {
 	t.inFlight = max(t.inFlight-1, 0)
 	if wasOverdue {
@@ -175,9 +174,8 @@
 
 func (t *targetState) isCold(now time.Time) bool { return now.Before(t.coldUntil) }
 
-// wait estimates how long a further request waits for a slot, where one
-// request takes mean.
-func (t *targetState) wait(now time.Time, mean time.Duration) time.Duration {
+// expectedWait estimates how long one more request waits for a slot, given the mean service time.
+func (t *targetState) expectedWait(now time.Time, mean time.Duration) time.Duration {
 	slots := max(t.Slots, 1)
 	ahead := t.load(now) - float64(slots) + 1
 	if ahead <= 0 {
