--- a/internal/entry/pool.go
+++ b/internal/entry/pool.go
@@ -140,7 +140,7 @@
 		}
 		out := p.admission.Handle(now, m.event)
 		if _, ok := m.event.(admission.TargetUpdate); ok {
-			p.limited.Store(p.admission.AnyLimited())
+			p.limited.Store(p.admission.HasLimitedTarget())
 		}
 		return p.carryOut(now, out)
 	case poolArrival:
@@ -163,7 +163,7 @@
 
 func (p *pool) checks(now time.Time) map[string]string {
 	out := make(map[string]string)
-	for _, name := range p.admission.Checks(now) {
+	for _, name := range p.admission.DueHealthChecks(now) {
 		if address, ok := p.targets[name]; ok {
 			out[name] = address
 		}
@@ -171,18 +171,18 @@
 	return out
 }
 
-func (p *pool) hold() admission.Hold {
+func (p *pool) hold() admission.SetLease {
 	if p.lease == nil || p.resting {
-		return admission.Hold{}
+		return admission.SetLease{}
 	}
-	return admission.Hold{Until: p.lease.Until()}
+	return admission.SetLease{Until: p.lease.Until()}
 }
 
 // release stops granting and, when nothing runs any more, gives the lease up.
 func (p *pool) release(done chan<- struct{}) {
 	p.resting = true
 	now := p.clock.Now()
-	p.carryOut(now, p.admission.Handle(now, admission.Hold{}))
+	p.carryOut(now, p.admission.Handle(now, admission.SetLease{}))
 	if p.admission.Load(now).Busy > 0 {
 		return
 	}
@@ -213,8 +213,8 @@
 		p.held = held
 		p.changed(held)
 	}
-	if !out.Wake.IsZero() && out.Wake.Before(wake) {
-		wake = out.Wake
+	if !out.NextTick.IsZero() && out.NextTick.Before(wake) {
+		wake = out.NextTick
 	}
 	return wake
 }
--- a/pkg/admission/backoff_test.go
+++ b/pkg/admission/backoff_test.go
@@ -15,7 +15,7 @@
 	l.handle(BackOff{Target: "t0", Wait: time.Second})
 	for range 299 {
 		l.load(10 * time.Millisecond)
-		if names := l.pool.Checks(l.now); len(names) != 1 || names[0] != "t1" {
+		if names := l.pool.DueHealthChecks(l.now); len(names) != 1 || names[0] != "t1" {
 			t.Fatalf("checked: %v", names)
 		}
 	}
@@ -73,19 +73,19 @@
 	}
 	returns := map[string]func(l *limitedPool){
 		"was not ready": func(l *limitedPool) {
-			l.handle(Measure{Target: "t0", Busy: -1})
-			l.handle(Measure{Target: "t0", Ready: true, Busy: -1})
+			l.handle(HealthReport{Target: "t0", Busy: -1})
+			l.handle(HealthReport{Target: "t0", Ready: true, Busy: -1})
 		},
 		"drained": func(l *limitedPool) {
-			l.handle(Measure{Target: "t0", Ready: true, Draining: true, Busy: -1})
-			l.handle(Measure{Target: "t0", Ready: true, Busy: -1})
+			l.handle(HealthReport{Target: "t0", Ready: true, Draining: true, Busy: -1})
+			l.handle(HealthReport{Target: "t0", Ready: true, Busy: -1})
 		},
 		"is silent on it": func(l *limitedPool) { l.now = l.now.Add(leavingMemory) },
 	}
 	for name, back := range returns {
 		l := newLimitedPool(2)
 		leaves(l)
-		l.handle(Measure{Target: "t0", Ready: true, Busy: -1}) // a check of before
+		l.handle(HealthReport{Target: "t0", Ready: true, Busy: -1}) // a check of before
 		l.load(time.Second)
 		if l.granted["t0"] > 0 {
 			t.Errorf("%s: it got %d requests too soon", name, l.granted["t0"])
--- a/pkg/admission/event.go
+++ b/pkg/admission/event.go
@@ -34,19 +34,19 @@
 	// requests from elsewhere can't use.
 	ReserveShare int
 	// RefuseFirst is the class that is refused first; nil for none.
-	RefuseFirst *Class
-	QueueLimit  int
-	QueueWait   time.Duration
+	RefuseFirst  *Class
+	QueueLimit   int
+	MaxQueueWait time.Duration
 	// ForeignShare is the percentage of slots that requests of callers who
 	// are assigned to another region may use.
 	ForeignShare       int
-	Ramp               time.Duration
+	RampUp             time.Duration
 	EjectAfterFailures int
 	EjectShare         int
-	EjectFor           time.Duration
-	// LongestRequest is after how long a request of an earlier lease holder
+	EjectionTime       time.Duration
+	// MaxRequestTime is after how long a request of an earlier lease holder
 	// has surely ended.
-	LongestRequest time.Duration
+	MaxRequestTime time.Duration
 }
 
 // Target is one target of the pool's settings.
@@ -64,8 +64,8 @@
 	Targets []Target
 }
 
-// Hold tells until when the lease is held.
-type Hold struct{ Until time.Time }
+// SetLease tells until when the lease is held.
+type SetLease struct{ Until time.Time }
 
 // Arrive asks for a slot. ID must be new.
 type Arrive struct {
@@ -105,8 +105,8 @@
 	Latency time.Duration
 }
 
-// Measure is what a target says of itself.
-type Measure struct {
+// HealthReport is what a target says of itself.
+type HealthReport struct {
 	Target string
 	// Ready is false if the target can't take work or did not answer.
 	Ready    bool
@@ -133,11 +133,11 @@
 type Tick struct{}
 
 func (Configure) event()    {}
-func (Hold) event()         {}
+func (SetLease) event()     {}
 func (Arrive) event()       {}
 func (Cancel) event()       {}
 func (Finish) event()       {}
-func (Measure) event()      {}
+func (HealthReport) event() {}
 func (TargetUpdate) event() {}
 func (BackOff) event()      {}
 func (Tick) event()         {}
@@ -174,6 +174,6 @@
 type Output struct {
 	Grants   []Grant
 	Refusals []Refusal
-	// Wake is when a Tick is needed at the latest; zero for never.
-	Wake time.Time
+	// NextTick is when a Tick is needed at the latest; zero for never.
+	NextTick time.Time
 }
--- a/pkg/admission/limited.go
+++ b/pkg/admission/limited.go
@@ -81,9 +81,9 @@
 	return true
 }
 
-// Checks returns the targets whose health may be checked now, and counts the checks of
+// DueHealthChecks returns the targets whose health may be checked now, and counts the checks of
 // those that name limits.
-func (p *Pool) Checks(now time.Time) (names []string) {
+func (p *Pool) DueHealthChecks(now time.Time) (names []string) {
 	for _, t := range p.targets {
 		if !t.removed && !t.backOff.IsActive(now) && t.rate.mayCheck(now) {
 			names = append(names, t.name)
@@ -92,8 +92,8 @@
 	return names
 }
 
-// AnyLimited reports whether a target names a limit.
-func (p *Pool) AnyLimited() bool {
+// HasLimitedTarget reports whether a target names a limit.
+func (p *Pool) HasLimitedTarget() bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool { return t.rate.hasLimit() })
 }
 
--- a/pkg/admission/limited_test.go
+++ b/pkg/admission/limited_test.go
@@ -23,7 +23,7 @@
 func newLimitedPool(count int) *limitedPool {
 	l := &limitedPool{pool: NewPool(1), now: start, granted: make(map[string]int)}
 	l.handle(Configure{config(5), targets(count)})
-	l.handle(Hold{start.Add(time.Hour)})
+	l.handle(SetLease{start.Add(time.Hour)})
 	return l
 }
 
@@ -105,7 +105,7 @@
 	checks := make(map[string]int)
 	for range 1000 {
 		l.now = l.now.Add(20 * time.Millisecond)
-		for _, name := range l.pool.Checks(l.now) {
+		for _, name := range l.pool.DueHealthChecks(l.now) {
 			checks[name]++
 		}
 	}
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -53,7 +53,7 @@
 	switch e := e.(type) {
 	case Configure:
 		p.configure(e)
-	case Hold:
+	case SetLease:
 		p.until = e.Until
 	case Arrive:
 		p.arrive(now, e)
@@ -61,7 +61,7 @@
 		p.queue.remove(e.ID)
 	case Finish:
 		p.finish(now, e)
-	case Measure:
+	case HealthReport:
 		if t := p.find(e.Target); t != nil {
 			t.measure(now, e, p.config)
 		}
@@ -81,7 +81,7 @@
 	}
 	p.refuseHopeless(now)
 	p.serveQueue(now)
-	p.out.Wake = p.wake(now)
+	p.out.NextTick = p.wake(now)
 	return p.out
 }
 
@@ -146,7 +146,7 @@
 		p.refuse(now, e.ID, ForeignCap)
 		return
 	}
-	w := waiting{arrive: e, first: p.refusedFirst(e.Class), giveUp: now.Add(p.config.QueueWait)}
+	w := waiting{arrive: e, first: p.refusedFirst(e.Class), giveUp: now.Add(p.config.MaxQueueWait)}
 	if e.Deadline.Before(w.giveUp) {
 		w.giveUp = e.Deadline
 	}
--- a/pkg/admission/pool_test.go
+++ b/pkg/admission/pool_test.go
@@ -17,8 +17,8 @@
 
 func config(slots int) Config {
 	return Config{
-		Slots: slots, ReserveShare: 20, RefuseFirst: repeatableFirst(), QueueLimit: 4, QueueWait: 100 * time.Millisecond,
-		ForeignShare: 30, Ramp: time.Second, EjectAfterFailures: 2, EjectShare: 50, EjectFor: time.Second, LongestRequest: 10 * time.Second,
+		Slots: slots, ReserveShare: 20, RefuseFirst: repeatableFirst(), QueueLimit: 4, MaxQueueWait: 100 * time.Millisecond,
+		ForeignShare: 30, RampUp: time.Second, EjectAfterFailures: 2, EjectShare: 50, EjectionTime: time.Second, MaxRequestTime: 10 * time.Second,
 	}
 }
 
@@ -43,7 +43,7 @@
 		until := func(d time.Duration) { held = now.Add(d) }
 		until(time.Hour)
 		p.Handle(now, Configure{config(slots), targets(n)})
-		p.Handle(now, Hold{held})
+		p.Handle(now, SetLease{held})
 		onTarget := make(map[string]int)
 		at := make(map[uint64]string)
 		foreign := make(map[uint64]bool)
@@ -101,7 +101,7 @@
 				}
 			},
 			"measure": func(t *rapid.T) {
-				check(p.Handle(now, Measure{
+				check(p.Handle(now, HealthReport{
 					Target: name(), Ready: rapid.Bool().Draw(t, "ready"), Cold: rapid.Bool().Draw(t, "cold"),
 					Busy: rapid.IntRange(-1, 9).Draw(t, "busy"),
 				}))
@@ -117,11 +117,11 @@
 			},
 			"lose": func(*rapid.T) {
 				until(0)
-				check(p.Handle(now, Hold{held}))
+				check(p.Handle(now, SetLease{held}))
 			},
 			"hold": func(*rapid.T) {
 				until(time.Minute)
-				check(p.Handle(now, Hold{held}))
+				check(p.Handle(now, SetLease{held}))
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
@@ -140,7 +140,7 @@
 func held(slots, n int) *Pool {
 	p := NewPool(1)
 	p.Handle(start, Configure{config(slots), targets(n)})
-	p.Handle(start, Hold{start.Add(time.Hour)})
+	p.Handle(start, SetLease{start.Add(time.Hour)})
 	return p
 }
 
@@ -222,15 +222,15 @@
 
 func TestReportLowersAndNeverRaises(t *testing.T) {
 	p := held(3, 1)
-	p.Handle(start, Measure{Target: "t0", Ready: true, Busy: 2})
+	p.Handle(start, HealthReport{Target: "t0", Ready: true, Busy: 2})
 	if load := p.Load(start); load.Capacity != 1 {
 		t.Errorf("capacity %d with two requests of an earlier holder, want 1", load.Capacity)
 	}
-	p.Handle(start, Measure{Target: "t0", Ready: true, Busy: -5})
+	p.Handle(start, HealthReport{Target: "t0", Ready: true, Busy: -5})
 	if load := p.Load(start); load.Capacity != 1 {
 		t.Errorf("capacity %d after a report without a number, want 1", load.Capacity)
 	}
-	p.Handle(start, Measure{Target: "t0", Ready: true, Busy: 0})
+	p.Handle(start, HealthReport{Target: "t0", Ready: true, Busy: 0})
 	if load := p.Load(start); load.Capacity != 3 {
 		t.Errorf("capacity %d after the earlier requests have ended, want 3", load.Capacity)
 	}
@@ -250,7 +250,7 @@
 	c := config(1)
 	c.RoundRobin, c.ReserveShare = true, 0
 	p.Handle(start, Configure{c, targets(2)})
-	p.Handle(start, Hold{start.Add(time.Hour)})
+	p.Handle(start, SetLease{start.Add(time.Hour)})
 	first, second, third := arrive(p, start, 1, Repeatable), arrive(p, start, 2, Repeatable), arrive(p, start, 3, Repeatable)
 	if first.Grants[0].Target == second.Grants[0].Target || len(third.Refusals) != 1 {
 		t.Errorf("got %+v, %+v, %+v", first, second, third)
@@ -261,8 +261,8 @@
 func ExamplePool() {
 	p := NewPool(1)
 	now := time.Unix(0, 0)
-	p.Handle(now, Configure{Config{Slots: 1, QueueWait: time.Second}, []Target{{Name: "t"}}})
-	p.Handle(now, Hold{Until: now.Add(time.Minute)})
+	p.Handle(now, Configure{Config{Slots: 1, MaxQueueWait: time.Second}, []Target{{Name: "t"}}})
+	p.Handle(now, SetLease{Until: now.Add(time.Minute)})
 	out := p.Handle(now, Arrive{ID: 7, Deadline: now.Add(time.Second)})
 	fmt.Println(out.Grants)
 	p.Handle(now, Finish{ID: 7, Result: Succeeded, Latency: time.Millisecond})
--- a/pkg/admission/settings.go
+++ b/pkg/admission/settings.go
@@ -11,13 +11,13 @@
 		Slots:              min(s.Slots, s.Connections),
 		ReserveShare:       v.ReserveShare,
 		QueueLimit:         v.QueueLimit,
-		QueueWait:          v.QueueWait,
+		MaxQueueWait:       v.QueueWait,
 		ForeignShare:       v.ShiftCapShare,
-		Ramp:               v.Ramp,
+		RampUp:             v.Ramp,
 		EjectAfterFailures: v.EjectAfterFailures,
 		EjectShare:         v.EjectShare,
-		EjectFor:           v.EjectFor,
-		LongestRequest:     v.RequestTimeout,
+		EjectionTime:       v.EjectFor,
+		MaxRequestTime:     v.RequestTimeout,
 	}
 	class := Repeatable
 	switch v.RefuseFirst {
--- a/pkg/admission/target.go
+++ b/pkg/admission/target.go
@@ -70,8 +70,8 @@
 	if t.probing {
 		n = 1
 	}
-	if since := now.Sub(t.rampFrom); !t.rampFrom.IsZero() && since < c.Ramp {
-		n = min(n, 1+int(float64(c.Slots-1)*float64(since)/float64(c.Ramp)))
+	if since := now.Sub(t.rampFrom); !t.rampFrom.IsZero() && since < c.RampUp {
+		n = min(n, 1+int(float64(c.Slots-1)*float64(since)/float64(c.RampUp)))
 	}
 	n = t.backOff.Limit(now, n)
 	n -= t.shedding(now)
@@ -105,7 +105,7 @@
 
 // measure takes what the target says of itself. It can take slots away and
 // give back only what an earlier measurement took.
-func (t *target) measure(now time.Time, m Measure, c Config) {
+func (t *target) measure(now time.Time, m HealthReport, c Config) {
 	cameBack := t.unready && m.Ready
 	if cameBack || t.saysDraining && !m.Draining {
 		t.leavingAt = time.Time{} // the next incarnation answers
@@ -117,7 +117,7 @@
 	}
 	if m.Busy >= 0 {
 		t.foreign = max(m.Busy-max(t.peak, t.inFlight), 0)
-		t.foreignExpiry = now.Add(c.LongestRequest)
+		t.foreignExpiry = now.Add(c.MaxRequestTime)
 		t.peak = t.inFlight
 	}
 }
@@ -164,7 +164,7 @@
 // time try it afterwards.
 func (t *target) eject(now time.Time, c Config) {
 	doublings := min(t.ejections, maxEjectDoublings)
-	t.ejectedUntil = now.Add(c.EjectFor << doublings)
+	t.ejectedUntil = now.Add(c.EjectionTime << doublings)
 	t.ejections++
 	t.failures = 0
 	t.probing = true
@@ -180,7 +180,7 @@
 	}
 	load := float64(t.inFlight+1) / float64(max(slots, 1))
 	score := load * max(t.latency, minLatency)
-	if t.failures > 0 && now.Sub(t.failedAt) < c.EjectFor {
+	if t.failures > 0 && now.Sub(t.failedAt) < c.EjectionTime {
 		score *= failurePenalty
 	}
 	return score
