--- a/pkg/admission/backoff.go
+++ b/pkg/admission/backoff.go
@@ -6,23 +6,22 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// leavingMemory is for how long a target counts as leaving after the last answer that reported
-// it. Its next incarnation has the same name, and may have started between two checks of
-// its health.
-const leavingMemory = time.Minute
+// leavingTimeout is how long a target counts as leaving after the last response that reported it.
+// Its next incarnation has the same name and may have started between two health checks.
+const leavingTimeout = time.Minute
 
-func (t *target) receiveLeaving(u targetstatus.Update) {
-	if u.Leaving && u.Received.After(t.leavingAt) {
-		t.leavingAt = u.Received
+func (t *target) observeLeaving(u targetstatus.Update) {
+	if u.Leaving && u.Received.After(t.leavingReportedAt) {
+		t.leavingReportedAt = u.Received
 	}
 }
 
 func (t *target) isLeaving(now time.Time) bool {
-	return !t.leavingAt.IsZero() && now.Sub(t.leavingAt) < leavingMemory
+	return !t.leavingReportedAt.IsZero() && now.Sub(t.leavingReportedAt) < leavingTimeout
 }
 
-// backOffWait returns how long it takes until a target may be used, where all that serve
-// are backed off.
+// backOffWait returns how long it takes until the first back-off ends if all serving targets are
+// backed off, and zero otherwise.
 func (p *Pool) backOffWait(now time.Time) (wait time.Duration) {
 	found := false
 	for _, t := range p.targets {
@@ -40,9 +39,8 @@
 	return wait
 }
 
-// refuseHopeless refuses the requests that wait and whose time ends before a target may be
-// used.
-func (p *Pool) refuseHopeless(now time.Time) {
+// refuseUnservable refuses the waiting requests whose wait ends before any target's back-off does.
+func (p *Pool) refuseUnservable(now time.Time) {
 	wait := p.backOffWait(now)
 	if wait == 0 {
 		return
--- a/pkg/admission/event.go
+++ b/pkg/admission/event.go
@@ -1,11 +1,10 @@
-// Package admission decides which requests run on the targets of one pool: the
-// targets of one service in one availability zone.
+// Package admission decides which requests run on the targets of one pool: the targets of one
+// service in one availability zone.
 //
-// A Pool is a state machine without I/O. The process that holds the pool's
-// lease hosts it and tells it of arrivals, ends, measurements and settings; the
-// Pool answers with grants and refusals. Its invariant is that a target never
-// has more requests granted than its slots, and the pool none without a lease.
-// What a target reports can only lower what the Pool grants.
+// A Pool is a state machine without I/O. It runs in the process that holds the pool's lease, which
+// passes it arrivals, ends of requests, health reports and settings; the Pool returns grants and
+// refusals. Its invariants are that a target never has more granted requests than slots, and that
+// nothing is granted without a lease. Reports from targets can only lower what the Pool grants.
 package admission
 
 import (
@@ -14,7 +13,7 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// Class says whether a request may be repeated.
+// Class tells whether a request may be repeated.
 type Class int
 
 // The classes of requests.
@@ -23,65 +22,63 @@
 	Repeatable
 )
 
-// Config are the settings in force for the pool.
+// Config holds the settings of a pool.
 type Config struct {
-	// RoundRobin selects the baseline policy: targets in turn, no queue, no
-	// ejection.
+	// RoundRobin selects the baseline policy: round robin without a queue or ejections.
 	RoundRobin bool
-	// Slots is how many requests one target runs at once.
+	// Slots is how many requests a target runs at once.
 	Slots int
-	// ReserveShare is the percentage of slots that the class RefuseFirst and
-	// requests from elsewhere can't use.
+	// ReserveShare is the percentage of slots that neither requests of the class RefuseFirst nor
+	// foreign ones can use.
 	ReserveShare int
 	// RefuseFirst is the class that is refused first; nil for none.
 	RefuseFirst  *Class
 	QueueLimit   int
 	MaxQueueWait time.Duration
-	// ForeignShare is the percentage of slots that requests of callers who
-	// are assigned to another region may use.
+	// ForeignShare is the percentage of slots that requests of callers assigned to another region
+	// may use.
 	ForeignShare       int
 	RampUp             time.Duration
 	EjectAfterFailures int
 	EjectShare         int
 	EjectionTime       time.Duration
-	// MaxRequestTime is after how long a request of an earlier lease holder
-	// has surely ended.
+	// MaxRequestTime is the time after which a request granted by an earlier lease holder has
+	// certainly ended.
 	MaxRequestTime time.Duration
 }
 
-// Target is one target of the pool's settings.
+// Target is a target in the pool's settings.
 type Target struct {
 	Name     string
 	Draining bool
 }
 
-// Event is one input of a Pool.
+// Event is an input of a Pool.
 type Event interface{ event() }
 
-// Configure puts settings and the list of targets in force.
+// Configure sets the settings and the list of targets.
 type Configure struct {
 	Config  Config
 	Targets []Target
 }
 
-// SetLease tells until when the lease is held.
+// SetLease sets the time until which the lease is held.
 type SetLease struct{ Until time.Time }
 
-// Arrive asks for a slot. ID must be new.
+// Arrive requests a slot. The ID must be new.
 type Arrive struct {
 	ID       uint64
 	Class    Class
 	Deadline time.Time
-	// Foreign marks a caller who is assigned to another region.
+	// Foreign is set if the caller is assigned to another region.
 	Foreign bool
-	// Exclude names targets that the request has already failed on.
+	// Exclude names the targets on which the request has already failed.
 	Exclude []string
-	// NoWait asks for a slot at once or a refusal, since another pool may have
-	// one free.
+	// NoWait asks for a refusal if no slot is free at once, because another pool may have one.
 	NoWait bool
 }
 
-// Cancel takes back an Arrive that still waits.
+// Cancel withdraws an Arrive that is still waiting.
 type Cancel struct{ ID uint64 }
 
 // Result is how a granted request ended.
@@ -90,11 +87,11 @@
 // The results of a granted request.
 const (
 	Succeeded Result = iota
-	// Failed: the target broke the connection, timed out or erred.
+	// Failed: the target broke the connection, timed out or returned an error.
 	Failed
-	// Shed: the target refused the request unrun.
+	// Shed: the target rejected the request without running it.
 	Shed
-	// Canceled: the caller left; it says nothing about the target.
+	// Canceled: the caller gave up, which says nothing about the target.
 	Canceled
 )
 
@@ -105,19 +102,19 @@
 	Latency time.Duration
 }
 
-// HealthReport is what a target says of itself.
+// HealthReport is the result of a target's health check.
 type HealthReport struct {
 	Target string
-	// Ready is false if the target can't take work or did not answer.
+	// Ready is false if the target cannot accept work or did not respond.
 	Ready    bool
 	Draining bool
-	// Cold marks a target that has just started.
+	// Cold is set if the target has just started.
 	Cold bool
-	// Busy is how many requests the target says it runs; negative if unknown.
+	// Busy is the number of requests that the target reports as running; negative if unknown.
 	Busy int
 }
 
-// TargetUpdate is what an answer of a target reports to all boxes.
+// TargetUpdate is the part of a target's response that concerns all boxes.
 type TargetUpdate struct {
 	Target string
 	Update targetstatus.Update
@@ -129,7 +126,7 @@
 	Wait   time.Duration
 }
 
-// Tick lets time pass.
+// Tick only lets time pass.
 type Tick struct{}
 
 func (Configure) event()    {}
@@ -142,7 +139,7 @@
 func (BackOff) event()      {}
 func (Tick) event()         {}
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons of a refusal.
@@ -156,14 +153,14 @@
 	Displaced    Reason = "displaced"
 )
 
-// Grant gives a request a slot of a target.
+// Grant assigns a slot of a target to a request.
 type Grant struct {
 	ID     uint64
 	Target string
 }
 
-// Refusal is the final answer to a request that got no slot: it did not run,
-// and the caller may come back after RetryAfter.
+// Refusal is the final answer to a request that got no slot. The request did not run, and the
+// caller may retry after RetryAfter.
 type Refusal struct {
 	ID         uint64
 	Reason     Reason
@@ -174,6 +171,6 @@
 type Output struct {
 	Grants   []Grant
 	Refusals []Refusal
-	// NextTick is when a Tick is needed at the latest; zero for never.
+	// NextTick is when the next Tick is due at the latest; zero for never.
 	NextTick time.Time
 }
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -12,49 +12,48 @@
 	percent       = 100
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// firstMeanGuess stands for the mean time in a slot before any request
-	// has ended.
-	firstMeanGuess = 10 * time.Millisecond
-	meanWeight     = 0.05
+	// initialMeanTime is the assumed mean time in a slot before any request has ended.
+	initialMeanTime = 10 * time.Millisecond
+	meanWeight      = 0.05
 )
 
-type running struct {
+type grantedRequest struct {
 	target  *target
 	foreign bool
 }
 
-// Pool is the admission of one service in one availability zone. It is not
-// safe for concurrent use: one loop owns it.
+// Pool admits the requests of one service in one availability zone. It is not safe for concurrent
+// use: one event loop owns it.
 type Pool struct {
-	config  Config
-	random  *rand.Rand
-	targets []*target
-	running map[uint64]running
-	foreign int
-	queue   queue
-	until   time.Time
-	turn    int
-	mean    time.Duration
-	out     Output
+	config         Config
+	random         *rand.Rand
+	targets        []*target
+	running        map[uint64]grantedRequest
+	foreign        int
+	queue          queue
+	leaseUntil     time.Time
+	roundRobinNext int
+	meanTime       time.Duration
+	out            Output
 }
 
 // NewPool returns a pool without targets and without a lease.
 func NewPool(seed uint64) *Pool {
 	return &Pool{
-		random:  rand.New(rand.NewPCG(seed, 0)),
-		running: make(map[uint64]running),
-		mean:    firstMeanGuess,
+		random:   rand.New(rand.NewPCG(seed, 0)),
+		running:  make(map[uint64]grantedRequest),
+		meanTime: initialMeanTime,
 	}
 }
 
-// Handle takes one event at now and returns what to carry out.
+// Handle processes an event and returns what to carry out.
 func (p *Pool) Handle(now time.Time, e Event) Output {
 	p.out = Output{}
 	switch e := e.(type) {
 	case Configure:
 		p.configure(e)
 	case SetLease:
-		p.until = e.Until
+		p.leaseUntil = e.Until
 	case Arrive:
 		p.arrive(now, e)
 	case Cancel:
@@ -63,12 +62,12 @@
 		p.finish(now, e)
 	case HealthReport:
 		if t := p.find(e.Target); t != nil {
-			t.measure(now, e, p.config)
+			t.applyHealthReport(now, e, p.config)
 		}
 	case TargetUpdate:
 		if t := p.find(e.Target); t != nil {
-			t.rate.take(now, e.Update)
-			t.receiveLeaving(e.Update)
+			t.limiter.apply(now, e.Update)
+			t.observeLeaving(e.Update)
 		}
 	case BackOff:
 		if t := p.find(e.Target); t != nil {
@@ -79,15 +78,15 @@
 	for _, w := range p.queue.expired(now) {
 		p.refuse(now, w.arrive.ID, QueueTimeout)
 	}
-	p.refuseHopeless(now)
-	p.serveQueue(now)
-	p.out.NextTick = p.wake(now)
+	p.refuseUnservable(now)
+	p.grantQueued(now)
+	p.out.NextTick = p.nextTick(now)
 	return p.out
 }
 
-// wake returns the next end of a wait, or a moment later while requests wait
-// for a slot that time alone may open.
-func (p *Pool) wake(now time.Time) time.Time {
+// nextTick returns when the next waiting request expires, or minRetryAfter from now if that is
+// earlier, because a slot may become free with time alone.
+func (p *Pool) nextTick(now time.Time) time.Time {
 	next := p.queue.nextExpiry()
 	if next.IsZero() {
 		return next
@@ -106,21 +105,21 @@
 	return p.targets[i]
 }
 
-// configure keeps what is known of targets that stay, and keeps those that
-// leave until their last request has ended.
+// configure keeps the state of targets that remain, and keeps removed targets until their last
+// request has ended.
 func (p *Pool) configure(e Configure) {
 	p.config = e.Config
 	for _, t := range p.targets {
 		t.removed = true
 	}
-	for _, g := range e.Targets {
-		t := p.find(g.Name)
+	for _, configured := range e.Targets {
+		t := p.find(configured.Name)
 		if t == nil {
-			t = &target{name: g.Name, rate: newRate(g.Name)}
+			t = &target{name: configured.Name, limiter: newRateLimiter(configured.Name)}
 			p.targets = append(p.targets, t)
 		}
 		t.removed = false
-		t.draining = g.Draining
+		t.draining = configured.Draining
 	}
 	p.dropRemoved()
 }
@@ -130,7 +129,7 @@
 }
 
 func (p *Pool) arrive(now time.Time, e Arrive) {
-	if !now.Before(p.until) {
+	if !now.Before(p.leaseUntil) {
 		p.refuse(now, e.ID, NoLease)
 		return
 	}
@@ -138,7 +137,7 @@
 		p.refuse(now, e.ID, QueueTimeout)
 		return
 	}
-	if p.capacity(now) == 0 && !p.mayRecover(now) {
+	if p.capacity(now) == 0 && !p.hasServingTarget(now) {
 		p.refuse(now, e.ID, NoTarget)
 		return
 	}
@@ -146,9 +145,9 @@
 		p.refuse(now, e.ID, ForeignCap)
 		return
 	}
-	w := waiting{arrive: e, first: p.refusedFirst(e.Class), giveUp: now.Add(p.config.MaxQueueWait)}
-	if e.Deadline.Before(w.giveUp) {
-		w.giveUp = e.Deadline
+	w := waiting{arrive: e, refusedFirst: p.isRefusedFirst(e.Class), waitUntil: now.Add(p.config.MaxQueueWait)}
+	if e.Deadline.Before(w.waitUntil) {
+		w.waitUntil = e.Deadline
 	}
 	if len(p.queue.items) == 0 && p.grant(now, w) {
 		return
@@ -156,14 +155,15 @@
 	p.enqueue(now, w)
 }
 
-// mayRecover reports whether a target is only left out for a while.
-func (p *Pool) mayRecover(now time.Time) bool {
+// hasServingTarget reports whether a target is serving, even if it is ejected or backed off for
+// now.
+func (p *Pool) hasServingTarget(now time.Time) bool {
 	return slices.ContainsFunc(p.targets, func(t *target) bool {
 		return t.isServing(now)
 	})
 }
 
-func (p *Pool) refusedFirst(c Class) bool {
+func (p *Pool) isRefusedFirst(c Class) bool {
 	return p.config.RefuseFirst != nil && *p.config.RefuseFirst == c
 }
 
@@ -172,13 +172,13 @@
 		p.refuse(now, w.arrive.ID, Overloaded)
 		return
 	}
-	if p.expectedWait(now, w) > w.giveUp.Sub(now) {
+	if p.expectedWait(now, w) > w.waitUntil.Sub(now) {
 		p.refuse(now, w.arrive.ID, Overloaded)
 		return
 	}
 	if len(p.queue.items) >= p.config.QueueLimit {
 		displaced, ok := p.queue.displace()
-		if w.first || !ok {
+		if w.refusedFirst || !ok {
 			if ok {
 				p.queue.add(displaced)
 			}
@@ -190,23 +190,22 @@
 	p.queue.add(w)
 }
 
-// expectedWait estimates how long a request would wait behind those that are
-// served before it.
+// expectedWait estimates how long a request would wait behind those ahead of it in the queue.
 func (p *Pool) expectedWait(now time.Time, w waiting) time.Duration {
 	ahead := 1
 	for _, other := range p.queue.items {
-		if less(other, w) < 0 {
+		if compareOrder(other, w) < 0 {
 			ahead++
 		}
 	}
-	wait := p.mean * time.Duration(ahead) / time.Duration(max(p.capacity(now), 1))
-	return max(wait, p.limitedWait(now, ahead), p.backOffWait(now))
+	wait := p.meanTime * time.Duration(ahead) / time.Duration(max(p.capacity(now), 1))
+	return max(wait, p.rateLimitWait(now, ahead), p.backOffWait(now))
 }
 
-// serveQueue grants waiting requests in order. One that can't be granted now
-// holds up those behind it of its own class only.
-func (p *Pool) serveQueue(now time.Time) {
-	if !now.Before(p.until) {
+// grantQueued grants waiting requests in order. A request that cannot be granted now blocks only
+// those of its own class behind it.
+func (p *Pool) grantQueued(now time.Time) {
+	if !now.Before(p.leaseUntil) {
 		for _, w := range p.queue.items {
 			p.refuse(now, w.arrive.ID, NoLease)
 		}
@@ -215,7 +214,7 @@
 	}
 	blocked := make(map[bool]bool, 2)
 	p.queue.items = slices.DeleteFunc(p.queue.items, func(w waiting) bool {
-		if blocked[w.first] {
+		if blocked[w.refusedFirst] {
 			return false
 		}
 		if w.arrive.Foreign && p.foreign >= p.foreignLimit(now) {
@@ -224,16 +223,16 @@
 		if p.grant(now, w) {
 			return true
 		}
-		blocked[w.first] = true
+		blocked[w.refusedFirst] = true
 		return false
 	})
 }
 
-// grant gives a request a slot if one is free for its class.
+// grant assigns a slot to a request if one is free for its class.
 func (p *Pool) grant(now time.Time, w waiting) bool {
-	free := p.free(now)
-	if w.first || w.arrive.Foreign {
-		free -= p.reserve(now)
+	free := p.freeSlots(now)
+	if w.refusedFirst || w.arrive.Foreign {
+		free -= p.reservedSlots(now)
 	}
 	if free <= 0 {
 		return false
@@ -242,8 +241,8 @@
 	if t == nil {
 		return false
 	}
-	t.granted()
-	p.running[w.arrive.ID] = running{t, w.arrive.Foreign}
+	t.recordGrant()
+	p.running[w.arrive.ID] = grantedRequest{t, w.arrive.Foreign}
 	if w.arrive.Foreign {
 		p.foreign++
 	}
@@ -260,9 +259,9 @@
 	if r.foreign {
 		p.foreign--
 	}
-	r.target.finished(now, e, p.config)
+	r.target.recordFinish(now, e, p.config)
 	if e.Result == Succeeded {
-		p.mean += time.Duration(meanWeight * float64(e.Latency-p.mean))
+		p.meanTime += time.Duration(meanWeight * float64(e.Latency-p.meanTime))
 	}
 	if !p.config.RoundRobin && r.target.failures >= p.config.EjectAfterFailures {
 		p.eject(now, r.target)
@@ -270,8 +269,8 @@
 	p.dropRemoved()
 }
 
-// eject leaves a failing target out unless too many are left out already. One
-// that is tried again and fails is left out again in any case.
+// eject ejects a failing target unless too many others are ejected already. The target itself does
+// not count, so that it can be ejected again when it fails on trial.
 func (p *Pool) eject(now time.Time, failing *target) {
 	out := 0
 	for _, t := range p.targets {
@@ -285,30 +284,29 @@
 	failing.eject(now, p.config)
 }
 
-// refuse ends a request at once and says when to come back: after the time in
-// which the pool would serve what it has, spread over as long again so that
-// callers do not return together.
+// refuse refuses a request with a Retry-After: the time in which the pool would serve its present
+// requests, plus a random delay of up to the same length, so that callers do not retry together.
 func (p *Pool) refuse(now time.Time, id uint64, reason Reason) {
 	busy := len(p.running) + len(p.queue.items) + 1
-	wait := p.mean * time.Duration(busy) / time.Duration(max(p.capacity(now), 1))
-	wait = max(wait, p.limitedWait(now, len(p.queue.items)+1))
+	wait := p.meanTime * time.Duration(busy) / time.Duration(max(p.capacity(now), 1))
+	wait = max(wait, p.rateLimitWait(now, len(p.queue.items)+1))
 	wait = max(min(max(wait, minRetryAfter), maxRetryAfter), p.backOffWait(now))
 	wait += time.Duration(p.random.Int64N(int64(wait)))
 	p.out.Refusals = append(p.out.Refusals, Refusal{ID: id, Reason: reason, RetryAfter: wait})
 }
 
-// choose returns the target for a request: the next in turn under the
-// baseline policy, else the one with the best score among those with a free
-// slot. Excluded targets are taken only if there is no other.
+// choose returns the target for a request: the next one under the round-robin policy, otherwise the
+// one with the best score among those with a free slot. Excluded targets are used only if there is
+// no other.
 func (p *Pool) choose(now time.Time, exclude []string) *target {
 	if p.config.RoundRobin {
-		return p.nextInTurn(now)
+		return p.nextRoundRobin(now)
 	}
 	var best *target
 	var bestScore float64
 	bestExcluded := true
 	for _, t := range p.targets {
-		if t.free(now, p.config) == 0 {
+		if t.freeSlots(now, p.config) == 0 {
 			continue
 		}
 		excluded := slices.Contains(exclude, t.name)
@@ -321,16 +319,15 @@
 	return best
 }
 
-// nextInTurn is the baseline: the next target in service, and no request if
-// that one is full.
-func (p *Pool) nextInTurn(now time.Time) *target {
+// nextRoundRobin returns the next target in service, or nil if that one is full.
+func (p *Pool) nextRoundRobin(now time.Time) *target {
 	for range p.targets {
-		t := p.targets[p.turn%len(p.targets)]
-		p.turn++
+		t := p.targets[p.roundRobinNext%len(p.targets)]
+		p.roundRobinNext++
 		if !t.inService(now) {
 			continue
 		}
-		if t.free(now, p.config) == 0 {
+		if t.freeSlots(now, p.config) == 0 {
 			return nil
 		}
 		return t
@@ -338,10 +335,10 @@
 	return nil
 }
 
-func (p *Pool) free(now time.Time) int {
+func (p *Pool) freeSlots(now time.Time) int {
 	n := 0
 	for _, t := range p.targets {
-		n += t.free(now, p.config)
+		n += t.freeSlots(now, p.config)
 	}
 	return n
 }
@@ -349,38 +346,37 @@
 func (p *Pool) capacity(now time.Time) int {
 	n := 0
 	for _, t := range p.targets {
-		n += t.limit(now, p.config)
+		n += t.maxInFlight(now, p.config)
 	}
 	return n
 }
 
-// reserve returns the slots kept for the class that is refused last; at least
-// one slot stays for the others.
-func (p *Pool) reserve(now time.Time) int {
+// reservedSlots returns the number of slots reserved for the class that is refused last. At least
+// one slot stays available to the others.
+func (p *Pool) reservedSlots(now time.Time) int {
 	capacity := p.capacity(now)
 	n := (capacity*p.config.ReserveShare + percent - 1) / percent
 	return max(min(n, capacity-1), 0)
 }
 
-// foreignLimit returns how many requests of callers assigned to another region
-// may run at once.
+// foreignLimit returns how many requests of callers assigned to another region may run at once.
 func (p *Pool) foreignLimit(now time.Time) int {
 	return p.capacity(now) * p.config.ForeignShare / percent
 }
 
-// Load is what a pool carries.
+// Load is the current load of a pool.
 type Load struct {
 	// Capacity is the number of slots in service.
 	Capacity int
-	// Busy is the number of requests that run, Waiting of those that wait.
+	// Busy is the number of running requests, Waiting that of queued ones.
 	Busy, Waiting int
-	// Foreign is the part of Busy that belongs to callers of other regions.
+	// Foreign is the number of running requests of callers assigned to another region.
 	Foreign int
-	// Targets is the number of targets, InService of those that get work.
+	// Targets is the number of targets, InService the number of those that receive work.
 	Targets, InService int
 }
 
-// Load returns what the pool carries at now.
+// Load returns the load of the pool at now.
 func (p *Pool) Load(now time.Time) Load {
 	l := Load{
 		Capacity: p.capacity(now),
--- a/pkg/admission/pool_test.go
+++ b/pkg/admission/pool_test.go
@@ -10,14 +10,14 @@
 
 var start = time.Unix(1000, 0)
 
-func repeatableFirst() *Class {
+func repeatableClass() *Class {
 	c := Repeatable
 	return &c
 }
 
 func config(slots int) Config {
 	return Config{
-		Slots: slots, ReserveShare: 20, RefuseFirst: repeatableFirst(), QueueLimit: 4, MaxQueueWait: 100 * time.Millisecond,
+		Slots: slots, ReserveShare: 20, RefuseFirst: repeatableClass(), QueueLimit: 4, MaxQueueWait: 100 * time.Millisecond,
 		ForeignShare: 30, RampUp: time.Second, EjectAfterFailures: 2, EjectShare: 50, EjectionTime: time.Second, MaxRequestTime: 10 * time.Second,
 	}
 }
@@ -30,8 +30,8 @@
 	return out
 }
 
-// TestNeverMoreThanSlots is the invariant of the package, over any order of
-// events and any settings, lies of targets and changes of the list included.
+// TestNeverMoreThanSlots checks the invariants of the package for any order of events, including
+// false reports from targets and changes of the target list.
 func TestNeverMoreThanSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPool(rapid.Uint64().Draw(t, "seed"))
@@ -39,46 +39,46 @@
 		slots := rapid.IntRange(1, 5).Draw(t, "slots")
 		n := rapid.IntRange(1, 4).Draw(t, "targets")
 		draining := make(map[string]bool)
-		held := now
-		until := func(d time.Duration) { held = now.Add(d) }
-		until(time.Hour)
+		leaseUntil := now
+		holdFor := func(d time.Duration) { leaseUntil = now.Add(d) }
+		holdFor(time.Hour)
 		p.Handle(now, Configure{config(slots), targets(n)})
-		p.Handle(now, SetLease{held})
+		p.Handle(now, SetLease{leaseUntil})
 		onTarget := make(map[string]int)
-		at := make(map[uint64]string)
+		granted := make(map[uint64]string)
 		foreign := make(map[uint64]bool)
-		open := make(map[uint64]bool)
+		pending := make(map[uint64]bool)
 		var id uint64
 		check := func(out Output) {
 			for _, g := range out.Grants {
-				if !open[g.ID] {
-					t.Fatalf("request %d was answered before", g.ID)
+				if !pending[g.ID] {
+					t.Fatalf("request %d was already granted, refused or canceled", g.ID)
 				}
-				delete(open, g.ID)
-				at[g.ID] = g.Target
+				delete(pending, g.ID)
+				granted[g.ID] = g.Target
 				onTarget[g.Target]++
 				if onTarget[g.Target] > slots {
 					t.Fatalf("%s runs %d requests in %d slots", g.Target, onTarget[g.Target], slots)
 				}
 				if draining[g.Target] {
-					t.Fatalf("%s drains and got new work", g.Target)
+					t.Fatalf("%s is draining and got a request", g.Target)
 				}
-				if !now.Before(held) {
-					t.Fatal("granted without the lease")
+				if !now.Before(leaseUntil) {
+					t.Fatal("granted a request without the lease")
 				}
 			}
 			for _, r := range out.Refusals {
-				if !open[r.ID] || r.RetryAfter <= 0 {
-					t.Fatalf("request %d: a refusal after an answer, or without a time to come back", r.ID)
+				if !pending[r.ID] || r.RetryAfter <= 0 {
+					t.Fatalf("request %d was refused after it had ended, or without a RetryAfter", r.ID)
 				}
-				delete(open, r.ID)
+				delete(pending, r.ID)
 			}
 		}
 		name := func() string { return fmt.Sprintf("t%d", rapid.IntRange(0, n-1).Draw(t, "target")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				id++
-				open[id] = true
+				pending[id] = true
 				foreign[id] = rapid.Bool().Draw(t, "foreign")
 				check(p.Handle(now, Arrive{
 					ID: id, Class: Class(rapid.IntRange(0, 1).Draw(t, "class")), Foreign: foreign[id],
@@ -86,16 +86,16 @@
 				}))
 			},
 			"finish": func(t *rapid.T) {
-				for done, target := range at {
-					delete(at, done)
+				for done, target := range granted {
+					delete(granted, done)
 					onTarget[target]--
 					check(p.Handle(now, Finish{ID: done, Result: Result(rapid.IntRange(0, 3).Draw(t, "result")), Latency: time.Millisecond}))
 					return
 				}
 			},
 			"cancel": func(*rapid.T) {
-				for waits := range open {
-					delete(open, waits)
+				for waits := range pending {
+					delete(pending, waits)
 					check(p.Handle(now, Cancel{waits}))
 					return
 				}
@@ -116,12 +116,12 @@
 				check(p.Handle(now, Configure{config(slots), list}))
 			},
 			"lose": func(*rapid.T) {
-				until(0)
-				check(p.Handle(now, SetLease{held}))
+				holdFor(0)
+				check(p.Handle(now, SetLease{leaseUntil}))
 			},
 			"hold": func(*rapid.T) {
-				until(time.Minute)
-				check(p.Handle(now, SetLease{held}))
+				holdFor(time.Minute)
+				check(p.Handle(now, SetLease{leaseUntil}))
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
@@ -129,15 +129,15 @@
 			},
 			"": func(t *rapid.T) {
 				load := p.Load(now)
-				if load.Busy != len(at) || load.Waiting != len(open) {
-					t.Fatalf("busy %d and waiting %d, not %d and %d", load.Busy, load.Waiting, len(at), len(open))
+				if load.Busy != len(granted) || load.Waiting != len(pending) {
+					t.Fatalf("busy %d and waiting %d, want %d and %d", load.Busy, load.Waiting, len(granted), len(pending))
 				}
 			},
 		})
 	})
 }
 
-func held(slots, n int) *Pool {
+func newLeasedPool(slots, n int) *Pool {
 	p := NewPool(1)
 	p.Handle(start, Configure{config(slots), targets(n)})
 	p.Handle(start, SetLease{start.Add(time.Hour)})
@@ -149,38 +149,38 @@
 }
 
 func TestReserveIsForTheClassRefusedLast(t *testing.T) {
-	p := held(5, 1)
+	p := newLeasedPool(5, 1)
 	for id := uint64(1); id <= 4; id++ {
 		if len(arrive(p, start, id, Repeatable).Grants) != 1 {
-			t.Fatalf("read %d got no slot", id)
+			t.Fatalf("repeatable request %d got no slot", id)
 		}
 	}
 	if len(arrive(p, start, 5, Repeatable).Grants) != 0 {
-		t.Error("a read took the reserve")
+		t.Error("a repeatable request got a reserved slot")
 	}
 	if len(arrive(p, start, 6, Unrepeatable).Grants) != 1 {
-		t.Error("a booking did not get the reserve")
+		t.Error("an unrepeatable request did not get a reserved slot")
 	}
 }
 
-func TestFullQueueDisplacesReads(t *testing.T) {
-	p := held(1, 1)
+func TestFullQueueDisplacesRepeatableRequests(t *testing.T) {
+	p := newLeasedPool(1, 1)
 	arrive(p, start, 1, Unrepeatable)
 	for id := uint64(2); id <= 5; id++ {
 		arrive(p, start, id, Repeatable)
 	}
 	out := arrive(p, start, 6, Unrepeatable)
 	if len(out.Refusals) != 1 || out.Refusals[0].Reason != Displaced || out.Refusals[0].ID != 5 {
-		t.Fatalf("got %+v, want read 5 displaced", out.Refusals)
+		t.Fatalf("got %+v, want request 5 displaced", out.Refusals)
 	}
 	out = p.Handle(start, Finish{ID: 1, Result: Succeeded, Latency: time.Millisecond})
 	if len(out.Grants) != 1 || out.Grants[0].ID != 6 {
-		t.Errorf("got %+v, want the booking first", out.Grants)
+		t.Errorf("got %+v, want request 6 granted first", out.Grants)
 	}
 }
 
-func TestFailingTargetIsLeftOutAndComesBack(t *testing.T) {
-	p := held(2, 2)
+func TestFailingTargetIsEjectedAndReadmitted(t *testing.T) {
+	p := newLeasedPool(2, 2)
 	now := start
 	var id uint64
 	for range 40 {
@@ -201,30 +201,30 @@
 	}
 	now = now.Add(1100 * time.Millisecond)
 	if load := p.Load(now); load.Capacity != 3 {
-		t.Errorf("capacity %d after the ejection, want 3: one slot to try the target with", load.Capacity)
+		t.Errorf("capacity %d after the ejection, want 3: the target gets one slot for a trial request", load.Capacity)
 	}
 }
 
-func TestEjectionHasACeiling(t *testing.T) {
-	p := held(1, 3)
+func TestEjectionIsLimitedToAShareOfTargets(t *testing.T) {
+	p := newLeasedPool(1, 3)
 	now := start
 	for id := uint64(1); id <= 30; id++ {
 		out := arrive(p, now, id, Unrepeatable)
 		if len(out.Grants) == 0 {
-			t.Fatal("no target is left")
+			t.Fatal("all targets are ejected")
 		}
 		p.Handle(now, Finish{ID: id, Result: Failed, Latency: time.Millisecond})
 	}
 	if load := p.Load(now); load.InService < 2 {
-		t.Errorf("%d of 3 targets in service with a ceiling of half", load.InService)
+		t.Errorf("%d of 3 targets in service, want at least 2 when at most half may be ejected", load.InService)
 	}
 }
 
-func TestReportLowersAndNeverRaises(t *testing.T) {
-	p := held(3, 1)
+func TestHealthReportOnlyLowersCapacity(t *testing.T) {
+	p := newLeasedPool(3, 1)
 	p.Handle(start, HealthReport{Target: "t0", Ready: true, Busy: 2})
 	if load := p.Load(start); load.Capacity != 1 {
-		t.Errorf("capacity %d with two requests of an earlier holder, want 1", load.Capacity)
+		t.Errorf("capacity %d with two requests of an earlier lease holder, want 1", load.Capacity)
 	}
 	p.Handle(start, HealthReport{Target: "t0", Ready: true, Busy: -5})
 	if load := p.Load(start); load.Capacity != 1 {
@@ -237,7 +237,7 @@
 }
 
 func TestNoWaitIsRefusedAtOnce(t *testing.T) {
-	p := held(1, 1)
+	p := newLeasedPool(1, 1)
 	arrive(p, start, 1, Unrepeatable)
 	out := p.Handle(start, Arrive{ID: 2, Deadline: start.Add(time.Second), NoWait: true})
 	if len(out.Refusals) != 1 || p.Load(start).Waiting != 0 {
@@ -272,11 +272,11 @@
 	// 0
 }
 
-// BenchmarkAdmit is one admission and its end, at pools of several sizes.
+// BenchmarkAdmit measures one admission and its end, for pools of several sizes.
 func BenchmarkAdmit(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			p := held(9, n)
+			p := newLeasedPool(9, n)
 			var id uint64
 			for b.Loop() {
 				id++
--- a/pkg/admission/queue.go
+++ b/pkg/admission/queue.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// waiting is a request that waits for a slot.
+// waiting is a request waiting for a slot.
 type waiting struct {
-	arrive Arrive
-	giveUp time.Time
-	first  bool
+	arrive       Arrive
+	waitUntil    time.Time
+	refusedFirst bool
 }
 
-// queue holds the waiting requests in the order in which they are served: the
-// class that is refused first comes last, then the nearest deadline.
+// queue holds the waiting requests in the order in which they are served: those of the class that
+// is refused first come last; within a class the earliest deadline comes first.
 type queue struct{ items []waiting }
 
-func less(a, b waiting) int {
-	if a.first != b.first {
-		if a.first {
+func compareOrder(a, b waiting) int {
+	if a.refusedFirst != b.refusedFirst {
+		if a.refusedFirst {
 			return 1
 		}
 		return -1
@@ -30,15 +30,14 @@
 }
 
 func (q *queue) add(w waiting) {
-	i, _ := slices.BinarySearchFunc(q.items, w, less)
+	i, _ := slices.BinarySearchFunc(q.items, w, compareOrder)
 	q.items = slices.Insert(q.items, i, w)
 }
 
-// displace removes and returns the last waiting request of the class that is
-// refused first.
+// displace removes and returns the last waiting request of the class that is refused first.
 func (q *queue) displace() (waiting, bool) {
 	last := len(q.items) - 1
-	if last < 0 || !q.items[last].first {
+	if last < 0 || !q.items[last].refusedFirst {
 		return waiting{}, false
 	}
 	w := q.items[last]
@@ -52,11 +51,11 @@
 	return len(q.items) < before
 }
 
-// expired removes and returns the requests whose wait is over.
+// expired removes and returns the requests whose wait has ended by now.
 func (q *queue) expired(now time.Time) []waiting {
 	var out []waiting
 	q.items = slices.DeleteFunc(q.items, func(w waiting) bool {
-		over := !now.Before(w.giveUp)
+		over := !now.Before(w.waitUntil)
 		if over {
 			out = append(out, w)
 		}
@@ -65,12 +64,12 @@
 	return out
 }
 
-// nextExpiry returns the earliest end of a wait.
+// nextExpiry returns the earliest time at which a wait ends, or zero if no request is waiting.
 func (q *queue) nextExpiry() time.Time {
 	var next time.Time
 	for _, w := range q.items {
-		if next.IsZero() || w.giveUp.Before(next) {
-			next = w.giveUp
+		if next.IsZero() || w.waitUntil.Before(next) {
+			next = w.waitUntil
 		}
 	}
 	return next
--- a/pkg/admission/settings.go
+++ b/pkg/admission/settings.go
@@ -2,8 +2,8 @@
 
 import "ledgesill.dev/ledgesill/pkg/settings"
 
-// FromSettings returns the configuration that the settings give a pool. The
-// baseline policy has no reserve.
+// FromSettings returns the pool configuration for a service's settings. The round-robin policy has
+// no reserve.
 func FromSettings(s settings.Service) Config {
 	v := s.Values
 	c := Config{
--- a/pkg/admission/target.go
+++ b/pkg/admission/target.go
@@ -7,35 +7,34 @@
 )
 
 const (
-	// latencyWeight is the share of the newest latency in the moving mean.
+	// latencyWeight is the weight of one observation in the mean latency.
 	latencyWeight = 0.1
-	// shedRecovery is how long a target must not shed to be given one of its
-	// slots back.
+	// shedRecovery is how long a target must not shed any request to get one withheld slot back.
 	shedRecovery = 500 * time.Millisecond
-	// maxEjectDoublings bounds how long a target that fails again is left out.
+	// maxEjectDoublings limits how often the ejection time of a target that keeps failing doubles.
 	maxEjectDoublings = 5
-	// minLatency keeps a target without a history comparable.
+	// minLatency makes a target without measurements comparable to the others, in seconds.
 	minLatency = 0.0005
 )
 
-// target is what the pool knows of one target.
+// target is the state that the pool keeps for one target.
 type target struct {
 	name     string
 	draining bool
 	removed  bool
 
-	inFlight int
-	peak     int
+	inFlight     int
+	peakInFlight int
 
-	unready       bool
-	saysDraining  bool
-	foreign       int
-	foreignExpiry time.Time
+	unready            bool
+	reportsDraining    bool
+	otherRequests      int
+	otherRequestsUntil time.Time
 
-	rampFrom time.Time
+	rampStart time.Time
 
-	shed   int
-	shedAt time.Time
+	withheldSlots int
+	shedAt        time.Time
 
 	failures     int
 	failedAt     time.Time
@@ -44,11 +43,11 @@
 	probing      bool
 
 	latency float64
-	rate    rate
-	// backOff is until when the target asked this box to send it nothing, and leavingAt when
-	// its last answer came that reported that it leaves; zero for none.
-	backOff   targetstatus.BackOff
-	leavingAt time.Time
+	limiter rateLimiter
+	// backOff is the back-off that the target asked this box for, and leavingReportedAt the time of
+	// its last response that reported that it is leaving; zero for none.
+	backOff           targetstatus.BackOff
+	leavingReportedAt time.Time
 }
 
 // inService reports whether the target may get new work.
@@ -56,13 +55,13 @@
 	return t.isServing(now) && !now.Before(t.ejectedUntil) && !t.backOff.IsActive(now)
 }
 
-// isServing is inService but for ejections and back-offs, which end by themselves.
+// isServing is inService without ejections and back-offs, which end by themselves.
 func (t *target) isServing(now time.Time) bool {
-	return !t.draining && !t.removed && !t.unready && !t.saysDraining && !t.isLeaving(now)
+	return !t.draining && !t.removed && !t.unready && !t.reportsDraining && !t.isLeaving(now)
 }
 
-// limit returns how many requests the target may have in flight.
-func (t *target) limit(now time.Time, c Config) int {
+// maxInFlight returns how many requests the target may have in flight.
+func (t *target) maxInFlight(now time.Time, c Config) int {
 	if !t.inService(now) {
 		return 0
 	}
@@ -70,79 +69,79 @@
 	if t.probing {
 		n = 1
 	}
-	if since := now.Sub(t.rampFrom); !t.rampFrom.IsZero() && since < c.RampUp {
+	if since := now.Sub(t.rampStart); !t.rampStart.IsZero() && since < c.RampUp {
 		n = min(n, 1+int(float64(c.Slots-1)*float64(since)/float64(c.RampUp)))
 	}
 	n = t.backOff.Limit(now, n)
-	n -= t.shedding(now)
-	n -= t.foreignBusy(now)
+	n -= t.withheldSlotsAt(now)
+	n -= t.otherLoad(now)
 	return max(n, 0)
 }
 
-// shedding returns how many slots are withheld because the target refused
-// work; at least one is left.
-func (t *target) shedding(now time.Time) int {
-	back := int(now.Sub(t.shedAt) / shedRecovery)
-	return max(t.shed-back, 0)
+// withheldSlotsAt returns how many slots are withheld because the target rejected work; at least
+// one slot is left.
+func (t *target) withheldSlotsAt(now time.Time) int {
+	recovered := int(now.Sub(t.shedAt) / shedRecovery)
+	return max(t.withheldSlots-recovered, 0)
 }
 
-// foreignBusy returns how many requests the target runs that this pool has not
-// granted, such as those of a lease holder that has died.
-func (t *target) foreignBusy(now time.Time) int {
-	if !now.Before(t.foreignExpiry) {
+// otherLoad returns how many requests the target runs that this pool has not granted, such as those
+// granted by a lease holder that has died.
+func (t *target) otherLoad(now time.Time) int {
+	if !now.Before(t.otherRequestsUntil) {
 		return 0
 	}
-	return t.foreign
+	return t.otherRequests
 }
 
-func (t *target) free(now time.Time, c Config) int {
-	slots := max(t.limit(now, c)-t.inFlight, 0)
-	if !t.rate.hasLimit() {
+func (t *target) freeSlots(now time.Time, c Config) int {
+	slots := max(t.maxInFlight(now, c)-t.inFlight, 0)
+	if !t.limiter.hasLimit() {
 		return slots
 	}
-	return min(slots, t.rate.free(now))
+	return min(slots, t.limiter.available(now))
 }
 
-// measure takes what the target says of itself. It can take slots away and
-// give back only what an earlier measurement took.
-func (t *target) measure(now time.Time, m HealthReport, c Config) {
-	cameBack := t.unready && m.Ready
-	if cameBack || t.saysDraining && !m.Draining {
-		t.leavingAt = time.Time{} // the next incarnation answers
+// applyHealthReport applies a health report of the target. It can withhold slots, and give back
+// only those that an earlier report withheld.
+func (t *target) applyHealthReport(now time.Time, report HealthReport, c Config) {
+	becameReady := t.unready && report.Ready
+	if becameReady || t.reportsDraining && !report.Draining {
+		t.leavingReportedAt = time.Time{} // the next incarnation has responded
 	}
-	t.unready = !m.Ready
-	t.saysDraining = m.Draining
-	if cameBack || (m.Cold && t.rampFrom.IsZero()) {
-		t.rampFrom = now
+	t.unready = !report.Ready
+	t.reportsDraining = report.Draining
+	if becameReady || (report.Cold && t.rampStart.IsZero()) {
+		t.rampStart = now
 	}
-	if m.Busy >= 0 {
-		t.foreign = max(m.Busy-max(t.peak, t.inFlight), 0)
-		t.foreignExpiry = now.Add(c.MaxRequestTime)
-		t.peak = t.inFlight
+	if report.Busy >= 0 {
+		t.otherRequests = max(report.Busy-max(t.peakInFlight, t.inFlight), 0)
+		t.otherRequestsUntil = now.Add(c.MaxRequestTime)
+		t.peakInFlight = t.inFlight
 	}
 }
 
-func (t *target) granted() {
+func (t *target) recordGrant() {
 	t.inFlight++
-	t.rate.grant()
-	t.peak = max(t.peak, t.inFlight)
+	t.limiter.consume()
+	t.peakInFlight = max(t.peakInFlight, t.inFlight)
 }
 
-// finished takes the end of a request into account.
-func (t *target) finished(now time.Time, e Finish, c Config) {
+// recordFinish updates the target's state when a request has ended.
+func (t *target) recordFinish(now time.Time, e Finish, c Config) {
 	t.inFlight--
 	switch e.Result {
 	case Succeeded:
-		t.observe(e.Latency)
+		t.observeLatency(e.Latency)
 		t.failures = 0
 		t.backOff = t.backOff.WithRun(now, c.Slots)
 		if t.probing {
 			t.probing = false
 			t.ejections = 0
-			t.rampFrom = now
+			t.rampStart = now
 		}
 	case Shed:
-		t.shed = min(t.shedding(now)+1, c.Slots-1)
+		t.withheldSlots = min(t.withheldSlotsAt(now)+1, c.Slots-1)
 		t.shedAt = now
 	case Failed:
 		t.failures++
@@ -151,7 +150,7 @@
 	}
 }
 
-func (t *target) observe(latency time.Duration) {
+func (t *target) observeLatency(latency time.Duration) {
 	s := latency.Seconds()
 	if t.latency == 0 {
 		t.latency = s
@@ -160,8 +159,7 @@
 	t.latency += latencyWeight * (s - t.latency)
 }
 
-// eject leaves the target out, longer each time, and lets one request at a
-// time try it afterwards.
+// eject ejects the target, for longer each time, and then lets one trial request through at a time.
 func (t *target) eject(now time.Time, c Config) {
 	doublings := min(t.ejections, maxEjectDoublings)
 	t.ejectedUntil = now.Add(c.EjectionTime << doublings)
@@ -170,13 +168,12 @@
 	t.probing = true
 }
 
-// score orders targets: the lower, the sooner a request is likely to be
-// answered there. A target that has just failed comes after all others for as
-// long as it would be left out.
+// score ranks targets: the lower the score, the sooner a request is likely to be answered. A target
+// that has just failed ranks after all others for EjectionTime.
 func (t *target) score(now time.Time, c Config) float64 {
-	slots := t.limit(now, c)
+	slots := t.maxInFlight(now, c)
 	if t.backOff.IsRecovering() {
-		slots = c.Slots // it would be chosen last, and not recover while others are idle
+		slots = c.Slots // otherwise it would be chosen last and not recover while others are idle
 	}
 	load := float64(t.inFlight+1) / float64(max(slots, 1))
 	score := load * max(t.latency, minLatency)
