--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -389,7 +389,7 @@
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publishing.Reports(), v.state.Shifting())}
+	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publishing.Reports(), v.state.HasRunningShift())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/relay/following.go
+++ b/internal/relay/following.go
@@ -309,7 +309,7 @@
 	if f.stream == nil || f.subscriber.Reports == nil {
 		return
 	}
-	news := f.filter.News(f.subscriber.Time.Now(), f.subscriber.Reports(), f.machine.State().Shifting())
+	news := f.filter.News(f.subscriber.Time.Now(), f.subscriber.Reports(), f.machine.State().HasRunningShift())
 	if len(news) == 0 {
 		return
 	}
--- a/pkg/steering/shift.go
+++ b/pkg/steering/shift.go
@@ -92,7 +92,7 @@
 	if moved < step.Points {
 		h.Points = h.Moved
 	}
-	return s.withAssignment(Home{h.Service, h.Home}, a).withShift(i, h), Result{Changed: true}
+	return s.withAssignment(CallerGroup{h.Service, h.Home}, a).withShift(i, h), Result{Changed: true}
 }
 
 func (s State) withShift(i int, h *wire.Shift) State {
--- a/pkg/steering/state.go
+++ b/pkg/steering/state.go
@@ -27,8 +27,8 @@
 	MaxEndedShifts = 64
 )
 
-// Home names the callers of a service with one home region.
-type Home struct{ Service, Region string }
+// CallerGroup names the callers of a service with one home region.
+type CallerGroup struct{ Service, Region string }
 
 // State is an immutable value; Apply returns the next one.
 type State struct {
@@ -38,7 +38,7 @@
 	tree            settings.Tree
 	verdicts        []*wire.Verdict
 	history         []*wire.Applied
-	assignments     map[Home]lookup.Assignment
+	assignments     map[CallerGroup]lookup.Assignment
 	shifts          []*wire.Shift
 	catalog         catalog.State
 }
@@ -61,14 +61,14 @@
 // Shifts returns the shifts that run and the latest that have ended.
 func (s State) Shifts() []*wire.Shift { return slices.Clone(s.shifts) }
 
-// Shifting reports whether a shift runs.
-func (s State) Shifting() bool {
+// HasRunningShift reports whether a shift runs.
+func (s State) HasRunningShift() bool {
 	return slices.ContainsFunc(s.shifts, func(h *wire.Shift) bool { return h.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING })
 }
 
 // Assignment returns where the callers of a service and home region go.
 func (s State) Assignment(service, home string) lookup.Assignment {
-	if a, ok := s.assignments[Home{service, home}]; ok {
+	if a, ok := s.assignments[CallerGroup{service, home}]; ok {
 		return a
 	}
 	return lookup.Whole(home)
@@ -210,14 +210,14 @@
 		history:         m.History,
 		shifts:          m.Shifts,
 		catalog:         known,
-		assignments:     make(map[Home]lookup.Assignment, len(m.Assignments)),
+		assignments:     make(map[CallerGroup]lookup.Assignment, len(m.Assignments)),
 	}
 	for _, a := range m.Assignments {
 		decoded, err := lookup.FromIntervals(a.Intervals)
 		if err != nil {
 			return State{}, fmt.Errorf("decoding the assignment of %s from %s: %w", a.Service, a.Home, err)
 		}
-		s.assignments[Home{a.Service, a.Home}] = decoded
+		s.assignments[CallerGroup{a.Service, a.Home}] = decoded
 	}
 	return s, nil
 }
@@ -236,10 +236,10 @@
 	return Decode(m)
 }
 
-func (s State) withAssignment(h Home, a lookup.Assignment) State {
+func (s State) withAssignment(h CallerGroup, a lookup.Assignment) State {
 	s.assignments = maps.Clone(s.assignments)
 	if s.assignments == nil {
-		s.assignments = make(map[Home]lookup.Assignment)
+		s.assignments = make(map[CallerGroup]lookup.Assignment)
 	}
 	s.assignments[h] = a
 	return s
