--- a/pkg/balance/balancer_test.go
+++ b/pkg/balance/balancer_test.go
@@ -324,7 +324,7 @@
 }
 
 // A single lost response does not eject a target that has responded to other requests since.
-func TestTargetThatAnswersOthersIsNotEjected(t *testing.T) {
+func TestTargetThatAnswersOthersStays(t *testing.T) {
 	for _, o := range []Outcome{Stuck, Unreachable} {
 		f := newRegionsFixture(t, 2, 0)
 		lost := f.choose(f.request("a"))
--- a/pkg/steering/bench_test.go
+++ b/pkg/steering/bench_test.go
@@ -12,10 +12,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// sized returns a state of so many zones over three to a region, each with 97
-// entry boxes and 16 targets of one service: at 58 zones the size that the
-// users plan for.
-func sized(b *testing.B, zones int) State {
+// stateWithZones returns a state with the given number of zones, three per region, each with 97
+// entry boxes and 16 targets of one service. Users plan for 58 zones.
+func stateWithZones(b *testing.B, zones int) State {
 	b.Helper()
 	c := &wire.Change{Id: "tree"}
 	port := 1
@@ -47,11 +46,11 @@
 
 var benchZones = []int{6, 20, 58}
 
-// BenchmarkChange is what a change costs a box: apply it and build the table.
+// BenchmarkChange measures what a change costs a box: applying it and building the table.
 func BenchmarkChange(b *testing.B) {
 	for _, zones := range benchZones {
 		b.Run(fmt.Sprintf("zones=%d", zones), func(b *testing.B) {
-			s := sized(b, zones)
+			s := stateWithZones(b, zones)
 			i := 0
 			for b.Loop() {
 				i++
@@ -66,12 +65,12 @@
 	}
 }
 
-// BenchmarkSnapshot is what a whole state costs: its bytes, and the time to
-// decode it and build the table.
+// BenchmarkSnapshot measures a full state: its size in bytes, and the time to decode it and build
+// the table.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, zones := range benchZones {
 		b.Run(fmt.Sprintf("zones=%d", zones), func(b *testing.B) {
-			data, err := proto.Marshal(sized(b, zones).EncodeForBoxes())
+			data, err := proto.Marshal(stateWithZones(b, zones).EncodeForBoxes())
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -88,11 +87,11 @@
 	}
 }
 
-// BenchmarkLookup is one look-up of a block of callers.
+// BenchmarkLookup measures one lookup of a block of callers.
 func BenchmarkLookup(b *testing.B) {
 	for _, zones := range benchZones {
 		b.Run(fmt.Sprintf("zones=%d", zones), func(b *testing.B) {
-			t := sized(b, zones).Table()
+			t := stateWithZones(b, zones).Table()
 			i := 0
 			usable := func(settings.Box) bool { return true }
 			for b.Loop() {
@@ -103,7 +102,7 @@
 	}
 }
 
-// BenchmarkMemory is the memory that a state and its table hold.
+// BenchmarkMemory measures the memory held by a state and its table.
 func BenchmarkMemory(b *testing.B) {
 	for _, zones := range benchZones {
 		b.Run(fmt.Sprintf("zones=%d", zones), func(b *testing.B) {
@@ -111,7 +110,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				s := sized(b, zones)
+				s := stateWithZones(b, zones)
 				t := s.Table()
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/pkg/steering/change.go
+++ b/pkg/steering/change.go
@@ -10,14 +10,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Digest returns a hash of what a change asks for, by which a resend is told
-// from another change with the same id. Author and time do not count.
+// Digest returns a hash of what a change asks for, which tells a resend from another change with
+// the same ID. Author and time are not included.
 func Digest(c *wire.Change) uint64 {
 	d := xxhash.New()
 	var number [8]byte
 	write := func(text string) {
 		binary.BigEndian.PutUint64(number[:], uint64(len(text)))
-		_, _ = d.Write(number[:]) // a hash takes every write
+		_, _ = d.Write(number[:]) // writing to a hash never fails
 		_, _ = d.WriteString(text)
 	}
 	binary.BigEndian.PutUint64(number[:], c.BaseVersion)
@@ -31,8 +31,8 @@
 	return d.Sum64()
 }
 
-// applyChange gives a change its one verdict. Of changes made against the same
-// version the first is accepted; a resend gets the first answer again.
+// applyChange returns the single verdict on a change. Of several changes made against the same
+// version, the first is accepted. A resend gets the verdict of the original.
 func (s State) applyChange(c *wire.Change) (State, Result) {
 	digest := Digest(c)
 	if v, ok := s.Verdict(c.Id); ok {
@@ -48,7 +48,7 @@
 	}
 	v := &wire.Verdict{Id: c.Id, Version: s.settingsVersion, Digest: digest}
 	if c.BaseVersion != s.settingsVersion {
-		return s.refuseBase(c, v)
+		return s.rejectBase(c, v)
 	}
 	next, err := s.tree.WithEdits(c.Edits)
 	if err == nil {
@@ -65,36 +65,36 @@
 	s.settingsVersion = s.version
 	v.Kind = wire.VerdictKind_VERDICT_KIND_ACCEPTED
 	v.Version = s.settingsVersion
-	s.history = bounded(append(slices.Clone(s.history), &wire.Applied{Change: c, Version: s.version, Inverse: inverse}), MaxHistory)
+	s.history = lastN(append(slices.Clone(s.history), &wire.Applied{Change: c, Version: s.version, Inverse: inverse}), MaxHistory)
 	return s.withVerdict(v), Result{Verdict: v, Changed: true}
 }
 
-// refuseBase answers a change made against another version than the present
-// one. If the base is older than the memory of ids, an equal change may have
-// been accepted before, and the answer says so.
-func (s State) refuseBase(c *wire.Change, v *wire.Verdict) (State, Result) {
-	if c.BaseVersion < s.forgotten {
+// rejectBase returns the verdict on a change made against a version other than the current one. If
+// the base is older than the remembered verdicts, an equal change may have been accepted before,
+// and the verdict says so.
+func (s State) rejectBase(c *wire.Change, v *wire.Verdict) (State, Result) {
+	if c.BaseVersion < s.forgottenVersion {
 		v.Kind = wire.VerdictKind_VERDICT_KIND_FORGOTTEN
 		v.Detail = "not applied now; whether it was accepted before is no longer known, see the history"
 		return s, Result{Verdict: v}
 	}
 	v.Kind = wire.VerdictKind_VERDICT_KIND_CONFLICT
-	v.Clashes = s.clashes(c)
+	v.Clashes = s.conflictingKeys(c)
 	v.Detail = fmt.Sprintf("made against version %d, the present one is %d", c.BaseVersion, s.settingsVersion)
 	return s.withVerdict(v), Result{Verdict: v}
 }
 
-// clashes returns the keys of a change that later changes have touched too.
-func (s State) clashes(c *wire.Change) []string {
+// conflictingKeys returns the paths and keys of a change that later changes have also edited.
+func (s State) conflictingKeys(c *wire.Change) []string {
 	var out []string
-	for _, a := range s.history {
-		if a.Version <= c.BaseVersion {
+	for _, applied := range s.history {
+		if applied.Version <= c.BaseVersion {
 			continue
 		}
-		for _, theirs := range a.Change.Edits {
-			for _, ours := range c.Edits {
-				name := ours.Path + " " + ours.Key
-				same := ours.Path == theirs.Path && ours.Key == theirs.Key
+		for _, laterEdit := range applied.Change.Edits {
+			for _, edit := range c.Edits {
+				name := edit.Path + " " + edit.Key
+				same := edit.Path == laterEdit.Path && edit.Key == laterEdit.Key
 				if same && !slices.Contains(out, name) {
 					out = append(out, name)
 				}
@@ -104,7 +104,7 @@
 	return out
 }
 
-// Verdict returns the remembered verdict on a change id.
+// Verdict returns the verdict on a change ID if it is still remembered.
 func (s State) Verdict(id string) (*wire.Verdict, bool) {
 	i := slices.IndexFunc(s.verdicts, func(v *wire.Verdict) bool { return v.Id == id })
 	if i < 0 {
@@ -116,14 +116,14 @@
 func (s State) withVerdict(v *wire.Verdict) State {
 	all := append(slices.Clone(s.verdicts), v)
 	if extra := len(all) - MaxVerdicts; extra > 0 {
-		s.forgotten = max(s.forgotten, all[extra-1].Version)
+		s.forgottenVersion = max(s.forgottenVersion, all[extra-1].Version)
 		all = all[extra:]
 	}
 	s.verdicts = all
 	return s
 }
 
-func bounded[T any](list []T, limit int) []T {
+func lastN[T any](list []T, limit int) []T {
 	if extra := len(list) - limit; extra > 0 {
 		return list[extra:]
 	}
--- a/pkg/steering/example_test.go
+++ b/pkg/steering/example_test.go
@@ -8,12 +8,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// slots returns a change of the slots against the first version.
+// slots returns a command that changes the slots, made against version 0.
 func slots(id, value string) *wire.Command {
 	return &wire.Command{Change: &wire.Change{Id: id, Edits: []*wire.Edit{{Path: "/", Key: settings.Slots, Value: value}}}}
 }
 
-// ExampleState_Apply gives two operators' changes and a resend their verdicts.
+// ExampleState_Apply shows the verdicts on two operators' changes and on a resend.
 func ExampleState_Apply() {
 	var s steering.State
 	for _, c := range []*wire.Command{slots("ann-1", "9"), slots("bob-1", "5"), slots("ann-1", "9")} {
--- a/pkg/steering/state.go
+++ b/pkg/steering/state.go
@@ -1,7 +1,6 @@
-// Package steering is the replicated state of the system: the settings tree,
-// the verdicts on changes, the assignments of callers to regions and the
-// shifts between them. Control replicas and entry boxes apply the same
-// commands in the same order and so hold the same state.
+// Package steering holds the replicated state of the system: the settings tree, the verdicts on
+// changes, the assignment of callers to regions and the shifts between regions. Control replicas
+// and entry boxes apply the same commands in the same order and thus reach the same state.
 package steering
 
 import (
@@ -17,39 +16,40 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Bounds of what the state remembers.
+// Limits on the history that the state keeps.
 const (
-	// MaxVerdicts is how many change ids are remembered.
+	// MaxVerdicts is the number of change IDs whose verdicts are remembered.
 	MaxVerdicts = 4096
-	// MaxHistory is how many accepted changes are kept with their inverse.
+	// MaxHistory is the number of accepted changes that are kept together with their inverses.
 	MaxHistory = 256
-	// MaxEndedShifts is how many finished or aborted shifts are kept.
+	// MaxEndedShifts is the number of finished or aborted shifts that are kept.
 	MaxEndedShifts = 64
 )
 
-// CallerGroup names the callers of a service with one home region.
+// CallerGroup identifies the callers of a service that have the same home region.
 type CallerGroup struct{ Service, Region string }
 
-// State is an immutable value; Apply returns the next one.
+// State is an immutable value; Apply returns the next state.
 type State struct {
-	version         uint64
-	settingsVersion uint64
-	forgotten       uint64
-	tree            settings.Tree
-	verdicts        []*wire.Verdict
-	history         []*wire.Applied
-	assignments     map[CallerGroup]lookup.Assignment
-	shifts          []*wire.Shift
-	catalog         catalog.State
+	version          uint64
+	settingsVersion  uint64
+	forgottenVersion uint64
+	tree             settings.Tree
+	verdicts         []*wire.Verdict
+	history          []*wire.Applied
+	assignments      map[CallerGroup]lookup.Assignment
+	shifts           []*wire.Shift
+	catalog          catalog.State
 }
 
-// Version grows by one with every command that changed the state.
+// Version returns the version of the state. It grows by one with every command that changes the
+// state.
 func (s State) Version() uint64 { return s.version }
 
-// SettingsVersion is the version of the last accepted change.
+// SettingsVersion returns the version of the last accepted change.
 func (s State) SettingsVersion() uint64 { return s.settingsVersion }
 
-// Tree returns the settings in force.
+// Tree returns the current settings.
 func (s State) Tree() settings.Tree { return s.tree }
 
 // Catalog returns the routes, evacuations and registered targets.
@@ -58,15 +58,16 @@
 // History returns the latest accepted changes, oldest first.
 func (s State) History() []*wire.Applied { return slices.Clone(s.history) }
 
-// Shifts returns the shifts that run and the latest that have ended.
+// Shifts returns the running shifts and the latest ended ones.
 func (s State) Shifts() []*wire.Shift { return slices.Clone(s.shifts) }
 
-// HasRunningShift reports whether a shift runs.
+// HasRunningShift reports whether any shift is running.
 func (s State) HasRunningShift() bool {
-	return slices.ContainsFunc(s.shifts, func(h *wire.Shift) bool { return h.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING })
+	return slices.ContainsFunc(s.shifts, func(shift *wire.Shift) bool { return shift.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING })
 }
 
-// Assignment returns where the callers of a service and home region go.
+// Assignment returns the regions that serve the callers of a service and home region. Without an
+// assignment that is the home region alone.
 func (s State) Assignment(service, home string) lookup.Assignment {
 	if a, ok := s.assignments[CallerGroup{service, home}]; ok {
 		return a
@@ -74,15 +75,15 @@
 	return lookup.Whole(home)
 }
 
-// Table returns the look-up table of the state.
+// Table returns the lookup table of the state.
 func (s State) Table() *lookup.Table { return lookup.NewTable(s.tree, s.Assignment) }
 
-// Result is what applying a command gave. Verdict is set for a change, Err for
-// another command that was refused.
+// Result is the result of applying a command. Verdict is set for a change, Err for any other
+// command that was rejected.
 type Result struct {
 	Verdict *wire.Verdict
 	Err     error
-	// Changed tells whether the version grew.
+	// Changed is set if the command changed the state, so that its version grew.
 	Changed bool
 }
 
@@ -99,8 +100,8 @@
 	return s, Result{Err: fmt.Errorf("a command without content")}
 }
 
-// ApplyAll returns the state after commands, one after the other, with what each
-// gave. Registration updates that follow each other are applied together.
+// ApplyAll returns the state after applying commands in order, with the result of each. Consecutive
+// registration updates are applied in one batch.
 func (s State) ApplyAll(commands []*wire.Command) (State, []Result) {
 	results := make([]Result, 0, len(commands))
 	for len(commands) > 0 {
@@ -125,7 +126,7 @@
 	return s, results
 }
 
-// leadingUpdates returns the registration updates that commands begin with.
+// leadingUpdates returns the registration updates at the start of commands.
 func leadingUpdates(commands []*wire.Command) []*wire.RegistrationCommand {
 	var out []*wire.RegistrationCommand
 	for _, c := range commands {
@@ -137,7 +138,7 @@
 	return out
 }
 
-// isRegistrationUpdate reports whether a command is nothing but a target's update.
+// isRegistrationUpdate reports whether a command contains a registration update and nothing else.
 func isRegistrationUpdate(c *wire.Command) bool {
 	return c.Registration != nil && c.Change == nil && c.Shift == nil && c.Routes == nil && c.Evacuation == nil && c.Quarantine == nil
 }
@@ -165,15 +166,15 @@
 	out := &wire.State{
 		Version:          s.version,
 		SettingsVersion:  s.settingsVersion,
-		ForgottenVersion: s.forgotten,
+		ForgottenVersion: s.forgottenVersion,
 		Settings:         s.tree.Settings(),
 		Verdicts:         s.verdicts,
 		History:          s.history,
 		Shifts:           s.shifts,
 		Catalog:          s.catalog.Encode(),
 	}
-	for h, a := range s.assignments {
-		out.Assignments = append(out.Assignments, &wire.Assignment{Service: h.Service, Home: h.Region, Intervals: a.Intervals()})
+	for group, a := range s.assignments {
+		out.Assignments = append(out.Assignments, &wire.Assignment{Service: group.Service, Home: group.Region, Intervals: a.Intervals()})
 	}
 	slices.SortFunc(out.Assignments, func(a, b *wire.Assignment) int {
 		if a.Service+"\x00"+a.Home < b.Service+"\x00"+b.Home {
@@ -184,33 +185,33 @@
 	return out
 }
 
-// EncodeForBoxes returns the state without what only control needs.
+// EncodeForBoxes returns the state without the verdicts and the history, which only control needs.
 func (s State) EncodeForBoxes() *wire.State {
 	s.verdicts = nil
 	s.history = nil
 	return s.Encode()
 }
 
-// Decode builds and checks a state.
+// Decode returns the state in a message, or an error if it is invalid.
 func Decode(m *wire.State) (State, error) {
 	tree, err := settings.FromSettings(m.Settings)
 	if err != nil {
 		return State{}, fmt.Errorf("decoding the state: %w", err)
 	}
-	known, err := catalog.Decode(m.Catalog)
+	decodedCatalog, err := catalog.Decode(m.Catalog)
 	if err != nil {
 		return State{}, fmt.Errorf("decoding the state: %w", err)
 	}
 	s := State{
-		version:         m.Version,
-		settingsVersion: m.SettingsVersion,
-		forgotten:       m.ForgottenVersion,
-		tree:            tree,
-		verdicts:        m.Verdicts,
-		history:         m.History,
-		shifts:          m.Shifts,
-		catalog:         known,
-		assignments:     make(map[CallerGroup]lookup.Assignment, len(m.Assignments)),
+		version:          m.Version,
+		settingsVersion:  m.SettingsVersion,
+		forgottenVersion: m.ForgottenVersion,
+		tree:             tree,
+		verdicts:         m.Verdicts,
+		history:          m.History,
+		shifts:           m.Shifts,
+		catalog:          decodedCatalog,
+		assignments:      make(map[CallerGroup]lookup.Assignment, len(m.Assignments)),
 	}
 	for _, a := range m.Assignments {
 		decoded, err := lookup.FromIntervals(a.Intervals)
@@ -222,12 +223,12 @@
 	return s, nil
 }
 
-// Marshal returns the state in bytes that are the same for equal states.
+// Marshal returns an encoding of the state that is identical for equal states.
 func (s State) Marshal() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(s.Encode())
 }
 
-// Unmarshal reads what Marshal wrote.
+// Unmarshal decodes the output of Marshal.
 func Unmarshal(data []byte) (State, error) {
 	m := &wire.State{}
 	if err := proto.Unmarshal(data, m); err != nil {
@@ -236,11 +237,11 @@
 	return Decode(m)
 }
 
-func (s State) withAssignment(h CallerGroup, a lookup.Assignment) State {
+func (s State) withAssignment(group CallerGroup, a lookup.Assignment) State {
 	s.assignments = maps.Clone(s.assignments)
 	if s.assignments == nil {
 		s.assignments = make(map[CallerGroup]lookup.Assignment)
 	}
-	s.assignments[h] = a
+	s.assignments[group] = a
 	return s
 }
--- a/pkg/steering/state_test.go
+++ b/pkg/steering/state_test.go
@@ -17,9 +17,9 @@
 	}}}
 }
 
-// TestOneVerdictPerID sends changes with equal and old bases, resends them,
-// also to a state that was restored from a snapshot, and checks that each id
-// keeps its verdict and that versions only grow.
+// TestOneVerdictPerID sends changes with current and outdated bases and resends them, also to a
+// state restored from a snapshot. It checks that each ID keeps its verdict and that versions never
+// decrease.
 func TestOneVerdictPerID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
@@ -45,14 +45,14 @@
 				}
 				again, err := restored.Marshal()
 				if err != nil || string(again) != string(data) {
-					t.Fatalf("a restored state differs: %v", err)
+					t.Fatalf("a restored state encodes differently: %v", err)
 				}
 				s = restored
 			}
 			before := s.Version()
 			next, result := s.Apply(c)
 			if next.Version() < before {
-				t.Fatal("the version went down")
+				t.Fatal("the version decreased")
 			}
 			commands[c.Change.Id] = c
 			if first := verdicts[c.Change.Id]; first != nil {
@@ -61,7 +61,7 @@
 				}
 			} else if result.Verdict.Kind == wire.VerdictKind_VERDICT_KIND_ACCEPTED {
 				if bases[c.Change.BaseVersion]++; bases[c.Change.BaseVersion] > 1 {
-					t.Fatalf("two changes against version %d were accepted", c.Change.BaseVersion)
+					t.Fatalf("two changes made against version %d were accepted", c.Change.BaseVersion)
 				}
 			}
 			verdicts[c.Change.Id] = result.Verdict
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestReusedIDIsRefused(t *testing.T) {
+func TestReusedIDIsRejected(t *testing.T) {
 	s, _ := State{}.Apply(change("a", 0, 3))
 	next, result := s.Apply(change("a", 0, 4))
 	if result.Verdict.Kind != wire.VerdictKind_VERDICT_KIND_REUSED || next.Version() != s.Version() {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestConflictNamesTheClash(t *testing.T) {
+func TestConflictNamesTheConflictingKeys(t *testing.T) {
 	s, _ := State{}.Apply(change("a", 0, 3))
 	_, result := s.Apply(change("b", 0, 4))
 	v := result.Verdict
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestResendOlderThanTheMemory checks that a resend whose verdict was let go is
-// neither carried out nor called a plain conflict.
-func TestResendOlderThanTheMemory(t *testing.T) {
+// TestResendAfterItsVerdictWasDropped checks that a resend whose verdict is no longer remembered is
+// neither applied nor reported as an ordinary conflict.
+func TestResendAfterItsVerdictWasDropped(t *testing.T) {
 	s, _ := State{}.Apply(change("first", 0, 3))
 	for i := range MaxVerdicts + 5 {
 		s, _ = s.Apply(change(fmt.Sprint("id-", i), s.SettingsVersion(), i%9+1))
