--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -73,7 +73,7 @@
 	if s.baseline {
 		places = 1
 	}
-	r.config = routing.Config{Places: places, Origin: true, Repeatable: r.repeatable, Deadline: r.deadline}
+	r.config = routing.Config{Pools: places, AtOrigin: true, Repeatable: r.repeatable, Deadline: r.deadline}
 	r.failover = routing.NewFailover(r.config, s.budget)
 	r.path = s.layout.CallerDelay + s.delay(region, r.choices[0])
 	s.after(r.path, r.visit)
@@ -85,7 +85,7 @@
 	if c, ok := s.caches[r.block]; ok && s.now.Before(c.until) {
 		return c.choices
 	}
-	choices := s.table.Choose(s.service.Name, r.home, r.block, routing.MaxPlaces, func(b settings.Box) bool { return !s.pools[b.Zone].dead })
+	choices := s.table.Choose(s.service.Name, r.home, r.block, routing.MaxPools, func(b settings.Box) bool { return !s.pools[b.Zone].dead })
 	ttl := s.state.Tree().Values(settings.Path{Service: s.service.Name}).AnswerTTL
 	s.caches[r.block] = cached{choices, s.now.Add(ttl)}
 	return choices
@@ -214,11 +214,11 @@
 // placeEnded takes the answer of a place and goes on as the failover decides.
 func (r *request) placeEnded(v retry.Verdict, retryAfter time.Duration) {
 	s := r.sim
-	d := r.failover.Ended(s.now, routing.Result{Verdict: v, RetryAfter: retryAfter})
-	if d.Keep {
+	d := r.failover.HandleResult(s.now, routing.Result{Verdict: v, RetryAfter: retryAfter})
+	if d.KeepResult {
 		r.kept = v
 	}
-	if d.Next {
+	if d.TryNext {
 		r.place++
 		hop := s.layout.ZoneDelay
 		if r.choices[r.place].Region != r.choices[0].Region {
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -36,8 +36,8 @@
 	budget := d.budgets.byService[r.service]
 	d.budgets.Unlock()
 	config := routing.Config{
-		Places:     len(places),
-		Origin:     r.hops == 0,
+		Pools:      len(places),
+		AtOrigin:   r.hops == 0,
 		Repeatable: r.repeatable,
 		Deadline:   r.deadline,
 	}
@@ -48,11 +48,11 @@
 		visit.noWait = r.noWait || config.NoWait(i, len(places) > 1 && places[1].region == d.config.Region)
 		a := place.run(ctx, &visit)
 		decision := d.placeEnded(failover, a.result())
-		if decision.Keep {
+		if decision.KeepResult {
 			kept.discard()
 			kept = a
 		}
-		if !decision.Next {
+		if !decision.TryNext {
 			break
 		}
 	}
@@ -63,7 +63,7 @@
 func (d *Daemon) placeEnded(f *routing.Failover, r routing.Result) routing.Decision {
 	d.budgets.Lock()
 	defer d.budgets.Unlock()
-	return f.Ended(d.clock.Now(), r)
+	return f.HandleResult(d.clock.Now(), r)
 }
 
 const retryWithoutPool = 500 * time.Millisecond
@@ -97,7 +97,7 @@
 	if r.hops >= maxHops-1 || (r.hops > 0 && len(out) > 0) {
 		return out
 	}
-	for _, c := range f.table.Choose(r.service, d.homeOf(r), r.block, routing.MaxPlaces+1, d.usable) {
+	for _, c := range f.table.Choose(r.service, d.homeOf(r), r.block, routing.MaxPools+1, d.usable) {
 		if c.Zone == d.config.Zone {
 			continue
 		}
--- a/pkg/routing/example_test.go
+++ b/pkg/routing/example_test.go
@@ -20,16 +20,16 @@
 		{"zone c", routing.Result{Verdict: retry.Ran}},
 	}
 	f := routing.NewFailover(routing.Config{
-		Places: len(places), Origin: true, Deadline: now.Add(time.Second),
+		Pools: len(places), AtOrigin: true, Deadline: now.Add(time.Second),
 	}, retry.NewBudget(10))
 	kept := ""
 	for _, p := range places {
 		fmt.Println("asks", p.name)
-		d := f.Ended(now, p.answer)
-		if d.Keep {
+		d := f.HandleResult(now, p.answer)
+		if d.KeepResult {
 			kept = p.name
 		}
-		if !d.Next {
+		if !d.TryNext {
 			break
 		}
 	}
--- a/pkg/routing/failover.go
+++ b/pkg/routing/failover.go
@@ -9,16 +9,16 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-// MaxPlaces bounds the places that one request is offered to.
-const MaxPlaces = 3
+// MaxPools bounds the places that one request is offered to.
+const MaxPools = 3
 
 // Config is what is known of a request when it begins.
 type Config struct {
-	// Places is how many places there are.
-	Places int
-	// Origin is true at the box that took the request from its caller; only
+	// Pools is how many places there are.
+	Pools int
+	// AtOrigin is true at the box that took the request from its caller; only
 	// there does it go on to another place.
-	Origin     bool
+	AtOrigin   bool
 	Repeatable bool
 	Deadline   time.Time
 }
@@ -28,7 +28,7 @@
 // place is another zone of the same region, which is near and may have a slot
 // free. There the request may wait.
 func (c Config) NoWait(place int, nextIsNear bool) bool {
-	return c.Origin && place == 0 && c.Places > 1 && nextIsNear
+	return c.AtOrigin && place == 0 && c.Pools > 1 && nextIsNear
 }
 
 // Result is what a place made of the request.
@@ -42,10 +42,10 @@
 
 // Decision is what to do after a place has answered.
 type Decision struct {
-	// Next is true if the following place is to be tried.
-	Next bool
-	// Keep is true if the new answer takes the place of the one before.
-	Keep bool
+	// TryNext is true if the following place is to be tried.
+	TryNext bool
+	// KeepResult is true if the new answer takes the place of the one before.
+	KeepResult bool
 }
 
 // Failover takes one request from place to place.
@@ -59,17 +59,17 @@
 // NewFailover returns the failover of a request that is sent to its first place.
 func NewFailover(c Config, b *retry.Budget) *Failover { return &Failover{config: c, budget: b} }
 
-// Ended takes the answer of the present place. A place that surely did not run
+// HandleResult takes the answer of the present place. A place that surely did not run
 // the request lets the next one have it; one that may have run it does so only
 // if the request is repeatable and the retry budget allows it.
-func (f *Failover) Ended(now time.Time, r Result) Decision {
+func (f *Failover) HandleResult(now time.Time, r Result) Decision {
 	first := f.tried == 0
 	f.tried++
 	keep := first || !f.worse(r)
 	if keep {
 		f.last = r
 	}
-	return Decision{Next: f.canRetry(now, r), Keep: keep}
+	return Decision{TryNext: f.canRetry(now, r), KeepResult: keep}
 }
 
 // worse reports whether the answer before is to be kept: one that says that the
@@ -84,7 +84,7 @@
 }
 
 func (f *Failover) canRetry(now time.Time, r Result) bool {
-	if !f.config.Origin || f.tried >= min(f.config.Places, MaxPlaces) || !now.Before(f.config.Deadline) {
+	if !f.config.AtOrigin || f.tried >= min(f.config.Pools, MaxPools) || !now.Before(f.config.Deadline) {
 		return false
 	}
 	switch r.Verdict {
--- a/pkg/routing/failover_test.go
+++ b/pkg/routing/failover_test.go
@@ -15,7 +15,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		c := Config{
-			Places: rapid.IntRange(1, 9).Draw(t, "places"), Origin: rapid.Bool().Draw(t, "origin"),
+			Pools: rapid.IntRange(1, 9).Draw(t, "places"), AtOrigin: rapid.Bool().Draw(t, "origin"),
 			Repeatable: rapid.Bool().Draw(t, "repeatable"), Deadline: now.Add(time.Second),
 		}
 		failover := NewFailover(c, retry.NewBudget(50))
@@ -29,17 +29,17 @@
 			if r.Verdict != retry.DidNotRun {
 				mayRun++
 			}
-			d := failover.Ended(now, r)
-			if d.Keep {
+			d := failover.HandleResult(now, r)
+			if d.KeepResult {
 				kept = r.Verdict
 			}
-			if r.Verdict == retry.Ran && (d.Next || !d.Keep) {
+			if r.Verdict == retry.Ran && (d.TryNext || !d.KeepResult) {
 				t.Fatal("goes on after an answer")
 			}
-			if !d.Next {
+			if !d.TryNext {
 				break
 			}
-			if tried >= MaxPlaces || tried >= c.Places || !c.Origin {
+			if tried >= MaxPools || tried >= c.Pools || !c.AtOrigin {
 				t.Fatal("goes on for too long")
 			}
 		}
