--- a/pkg/routing/example_test.go
+++ b/pkg/routing/example_test.go
@@ -8,34 +8,34 @@
 	"ledgesill.dev/ledgesill/pkg/routing"
 )
 
-// ExampleFailover takes a request from a full zone to the next one.
+// ExampleFailover fails a request over from a full zone to the next one.
 func ExampleFailover() {
 	now := time.Unix(0, 0)
-	places := []struct {
+	pools := []struct {
 		name   string
-		answer routing.Result // what asking there would bring
+		result routing.Result // the result of sending the request there
 	}{
 		{"zone a", routing.Result{Verdict: retry.DidNotRun, RetryAfter: 50 * time.Millisecond}},
 		{"zone b", routing.Result{Verdict: retry.Ran}},
 		{"zone c", routing.Result{Verdict: retry.Ran}},
 	}
 	f := routing.NewFailover(routing.Config{
-		Pools: len(places), AtOrigin: true, Deadline: now.Add(time.Second),
+		Pools: len(pools), AtOrigin: true, Deadline: now.Add(time.Second),
 	}, retry.NewBudget(10))
 	kept := ""
-	for _, p := range places {
-		fmt.Println("asks", p.name)
-		d := f.HandleResult(now, p.answer)
+	for _, pool := range pools {
+		fmt.Println("trying", pool.name)
+		d := f.HandleResult(now, pool.result)
 		if d.KeepResult {
-			kept = p.name
+			kept = pool.name
 		}
 		if !d.TryNext {
 			break
 		}
 	}
-	fmt.Println("the caller gets the answer of", kept)
+	fmt.Println("the caller gets the result of", kept)
 	// Output:
-	// asks zone a
-	// asks zone b
-	// the caller gets the answer of zone b
+	// trying zone a
+	// trying zone b
+	// the caller gets the result of zone b
 }
--- a/pkg/routing/failover.go
+++ b/pkg/routing/failover.go
@@ -1,6 +1,6 @@
-// Package routing decides how a request goes from place to place: the pool of
-// its own availability zone, then other zones, best first. A Failover is a state
-// machine without I/O.
+// Package routing decides how a request fails over between pools: first the pool of its own
+// availability zone, then those of other zones, best first. A Failover is a state machine without
+// I/O.
 package routing
 
 import (
@@ -9,46 +9,46 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-// MaxPools bounds the places that one request is offered to.
+// MaxPools is the maximum number of pools that one request is offered to.
 const MaxPools = 3
 
-// Config is what is known of a request when it begins.
+// Config describes a request at its start.
 type Config struct {
-	// Pools is how many places there are.
+	// Pools is the number of pools that the request may be offered to.
 	Pools int
-	// AtOrigin is true at the box that took the request from its caller; only
-	// there does it go on to another place.
+	// AtOrigin is set at the box that received the request from its caller. Only there does the
+	// request fail over to another pool.
 	AtOrigin   bool
 	Repeatable bool
 	Deadline   time.Time
 }
 
-// NoWait reports whether the first place is to be asked for a slot without
-// waiting: at the box that took the request from its caller, when the next
-// place is another zone of the same region, which is near and may have a slot
-// free. There the request may wait.
-func (c Config) NoWait(place int, nextIsNear bool) bool {
-	return c.AtOrigin && place == 0 && c.Pools > 1 && nextIsNear
+// NoWait reports whether a pool is to be asked for a slot without waiting. That is the case for the
+// first pool at the box that received the request from its caller, if the next pool is in another
+// zone of the same region: it is nearby and may have a free slot. The request may wait at that next
+// pool.
+func (c Config) NoWait(pool int, nextInSameRegion bool) bool {
+	return c.AtOrigin && pool == 0 && c.Pools > 1 && nextInSameRegion
 }
 
-// Result is what a place made of the request.
+// Result is the result of a request at a pool.
 type Result struct {
 	Verdict retry.Verdict
-	// RetryAfter is when the place would have the caller come back.
+	// RetryAfter is when the caller may retry according to the pool.
 	RetryAfter time.Duration
-	// Final marks a refusal that every other place would repeat.
+	// Final marks a refusal that every other pool would repeat.
 	Final bool
 }
 
-// Decision is what to do after a place has answered.
+// Decision tells what to do after a result.
 type Decision struct {
-	// TryNext is true if the following place is to be tried.
+	// TryNext is set if the request is to be sent to the next pool.
 	TryNext bool
-	// KeepResult is true if the new answer takes the place of the one before.
+	// KeepResult is set if the new result replaces the one kept so far.
 	KeepResult bool
 }
 
-// Failover takes one request from place to place.
+// Failover carries one request through its pools.
 type Failover struct {
 	config Config
 	budget *retry.Budget
@@ -56,26 +56,26 @@
 	last   Result
 }
 
-// NewFailover returns the failover of a request that is sent to its first place.
+// NewFailover returns the failover of a request that is sent to its first pool.
 func NewFailover(c Config, b *retry.Budget) *Failover { return &Failover{config: c, budget: b} }
 
-// HandleResult takes the answer of the present place. A place that surely did not run
-// the request lets the next one have it; one that may have run it does so only
-// if the request is repeatable and the retry budget allows it.
+// HandleResult processes the result of the current pool. If the request certainly did not run
+// there, it goes on to the next pool. If it may have run, it does so only if it is repeatable and
+// the retry budget allows it.
 func (f *Failover) HandleResult(now time.Time, r Result) Decision {
 	first := f.tried == 0
 	f.tried++
-	keep := first || !f.worse(r)
+	keep := first || !f.keepsPrevious(r)
 	if keep {
 		f.last = r
 	}
-	return Decision{TryNext: f.canRetry(now, r), KeepResult: keep}
+	return Decision{TryNext: f.mayTryNext(now, r), KeepResult: keep}
 }
 
-// worse reports whether the answer before is to be kept: one that says that the
-// request may have run, which a later refusal can't undo, or of two refusals
-// the one that lets the caller come back sooner.
-func (f *Failover) worse(r Result) bool {
+// keepsPrevious reports whether the previous result is better than r. That is the case if it says
+// that the request may have run, which a later refusal cannot undo, and for the one of two refusals
+// that lets the caller retry sooner.
+func (f *Failover) keepsPrevious(r Result) bool {
 	if f.last.Verdict == retry.Unknown && r.Verdict == retry.DidNotRun {
 		return true
 	}
@@ -83,7 +83,7 @@
 	return bothRefused && f.last.RetryAfter > 0 && f.last.RetryAfter < r.RetryAfter
 }
 
-func (f *Failover) canRetry(now time.Time, r Result) bool {
+func (f *Failover) mayTryNext(now time.Time, r Result) bool {
 	if !f.config.AtOrigin || f.tried >= min(f.config.Pools, MaxPools) || !now.Before(f.config.Deadline) {
 		return false
 	}
--- a/pkg/routing/failover_test.go
+++ b/pkg/routing/failover_test.go
@@ -9,8 +9,8 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-// TestFailover checks that only a request that may be repeated goes on after a
-// place that may have run it, and that a failover ends.
+// TestFailover checks that after a pool that may have run the request only a repeatable request
+// goes on, and that every failover ends.
 func TestFailover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -34,20 +34,20 @@
 				kept = r.Verdict
 			}
 			if r.Verdict == retry.Ran && (d.TryNext || !d.KeepResult) {
-				t.Fatal("goes on after an answer")
+				t.Fatal("goes on after the request has run")
 			}
 			if !d.TryNext {
 				break
 			}
 			if tried >= MaxPools || tried >= c.Pools || !c.AtOrigin {
-				t.Fatal("goes on for too long")
+				t.Fatal("goes on after the last pool")
 			}
 		}
 		if kept == retry.DidNotRun && mayRun > 0 {
-			t.Fatal("called not run though a place may have run it")
+			t.Fatal("the kept result is that the request did not run, though a pool may have run it")
 		}
 		if mayRun > 1 && !c.Repeatable {
-			t.Fatal("a request that may not be repeated may have run twice")
+			t.Fatal("an unrepeatable request may have run twice")
 		}
 	})
 }
