--- a/pkg/drain/stop_test.go
+++ b/pkg/drain/stop_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestStop checks that a stop serves for the whole time of cached answers and
-// ends only when nothing is in flight or its limit has passed.
+// TestStop checks that a process keeps serving for as long as cached answers are valid, and that
+// the stop ends only when nothing is in flight or its deadline has passed.
 func TestStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -24,18 +24,18 @@
 			inFlight := rapid.IntRange(0, 2).Draw(t, "in flight")
 			phase, _ := s.Update(now, inFlight)
 			if phase < last {
-				t.Fatalf("went from %s back to %s", last, phase)
+				t.Fatalf("the phase went back from %s to %s", last, phase)
 			}
 			if phase >= Refusing && now.Sub(began) < ttl {
-				t.Fatal("refuses while callers may still come by cached answers")
+				t.Fatal("requests are refused while cached answers are valid")
 			}
 			if phase == Ended && last != Ended && inFlight > 0 && now.Sub(began) < ttl+longest {
-				t.Fatal("ended with a request in flight")
+				t.Fatal("the stop ended with a request in flight before its deadline")
 			}
 			last = phase
 		}
 		if last != Ended {
-			t.Fatalf("is %s long after its limit", last)
+			t.Fatalf("the phase is %s long after the deadline", last)
 		}
 	})
 }
