--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -272,13 +272,13 @@
 // eject ejects a failing target unless too many others are ejected already. The target itself does
 // not count, so that it can be ejected again when it fails on trial.
 func (p *Pool) eject(now time.Time, failing *target) {
-	out := 0
+	ejected := 0
 	for _, t := range p.targets {
 		if t != failing && now.Before(t.ejectedUntil) {
-			out++
+			ejected++
 		}
 	}
-	if (out+1)*percent > p.config.EjectShare*len(p.targets) {
+	if (ejected+1)*percent > p.config.EjectShare*len(p.targets) {
 		return
 	}
 	failing.eject(now, p.config)
--- a/pkg/balance/report.go
+++ b/pkg/balance/report.go
@@ -94,7 +94,7 @@
 	if r.Outcome == Answered || r.Outcome == TurnedAway {
 		b.service(t.Service).load.observe(b.loadPerSlot(t, r))
 	}
-	wasOut := t.failures > 0
+	wasEjected := t.failures > 0
 	switch r.Outcome {
 	case Answered:
 		b.observeServiceTime(now, t, r)
@@ -119,7 +119,7 @@
 	t.lastAnswerAt = now
 	t.failures = 0
 	t.brokenAnswers = 0
-	if wasOut {
+	if wasEjected {
 		return Readmitted
 	}
 	return Unchanged
--- a/pkg/balance/serviceload.go
+++ b/pkg/balance/serviceload.go
@@ -18,9 +18,9 @@
 // scarce.
 type serviceLoad struct{ perSlot float64 }
 
-func (c *serviceLoad) observe(load float64) { c.perSlot += loadWeight * (load - c.perSlot) }
+func (l *serviceLoad) observe(load float64) { l.perSlot += loadWeight * (load - l.perSlot) }
 
-func (c *serviceLoad) isSaturated() bool { return c.perSlot > saturatedLoad }
+func (l *serviceLoad) isSaturated() bool { return l.perSlot > saturatedLoad }
 
 // loadPerSlot returns the requests per slot at a report's target. If the target reports no load,
 // all boxes are assumed to send as much as this one.
--- a/pkg/balance/target.go
+++ b/pkg/balance/target.go
@@ -139,9 +139,9 @@
 
 // eject stops requests to the target for a while.
 func (t *targetState) eject(now time.Time) {
-	out := minEjection << min(t.failures, 4)
+	duration := minEjection << min(t.failures, 4)
 	t.failures++
-	t.ejectedUntil = now.Add(min(out, maxEjection))
+	t.ejectedUntil = now.Add(min(duration, maxEjection))
 }
 
 // answeredSince reports whether the target has responded to another request since a time. If it
