--- a/pkg/admission/settings.go
+++ b/pkg/admission/settings.go
@@ -2,8 +2,8 @@
 
 import "ledgesill.dev/ledgesill/pkg/settings"
 
-// FromSettings returns the configuration that the settings give a pool. The
-// baseline policy has no reserve.
+// FromSettings returns the pool configuration for a service's settings. The round-robin policy has
+// no reserve.
 func FromSettings(s settings.Service) Config {
 	v := s.Values
 	c := Config{
@@ -11,13 +11,13 @@
 		Slots:              min(s.Slots, s.Connections),
 		ReserveShare:       v.ReserveShare,
 		QueueLimit:         v.QueueLimit,
-		QueueWait:          v.QueueWait,
+		MaxQueueWait:       v.QueueWait,
 		ForeignShare:       v.ShiftCapShare,
-		Ramp:               v.Ramp,
+		RampUp:             v.Ramp,
 		EjectAfterFailures: v.EjectAfterFailures,
 		EjectShare:         v.EjectShare,
-		EjectFor:           v.EjectFor,
-		LongestRequest:     v.RequestTimeout,
+		EjectionTime:       v.EjectFor,
+		MaxRequestTime:     v.RequestTimeout,
 	}
 	class := Repeatable
 	switch v.RefuseFirst {
