--- a/pkg/quota/alone.go
+++ b/pkg/quota/alone.go
@@ -13,24 +13,24 @@
 	aloneShare = 0.2
 )
 
-// Alone is what a box sends to targets that name limits while no control replica issues
+// Fallback is what a box sends to targets that name limits while no control replica issues
 // permits: the same box for a target, by the list that all know. It is not safe for
 // concurrent use.
-type Alone struct {
+type Fallback struct {
 	box     string
 	boxes   []string
 	buckets map[string]*bucket
 }
 
-// NewAlone returns the allowance of a box.
-func NewAlone(box string) *Alone { return &Alone{box: box, buckets: make(map[string]*bucket)} }
+// NewFallback returns the allowance of a box.
+func NewFallback(box string) *Fallback { return &Fallback{box: box, buckets: make(map[string]*bucket)} }
 
 // SetBoxes takes the names of the boxes that serve.
-func (a *Alone) SetBoxes(names []string) { a.boxes = names }
+func (a *Fallback) SetBoxes(names []string) { a.boxes = names }
 
 // Take reports whether the box may send a request to a target with a limit, in requests a
 // second, and counts it.
-func (a *Alone) Take(now time.Time, target string, limit float64) (until time.Time, ok bool) {
+func (a *Fallback) Take(now time.Time, target string, limit float64) (until time.Time, ok bool) {
 	if !slices.Contains(topRanked(target, a.boxes, aloneBoxes), a.box) {
 		return until, false
 	}
@@ -48,8 +48,8 @@
 	return now.Add(p.life), true
 }
 
-// Keep forgets targets without limits.
-func (a *Alone) Keep(named func(life string) bool) {
+// Prune forgets targets without limits.
+func (a *Fallback) Prune(named func(life string) bool) {
 	for life := range a.buckets {
 		if !named(life) {
 			delete(a.buckets, life)
--- a/pkg/quota/issuer.go
+++ b/pkg/quota/issuer.go
@@ -8,29 +8,29 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// Ask is how many permits an entry box wants. Of names the workspace, or the life of the
+// SubjectRequest is how many permits an entry box wants. Of names the workspace, or the life of the
 // target, that they are of.
-type Ask struct {
-	Of    string
-	Count int
+type SubjectRequest struct {
+	Subject string
+	Count   int
 }
 
 // Grant answers an Ask. Life is how long its permits may be used; Wait is when to
 // ask again if there were none.
 type Grant struct {
-	Of    string
-	Count int
-	Life  time.Duration
-	Wait  time.Duration
+	Subject    string
+	Count      int
+	TTL        time.Duration
+	RetryAfter time.Duration
 }
 
-// BehindError says that an issuer does not have the document of routes by which a
+// StaleLimitsError says that an issuer does not have the document of routes by which a
 // box asks: its limits may be older and higher.
-type BehindError struct{ Asked, Have uint64 }
+type StaleLimitsError struct{ Requested, Current uint64 }
 
 // Error implements error.
-func (e *BehindError) Error() string {
-	return fmt.Sprintf("permits are asked by document %d, this replica has %d", e.Asked, e.Have)
+func (e *StaleLimitsError) Error() string {
+	return fmt.Sprintf("permits are asked by document %d, this replica has %d", e.Requested, e.Current)
 }
 
 const (
@@ -70,9 +70,9 @@
 	}
 }
 
-// SetParts tells how many replicas there are. It never becomes fewer: one that the
+// SetReplicaCount tells how many replicas there are. It never becomes fewer: one that the
 // others have let go may not know it.
-func (i *Issuer) SetParts(now time.Time, parts int) {
+func (i *Issuer) SetReplicaCount(now time.Time, parts int) {
 	if parts <= i.parts {
 		return
 	}
@@ -109,19 +109,19 @@
 	}
 }
 
-// Number is that of the document whose limits are kept.
-func (i *Issuer) Number() uint64 { return i.number }
+// DocumentNumber is that of the document whose limits are kept.
+func (i *Issuer) DocumentNumber() uint64 { return i.number }
 
 // Issue answers what a box asks by the document of a number. The error is a
-// BehindError.
-func (i *Issuer) Issue(now time.Time, number uint64, asks []Ask) ([]Grant, error) {
+// StaleLimitsError.
+func (i *Issuer) Issue(now time.Time, number uint64, asks []SubjectRequest) ([]Grant, error) {
 	if number > i.number {
-		return nil, &BehindError{Asked: number, Have: i.number}
+		return nil, &StaleLimitsError{Requested: number, Current: i.number}
 	}
 	out := make([]Grant, 0, len(asks))
 	for _, a := range asks {
 		g := i.grant(now, a)
-		if _, known := i.limits[a.Of]; known {
+		if _, known := i.limits[a.Subject]; known {
 			i.count(now, g)
 		}
 		out = append(out, g)
@@ -129,27 +129,27 @@
 	return out, nil
 }
 
-func (i *Issuer) grant(now time.Time, a Ask) Grant {
-	limit, known := i.limits[a.Of]
+func (i *Issuer) grant(now time.Time, a SubjectRequest) Grant {
+	limit, known := i.limits[a.Subject]
 	if known && limit.None() {
-		return Grant{Of: a.Of, Count: a.Count, Life: unlimitedLife}
+		return Grant{Subject: a.Subject, Count: a.Count, TTL: unlimitedLife}
 	}
-	b := i.buckets[a.Of]
+	b := i.buckets[a.Subject]
 	if b == nil {
-		return Grant{Of: a.Of, Wait: longestWait}
+		return Grant{Subject: a.Subject, RetryAfter: longestWait}
 	}
 	return b.grant(now, a)
 }
 
 // grant answers an ask as far as there are permits.
-func (b *bucket) grant(now time.Time, a Ask) Grant {
+func (b *bucket) grant(now time.Time, a SubjectRequest) Grant {
 	b.fill(now)
 	count := min(max(a.Count, 0), int(b.tokens))
 	b.tokens -= float64(count)
 	if count > 0 {
-		return Grant{Of: a.Of, Count: count, Life: b.life}
+		return Grant{Subject: a.Subject, Count: count, TTL: b.life}
 	}
-	return Grant{Of: a.Of, Wait: b.nextWait(now)}
+	return Grant{Subject: a.Subject, RetryAfter: b.nextWait(now)}
 }
 
 func (b *bucket) fill(now time.Time) {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -26,7 +26,7 @@
 	limit   catalog.RateLimit
 	number  uint64
 	issuers []*Issuer
-	boxes   []*Stock
+	boxes   []*PermitCache
 	// cut forbids a box to reach an issuer.
 	cut map[[2]int]bool
 	// sent are the times at which requests were sent.
@@ -45,8 +45,8 @@
 	return i
 }
 
-func (s *system) newBox() *Stock {
-	b := NewStock()
+func (s *system) newBox() *PermitCache {
+	b := NewPermitCache()
 	var names []string
 	for i := range s.issuers {
 		names = append(names, fmt.Sprint(i))
@@ -57,28 +57,28 @@
 
 // exchange carries a box's asks to the issuers and their answers back.
 func (s *system) exchange(box int) {
-	for _, a := range s.boxes[box].Asks(s.now) {
+	for _, a := range s.boxes[box].StartCalls(s.now) {
 		var i int
 		if _, err := fmt.Sscan(a.Address, &i); err != nil {
 			s.t.Fatal(err)
 		}
 		if s.cut[[2]int{box, i}] {
-			s.boxes[box].Unanswered(s.now, a)
+			s.boxes[box].HandleFailure(s.now, a)
 			continue
 		}
-		grants, err := s.issuers[i].Issue(s.now, s.number, a.Asks)
+		grants, err := s.issuers[i].Issue(s.now, s.number, a.Requests)
 		if err != nil {
-			s.boxes[box].Behind(s.now, a)
+			s.boxes[box].HandleStale(s.now, a)
 			continue
 		}
-		s.boxes[box].Answered(s.now, a, grants)
+		s.boxes[box].HandleGrants(s.now, a, grants)
 	}
 }
 
 // request has a box send a request if it gets a permit.
 func (s *system) request(box int) {
 	b := s.boxes[box]
-	b.Count(s.now, oneWorkspace)
+	b.RecordRequest(s.now, oneWorkspace)
 	for range len(s.issuers) + 1 {
 		if _, ok := b.Take(s.now, oneWorkspace); ok {
 			s.sent = append(s.sent, s.now)
@@ -87,9 +87,9 @@
 		if b.Refusal(s.now, oneWorkspace) != nil {
 			return
 		}
-		b.Wait(oneWorkspace)
+		b.AddWaiter(oneWorkspace)
 		s.exchange(box)
-		b.Unwait(oneWorkspace)
+		b.RemoveWaiter(oneWorkspace)
 	}
 }
 
@@ -122,7 +122,7 @@
 		for i := range s.issuers {
 			s.issuers[i] = s.newIssuer()
 		}
-		s.boxes = make([]*Stock, rapid.IntRange(1, 12).Draw(t, "boxes"))
+		s.boxes = make([]*PermitCache, rapid.IntRange(1, 12).Draw(t, "boxes"))
 		for i := range s.boxes {
 			s.boxes[i] = s.newBox()
 		}
@@ -194,12 +194,12 @@
 	// take returns the permits that can be had now and how long they may be used.
 	take := func() (count int, life time.Duration) {
 		for _, i := range s.issuers {
-			grants, err := i.Issue(s.now, 1, []Ask{{oneWorkspace, 1 << 20}})
+			grants, err := i.Issue(s.now, 1, []SubjectRequest{{oneWorkspace, 1 << 20}})
 			if err != nil {
 				panic(err)
 			}
 			count += grants[0].Count
-			life = max(life, grants[0].Life)
+			life = max(life, grants[0].TTL)
 		}
 		return count, life
 	}
@@ -229,7 +229,7 @@
 	s.now = s.now.Add(time.Minute)
 	s.limit = catalog.RateLimit{PerSecond: 10, Burst: 10}
 	i.SetLimits(s.now, 2, s.workspaces())
-	grants, err := i.Issue(s.now, 2, []Ask{{oneWorkspace, 1000}})
+	grants, err := i.Issue(s.now, 2, []SubjectRequest{{oneWorkspace, 1000}})
 	if err != nil || float64(grants[0].Count) > testBound.partOf(s.limit, 1).depth {
 		t.Errorf("got %+v, %v", grants, err)
 	}
@@ -243,11 +243,11 @@
 	i := s.newIssuer()
 	var waits []time.Duration
 	for range 10 {
-		grants, err := i.Issue(s.now, 1, []Ask{{oneWorkspace, 1}})
+		grants, err := i.Issue(s.now, 1, []SubjectRequest{{oneWorkspace, 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		waits = append(waits, grants[0].Wait)
+		waits = append(waits, grants[0].RetryAfter)
 	}
 	for n, wait := range waits {
 		if want := time.Duration(n+1) * 50 * time.Millisecond; wait != want {
@@ -262,9 +262,9 @@
 	s := &system{limit: catalog.RateLimit{PerSecond: 100, Burst: 100}, number: 1, issuers: make([]*Issuer, 6)}
 	s.now = time.Time{}.Add(time.Hour)
 	i := s.newIssuer()
-	i.SetParts(s.now, 5)
+	i.SetReplicaCount(s.now, 5)
 	s.now = s.now.Add(time.Minute)
-	grants, err := i.Issue(s.now, 1, []Ask{{oneWorkspace, 1000}})
+	grants, err := i.Issue(s.now, 1, []SubjectRequest{{oneWorkspace, 1000}})
 	if err != nil || float64(grants[0].Count) > testBound.partOf(s.limit, 6).depth {
 		t.Errorf("got %+v, %v", grants, err)
 	}
@@ -273,7 +273,7 @@
 // steady returns how many of a workspace's requests are refused while it sends a
 // share of its limit, spread over boxes by chance, in half a minute.
 func steady(share float64, limit catalog.RateLimit, boxes, issuers int, random func() float64) (refused, asked int) {
-	s := &system{limit: limit, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, issuers), boxes: make([]*Stock, boxes)}
+	s := &system{limit: limit, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, issuers), boxes: make([]*PermitCache, boxes)}
 	s.now = time.Time{}.Add(time.Hour)
 	for i := range s.issuers {
 		s.issuers[i] = s.newIssuer()
@@ -335,7 +335,7 @@
 	now := time.Now()
 	i := NewIssuer(Bound{Window: 5 * time.Second, Excess: 0.1, Slack: 20}, 3)
 	i.SetLimits(now, 1, []catalog.Workspace{{Name: "north", Limit: catalog.RateLimit{PerSecond: 30, Burst: 30}}})
-	grants, err := i.Issue(now.Add(time.Second), 1, []Ask{{Of: "north", Count: 4}})
+	grants, err := i.Issue(now.Add(time.Second), 1, []SubjectRequest{{Subject: "north", Count: 4}})
 	fmt.Println(grants[0].Count, err)
 	// Output: 4 <nil>
 }
--- a/pkg/quota/stock.go
+++ b/pkg/quota/stock.go
@@ -37,8 +37,8 @@
 	idleTime = 30 * time.Second
 )
 
-// Stock is the permits of one entry box. It is not safe for concurrent use.
-type Stock struct {
+// PermitCache is the permits of one entry box. It is not safe for concurrent use.
+type PermitCache struct {
 	issuers []*issuerState
 	// ranked tells that not all of the issuers issue, but those of TargetIssuers.
 	ranked     bool
@@ -86,29 +86,29 @@
 	at      time.Time
 }
 
-// IssuerAsks are the asks to one issuer. Answered, Unanswered or Behind must
+// IssuerCall are the asks to one issuer. Answered, Unanswered or Behind must
 // follow.
-type IssuerAsks struct {
-	Address string
-	At      time.Time
-	Asks    []Ask
+type IssuerCall struct {
+	Address  string
+	SentAt   time.Time
+	Requests []SubjectRequest
 }
 
-// NewStock returns a stock of permits of workspaces, without permits and issuers.
-func NewStock() *Stock {
-	return &Stock{workspaces: make(map[string]*held), low: make(map[string]*held)}
+// NewPermitCache returns a stock of permits of workspaces, without permits and issuers.
+func NewPermitCache() *PermitCache {
+	return &PermitCache{workspaces: make(map[string]*held), low: make(map[string]*held)}
 }
 
-// NewTargetStock returns a stock of permits of targets, named by their lives in place of
+// NewTargetPermitCache returns a stock of permits of targets, named by their lives in place of
 // workspaces, without permits and issuers.
-func NewTargetStock() *Stock {
-	s := NewStock()
+func NewTargetPermitCache() *PermitCache {
+	s := NewPermitCache()
 	s.ranked = true
 	return s
 }
 
 // issuersOf returns who issues permits of a workspace or target.
-func (s *Stock) issuersOf(workspace string) []*issuerState {
+func (s *PermitCache) issuersOf(workspace string) []*issuerState {
 	if !s.ranked {
 		return s.issuers
 	}
@@ -124,7 +124,7 @@
 }
 
 // SetIssuers names the issuers. What is known of those that stay is kept.
-func (s *Stock) SetIssuers(addresses []string) {
+func (s *PermitCache) SetIssuers(addresses []string) {
 	next := make([]*issuerState, 0, len(addresses))
 	for _, a := range addresses {
 		i := slices.IndexFunc(s.issuers, func(k *issuerState) bool { return k.address == a })
@@ -137,8 +137,8 @@
 	s.issuers = next
 }
 
-// Count notes a request of a workspace; it is what the stock is reckoned by.
-func (s *Stock) Count(now time.Time, workspace string) {
+// RecordRequest notes a request of a workspace; it is what the stock is reckoned by.
+func (s *PermitCache) RecordRequest(now time.Time, workspace string) {
 	h := s.of(workspace)
 	h.demand = h.demandNow(now) + 1/demandTime.Seconds()
 	h.demandAt = now
@@ -150,7 +150,7 @@
 }
 
 // Take takes a permit and returns until when it may be used.
-func (s *Stock) Take(now time.Time, workspace string) (until time.Time, ok bool) {
+func (s *PermitCache) Take(now time.Time, workspace string) (until time.Time, ok bool) {
 	h := s.of(workspace)
 	h.drop(now)
 	s.low[workspace] = h
@@ -166,20 +166,20 @@
 }
 
 // PutBack returns a permit that was not used.
-func (s *Stock) PutBack(workspace string, until time.Time) { s.of(workspace).add(lot{1, until}) }
+func (s *PermitCache) PutBack(workspace string, until time.Time) { s.of(workspace).add(lot{1, until}) }
 
-// Wait counts a request that waits for a permit until Unwait.
-func (s *Stock) Wait(workspace string) {
+// AddWaiter counts a request that waits for a permit until RemoveWaiter.
+func (s *PermitCache) AddWaiter(workspace string) {
 	h := s.of(workspace)
 	h.waiting++
 	s.low[workspace] = h
 }
 
-// Unwait ends a Wait.
-func (s *Stock) Unwait(workspace string) { s.of(workspace).waiting-- }
+// RemoveWaiter ends a Wait.
+func (s *PermitCache) RemoveWaiter(workspace string) { s.of(workspace).waiting-- }
 
-// Waiting reports whether requests wait for permits that are still to be asked for.
-func (s *Stock) Waiting() bool {
+// HasWaiters reports whether requests wait for permits that are still to be asked for.
+func (s *PermitCache) HasWaiters() bool {
 	for _, h := range s.low {
 		if h.waiting > 0 {
 			return true
@@ -189,9 +189,9 @@
 }
 
 // Refusal returns why a request can't get a permit now: an OverLimitError if each
-// issuer that answers has told that it is empty, a SilentError if none answers, nil
+// issuer that answers has told that it is empty, a NoIssuerError if none answers, nil
 // if one can be asked or has been.
-func (s *Stock) Refusal(now time.Time, workspace string) error {
+func (s *PermitCache) Refusal(now time.Time, workspace string) error {
 	h := s.of(workspace)
 	if h.isAsked(now) {
 		return nil
@@ -209,9 +209,9 @@
 		soonest = earlier(soonest, empty)
 	}
 	if soonest.IsZero() {
-		return &SilentError{Of: workspace, After: max(heard.Sub(now), 0)}
+		return &NoIssuerError{Subject: workspace, RetryAfter: max(heard.Sub(now), 0)}
 	}
-	return &OverLimitError{Of: workspace, Room: soonest.Sub(now), After: h.nextReturn(now, soonest)}
+	return &OverLimitError{Subject: workspace, AvailableIn: soonest.Sub(now), RetryAfter: h.nextReturn(now, soonest)}
 }
 
 // nextReturn spreads the callers that are refused over returnSpread from when there
@@ -221,9 +221,9 @@
 	return soonest.Sub(now) + time.Duration(h.turn*float64(returnSpread))
 }
 
-// Asks returns what is to be asked now, for requests that wait and for the stock.
-func (s *Stock) Asks(now time.Time) []IssuerAsks {
-	var out []IssuerAsks
+// StartCalls returns what is to be asked now, for requests that wait and for the stock.
+func (s *PermitCache) StartCalls(now time.Time) []IssuerCall {
+	var out []IssuerCall
 	for name, h := range s.low {
 		count := h.wanted(now)
 		if count <= 0 {
@@ -232,12 +232,12 @@
 		}
 		for _, i := range s.toAsk(now, name, h) {
 			h.pending = append(h.pending, pendingAsk{i.address, count, now})
-			at := slices.IndexFunc(out, func(a IssuerAsks) bool { return a.Address == i.address })
+			at := slices.IndexFunc(out, func(a IssuerCall) bool { return a.Address == i.address })
 			if at < 0 {
 				at = len(out)
-				out = append(out, IssuerAsks{Address: i.address, At: now})
+				out = append(out, IssuerCall{Address: i.address, SentAt: now})
 			}
-			out[at].Asks = append(out[at].Asks, Ask{name, count})
+			out[at].Requests = append(out[at].Requests, SubjectRequest{name, count})
 		}
 	}
 	return out
@@ -266,7 +266,7 @@
 // that answers soonest. If that is far, all are asked at once: one after the other would
 // answer when the request is too late. What comes beyond what is wanted stays in stock. One that has an ask for the workspace under way for too
 // long is not asked again.
-func (s *Stock) toAsk(now time.Time, workspace string, h *held) []*issuerState {
+func (s *PermitCache) toAsk(now time.Time, workspace string, h *held) []*issuerState {
 	var all []*issuerState
 	var best *issuerState
 	for _, i := range s.issuersOf(workspace) {
@@ -290,10 +290,10 @@
 	return all
 }
 
-// Answered takes an issuer's answer.
-func (s *Stock) Answered(now time.Time, a IssuerAsks, grants []Grant) {
+// HandleGrants takes an issuer's answer.
+func (s *PermitCache) HandleGrants(now time.Time, a IssuerCall, grants []Grant) {
 	if i := s.issuer(a.Address); i != nil {
-		took := now.Sub(a.At)
+		took := now.Sub(a.SentAt)
 		if i.latency == 0 {
 			i.latency = took
 		}
@@ -301,44 +301,44 @@
 	}
 	s.settle(a)
 	for _, g := range grants {
-		h := s.of(g.Of)
+		h := s.of(g.Subject)
 		if g.Count == 0 {
-			h.emptyUntil[a.Address] = now.Add(g.Wait)
+			h.emptyUntil[a.Address] = now.Add(g.RetryAfter)
 			continue
 		}
-		h.life = g.Life
+		h.life = g.TTL
 		// The life counts from before the ask: when the issuer took it is not known.
-		h.add(lot{g.Count, a.At.Add(g.Life)})
+		h.add(lot{g.Count, a.SentAt.Add(g.TTL)})
 	}
 }
 
-// Behind takes that an issuer has an older document than the box.
-func (s *Stock) Behind(now time.Time, a IssuerAsks) {
+// HandleStale takes that an issuer has an older document than the box.
+func (s *PermitCache) HandleStale(now time.Time, a IssuerCall) {
 	if i := s.issuer(a.Address); i != nil {
 		i.behindUntil = now.Add(behindTime)
 	}
 	s.settle(a)
 }
 
-// Unanswered takes that an issuer did not answer.
-func (s *Stock) Unanswered(now time.Time, a IssuerAsks) {
+// HandleFailure takes that an issuer did not answer.
+func (s *PermitCache) HandleFailure(now time.Time, a IssuerCall) {
 	if i := s.issuer(a.Address); i != nil {
 		i.silentUntil = now.Add(silentTime)
 	}
 	s.settle(a)
 }
 
-func (s *Stock) settle(a IssuerAsks) {
-	for _, ask := range a.Asks {
-		h := s.of(ask.Of)
-		s.low[ask.Of] = h
-		h.pending = slices.DeleteFunc(h.pending, func(p pendingAsk) bool { return p.address == a.Address && p.at.Equal(a.At) })
+func (s *PermitCache) settle(a IssuerCall) {
+	for _, ask := range a.Requests {
+		h := s.of(ask.Subject)
+		s.low[ask.Subject] = h
+		h.pending = slices.DeleteFunc(h.pending, func(p pendingAsk) bool { return p.address == a.Address && p.at.Equal(a.SentAt) })
 	}
 }
 
-// Forget drops workspaces without requests for long, and returns how many are
+// RemoveIdle drops workspaces without requests for long, and returns how many are
 // left.
-func (s *Stock) Forget(now time.Time) int {
+func (s *PermitCache) RemoveIdle(now time.Time) int {
 	for name, h := range s.workspaces {
 		if h.waiting == 0 && len(h.pending) == 0 && now.Sub(h.demandAt) > idleTime {
 			delete(s.workspaces, name)
@@ -348,7 +348,7 @@
 	return len(s.workspaces)
 }
 
-func (s *Stock) issuer(address string) *issuerState {
+func (s *PermitCache) issuer(address string) *issuerState {
 	i := slices.IndexFunc(s.issuers, func(k *issuerState) bool { return k.address == address })
 	if i < 0 {
 		return nil
@@ -356,7 +356,7 @@
 	return s.issuers[i]
 }
 
-func (s *Stock) of(workspace string) *held {
+func (s *PermitCache) of(workspace string) *held {
 	h := s.workspaces[workspace]
 	if h == nil {
 		h = &held{emptyUntil: make(map[string]time.Time)}
--- a/pkg/quota/stock_test.go
+++ b/pkg/quota/stock_test.go
@@ -10,12 +10,12 @@
 
 // A permit is of no use once its life is over, counted from when it was asked for.
 func TestPermitEnds(t *testing.T) {
-	b := NewStock()
+	b := NewPermitCache()
 	b.SetIssuers([]string{"a"})
 	asked := time.Time{}.Add(time.Hour)
-	b.Wait(oneWorkspace)
-	asks := b.Asks(asked)
-	b.Answered(asked.Add(50*time.Millisecond), asks[0], []Grant{{Of: oneWorkspace, Count: 3, Life: 100 * time.Millisecond}})
+	b.AddWaiter(oneWorkspace)
+	asks := b.StartCalls(asked)
+	b.HandleGrants(asked.Add(50*time.Millisecond), asks[0], []Grant{{Subject: oneWorkspace, Count: 3, TTL: 100 * time.Millisecond}})
 	until, ok := b.Take(asked.Add(99*time.Millisecond), oneWorkspace)
 	if !ok || !until.Equal(asked.Add(100*time.Millisecond)) {
 		t.Fatalf("taken %v, until %v", ok, until)
@@ -31,12 +31,12 @@
 // for half a second no issuer was asked that had got a document a moment after the box.
 func TestNearestIssuerIsAskedAgain(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	b := NewStock()
+	b := NewPermitCache()
 	b.SetIssuers([]string{"far", "near"})
 	latencies := map[string]time.Duration{"far": 70 * time.Millisecond, "near": time.Millisecond}
-	next := func() IssuerAsks {
-		b.Wait(oneWorkspace)
-		asks := b.Asks(now)
+	next := func() IssuerCall {
+		b.AddWaiter(oneWorkspace)
+		asks := b.StartCalls(now)
 		if len(asks) != 1 {
 			t.Fatalf("asks %v", asks)
 		}
@@ -44,8 +44,8 @@
 	}
 	for range 2 { // each once, as none has answered yet
 		a := next()
-		b.Unwait(oneWorkspace)
-		b.Answered(now.Add(latencies[a.Address]), a, nil)
+		b.RemoveWaiter(oneWorkspace)
+		b.HandleGrants(now.Add(latencies[a.Address]), a, nil)
 	}
 	if first, second := next(), next(); first.Address != "near" || second.Address != "near" {
 		t.Errorf("asked %s and %s", first.Address, second.Address)
@@ -60,47 +60,47 @@
 // after the other, 75 ms each.
 func TestFarIssuersAreAskedAtOnce(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	b := NewStock()
+	b := NewPermitCache()
 	b.SetIssuers([]string{"near", "far1", "far2", "far3"})
 	for range 4 { // each is met once
-		b.Wait(oneWorkspace)
-		for _, a := range b.Asks(now) {
+		b.AddWaiter(oneWorkspace)
+		for _, a := range b.StartCalls(now) {
 			took := 75 * time.Millisecond
 			if a.Address == "near" {
 				took = time.Millisecond
 			}
-			b.Answered(now.Add(took), a, nil)
+			b.HandleGrants(now.Add(took), a, nil)
 		}
-		b.Unwait(oneWorkspace)
+		b.RemoveWaiter(oneWorkspace)
 	}
-	b.Wait(oneWorkspace)
-	asks := b.Asks(now)
+	b.AddWaiter(oneWorkspace)
+	asks := b.StartCalls(now)
 	if len(asks) != 1 || asks[0].Address != "near" {
 		t.Fatalf("asked %v", asks)
 	}
-	b.Answered(now, asks[0], []Grant{{Of: oneWorkspace, Wait: time.Second}})
-	if asks = b.Asks(now); len(asks) != 3 {
+	b.HandleGrants(now, asks[0], []Grant{{Subject: oneWorkspace, RetryAfter: time.Second}})
+	if asks = b.StartCalls(now); len(asks) != 3 {
 		t.Errorf("asked %v", asks)
 	}
 }
 
 func TestIssuerThatIsBehindIsAskedAgainSoon(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	b := NewStock()
+	b := NewPermitCache()
 	b.SetIssuers([]string{"a"})
-	b.Wait(oneWorkspace)
-	b.Behind(now, b.Asks(now)[0])
+	b.AddWaiter(oneWorkspace)
+	b.HandleStale(now, b.StartCalls(now)[0])
 	if err := b.Refusal(now, oneWorkspace); err != nil {
 		t.Errorf("refused at once: %v", err)
 	}
-	if asks := b.Asks(now.Add(behindTime)); len(asks) != 1 {
+	if asks := b.StartCalls(now.Add(behindTime)); len(asks) != 1 {
 		t.Errorf("asks %v", asks)
 	}
 }
 
 // Callers of a workspace beyond its limit are told times that are apart.
 func TestRefusedCallersDoNotComeBackTogether(t *testing.T) {
-	s := &system{limit: catalog.RateLimit{PerSecond: 5, Burst: 0}, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, 1), boxes: make([]*Stock, 1)}
+	s := &system{limit: catalog.RateLimit{PerSecond: 5, Burst: 0}, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, 1), boxes: make([]*PermitCache, 1)}
 	s.now = time.Time{}.Add(time.Hour)
 	s.issuers[0] = s.newIssuer()
 	s.boxes[0] = s.newBox()
@@ -111,7 +111,7 @@
 		if !errors.As(s.boxes[0].Refusal(s.now, oneWorkspace), &over) {
 			t.Fatal("not refused")
 		}
-		told[over.After] = true
+		told[over.RetryAfter] = true
 	}
 	if len(told) < 5 {
 		t.Errorf("told %v", told)
@@ -119,7 +119,7 @@
 }
 
 func TestRefusalTellsWhy(t *testing.T) {
-	s := &system{limit: catalog.RateLimit{PerSecond: 1, Burst: 1}, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, 2), boxes: make([]*Stock, 1)}
+	s := &system{limit: catalog.RateLimit{PerSecond: 1, Burst: 1}, number: 1, cut: make(map[[2]int]bool), issuers: make([]*Issuer, 2), boxes: make([]*PermitCache, 1)}
 	s.now = time.Time{}.Add(time.Hour)
 	for i := range s.issuers {
 		s.issuers[i] = s.newIssuer()
@@ -127,20 +127,20 @@
 	s.boxes[0] = s.newBox()
 	s.request(0)
 	var over *OverLimitError
-	if err := s.boxes[0].Refusal(s.now, oneWorkspace); !errors.As(err, &over) || over.After <= 0 {
+	if err := s.boxes[0].Refusal(s.now, oneWorkspace); !errors.As(err, &over) || over.RetryAfter <= 0 {
 		t.Errorf("empty issuers: %v", err)
 	}
 	s.cut[[2]int{0, 0}], s.cut[[2]int{0, 1}] = true, true
 	s.now = s.now.Add(longestWait)
 	s.request(0)
-	var silent *SilentError
-	if err := s.boxes[0].Refusal(s.now, oneWorkspace); !errors.As(err, &silent) || silent.After <= 0 {
+	var silent *NoIssuerError
+	if err := s.boxes[0].Refusal(s.now, oneWorkspace); !errors.As(err, &silent) || silent.RetryAfter <= 0 {
 		t.Errorf("silent issuers: %v", err)
 	}
-	if (&Issuer{number: 3}).Number() != 3 {
+	if (&Issuer{number: 3}).DocumentNumber() != 3 {
 		t.Error("another number")
 	}
-	var behind *BehindError
+	var behind *StaleLimitsError
 	if _, err := s.issuers[0].Issue(s.now, 2, nil); !errors.As(err, &behind) {
 		t.Errorf("an issuer that is behind: %v", err)
 	}
--- a/pkg/quota/targetissuer.go
+++ b/pkg/quota/targetissuer.go
@@ -74,23 +74,23 @@
 	replicas []string
 	known    *targetstatus.Registry
 	buckets  map[string]*bucket
-	tallies  map[string]*TargetTally
+	tallies  map[string]*TargetCounters
 }
 
-// TargetTally counts the permits of one target that a replica issued, and the asks that
+// TargetCounters counts the permits of one target that a replica issued, and the asks that
 // got none.
-type TargetTally struct {
+type TargetCounters struct {
 	Issued  uint64
 	Refused uint64
 }
 
 // NewTargetIssuer returns the issuer of a replica that other processes know by an address.
 func NewTargetIssuer(own string) *TargetIssuer {
-	return &TargetIssuer{own: own, known: targetstatus.NewRegistry(), buckets: make(map[string]*bucket), tallies: make(map[string]*TargetTally)}
+	return &TargetIssuer{own: own, known: targetstatus.NewRegistry(), buckets: make(map[string]*bucket), tallies: make(map[string]*TargetCounters)}
 }
 
-// Known is what the replica knows of targets.
-func (i *TargetIssuer) Known() *targetstatus.Registry { return i.known }
+// Targets is what the replica knows of targets.
+func (i *TargetIssuer) Targets() *targetstatus.Registry { return i.known }
 
 // SetReplicas takes the addresses of all replicas.
 func (i *TargetIssuer) SetReplicas(now time.Time, addresses []string) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// Take takes an update of a target and reports whether it changed what is known.
-func (i *TargetIssuer) Take(now time.Time, u targetstatus.Update) (c targetstatus.Change, changed bool) {
+// Apply takes an update of a target and reports whether it changed what is known.
+func (i *TargetIssuer) Apply(now time.Time, u targetstatus.Update) (c targetstatus.Change, changed bool) {
 	c, changed = i.known.Take(u)
 	if changed {
 		i.resize(now, u.Incarnation)
@@ -128,7 +128,7 @@
 }
 
 // Issue answers what a box asks for targets.
-func (i *TargetIssuer) Issue(now time.Time, asks []Ask) []Grant {
+func (i *TargetIssuer) Issue(now time.Time, asks []SubjectRequest) []Grant {
 	out := make([]Grant, 0, len(asks))
 	for _, a := range asks {
 		g := i.grant(now, a)
@@ -138,21 +138,21 @@
 	return out
 }
 
-func (i *TargetIssuer) grant(now time.Time, a Ask) Grant {
-	if b := i.buckets[a.Of]; b != nil {
+func (i *TargetIssuer) grant(now time.Time, a SubjectRequest) Grant {
+	if b := i.buckets[a.Subject]; b != nil {
 		return b.grant(now, a)
 	}
-	if i.known.HasLimit(a.Of) {
-		return Grant{Of: a.Of, Wait: longestWait} // others issue its permits
+	if i.known.HasLimit(a.Subject) {
+		return Grant{Subject: a.Subject, RetryAfter: longestWait} // others issue its permits
 	}
-	return Grant{Of: a.Of, Count: a.Count, Life: targetLife}
+	return Grant{Subject: a.Subject, Count: a.Count, TTL: targetLife}
 }
 
 func (i *TargetIssuer) count(g Grant) {
-	t := i.tallies[g.Of]
+	t := i.tallies[g.Subject]
 	if t == nil {
-		t = &TargetTally{}
-		i.tallies[g.Of] = t
+		t = &TargetCounters{}
+		i.tallies[g.Subject] = t
 	}
 	if g.Count == 0 {
 		t.Refused++
@@ -161,16 +161,16 @@
 	t.Issued += uint64(g.Count)
 }
 
-// Tally returns what was issued of a target's permits since it first named a limit.
-func (i *TargetIssuer) Tally(life string) TargetTally {
+// Counters returns what was issued of a target's permits since it first named a limit.
+func (i *TargetIssuer) Counters(life string) TargetCounters {
 	if t := i.tallies[life]; t != nil {
 		return *t
 	}
-	return TargetTally{}
+	return TargetCounters{}
 }
 
-// Keep forgets targets whose lives are over.
-func (i *TargetIssuer) Keep(now time.Time, lives func(life string) bool) {
+// Prune forgets targets whose lives are over.
+func (i *TargetIssuer) Prune(now time.Time, lives func(life string) bool) {
 	i.known.Keep(now, lives)
 	for life := range i.tallies {
 		if !lives(life) {
--- a/pkg/quota/targetlimit_bench_test.go
+++ b/pkg/quota/targetlimit_bench_test.go
@@ -33,8 +33,8 @@
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
 		word := limits[i%len(limits)]
-		issuer.Take(now, word)
-		issuer.Issue(now, []Ask{{word.Incarnation, 1}})
+		issuer.Apply(now, word)
+		issuer.Issue(now, []SubjectRequest{{word.Incarnation, 1}})
 	}
 }
 
@@ -45,18 +45,18 @@
 	for i := range 9 {
 		replicas = append(replicas, fmt.Sprintf("10.0.0.%d:8300", i))
 	}
-	stock := NewTargetStock()
+	stock := NewTargetPermitCache()
 	stock.SetIssuers(replicas)
 	limits := limitedTargets(now)
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
 		life := limits[i%len(limits)].Incarnation
-		stock.Count(now, life)
-		stock.Wait(life)
-		for _, a := range stock.Asks(now) {
-			stock.Answered(now.Add(time.Millisecond), a, []Grant{{Of: life, Count: 1, Life: targetLife}})
+		stock.RecordRequest(now, life)
+		stock.AddWaiter(life)
+		for _, a := range stock.StartCalls(now) {
+			stock.HandleGrants(now.Add(time.Millisecond), a, []Grant{{Subject: life, Count: 1, TTL: targetLife}})
 		}
-		stock.Unwait(life)
+		stock.RemoveWaiter(life)
 		stock.Take(now, life)
 	}
 }
--- a/pkg/quota/targetlimit_test.go
+++ b/pkg/quota/targetlimit_test.go
@@ -35,8 +35,8 @@
 // limitedBox is what a box has for the target.
 type limitedBox struct {
 	name  string
-	stock *Stock
-	alone *Alone
+	stock *PermitCache
+	alone *Fallback
 	// taken are permits that have been taken and not been used.
 	taken []time.Time
 }
@@ -48,8 +48,8 @@
 }
 
 func (n *limitedTarget) startBox(k int) {
-	b := &limitedBox{name: fmt.Sprint("b", k), alone: NewAlone(fmt.Sprint("b", k))}
-	b.stock = NewTargetStock()
+	b := &limitedBox{name: fmt.Sprint("b", k), alone: NewFallback(fmt.Sprint("b", k))}
+	b.stock = NewTargetPermitCache()
 	b.stock.SetIssuers(n.replicas)
 	var all []string
 	for i := range n.boxes {
@@ -73,7 +73,7 @@
 }
 
 func (n *limitedTarget) permit(b *limitedBox) (until time.Time, ok bool) {
-	b.stock.Count(n.now, oneTarget)
+	b.stock.RecordRequest(n.now, oneTarget)
 	for range len(n.replicas) + 1 {
 		if until, ok := b.stock.Take(n.now, oneTarget); ok {
 			return until, true
@@ -81,28 +81,28 @@
 		if b.stock.Refusal(n.now, oneTarget) != nil {
 			break
 		}
-		b.stock.Wait(oneTarget)
-		for _, a := range b.stock.Asks(n.now) {
+		b.stock.AddWaiter(oneTarget)
+		for _, a := range b.stock.StartCalls(n.now) {
 			n.answer(b, a)
 		}
-		b.stock.Unwait(oneTarget)
+		b.stock.RemoveWaiter(oneTarget)
 	}
 	return b.alone.Take(n.now, oneTarget, n.limit.Limit)
 }
 
-func (n *limitedTarget) answer(b *limitedBox, a IssuerAsks) {
+func (n *limitedTarget) answer(b *limitedBox, a IssuerCall) {
 	if n.cut[b.name+a.Address] {
-		b.stock.Unanswered(n.now, a)
+		b.stock.HandleFailure(n.now, a)
 		return
 	}
 	i := n.issuers[a.Address]
-	i.Take(n.now, n.limit)
-	grants := i.Issue(n.now, a.Asks)
+	i.Apply(n.now, n.limit)
+	grants := i.Issue(n.now, a.Requests)
 	if n.cut[a.Address+b.name] { // the answer is lost
-		b.stock.Unanswered(n.now, a)
+		b.stock.HandleFailure(n.now, a)
 		return
 	}
-	b.stock.Answered(n.now, a, grants)
+	b.stock.HandleGrants(n.now, a, grants)
 }
 
 // pass lets time pass; permits that were taken are used at the last moment.
@@ -220,17 +220,17 @@
 	for _, name := range TargetIssuers(oneTarget, all) {
 		i := NewTargetIssuer(name)
 		i.SetReplicas(now, all)
-		i.Take(now, limit)
+		i.Apply(now, limit)
 		issuers = append(issuers, i)
 	}
-	alone := NewAlone("b")
+	alone := NewFallback("b")
 	alone.SetBoxes([]string{"b"})
 	alone.Take(now, oneTarget, perSecond)
 	now = now.Add(time.Minute)
 	used := 0
 	for end := now.Add(targetLife + needWindow); now.Before(end); now = now.Add(time.Millisecond) {
 		for _, i := range issuers {
-			used += i.Issue(now, []Ask{{oneTarget, 1 << 20}})[0].Count
+			used += i.Issue(now, []SubjectRequest{{oneTarget, 1 << 20}})[0].Count
 		}
 		if now.After(end.Add(-needWindow)) {
 			if _, ok := alone.Take(now, oneTarget, perSecond); ok {
@@ -254,16 +254,16 @@
 	for _, name := range replicas {
 		i := NewTargetIssuer(name)
 		i.SetReplicas(now, replicas)
-		i.Take(now, limit)
-		if g := i.Issue(now, []Ask{{oneTarget, 1}})[0]; g.Count != 0 || g.Wait <= 0 {
+		i.Apply(now, limit)
+		if g := i.Issue(now, []SubjectRequest{{oneTarget, 1}})[0]; g.Count != 0 || g.RetryAfter <= 0 {
 			t.Errorf("%s begins with permits: %+v", name, g)
 		}
-		g := i.Issue(now.Add(time.Second), []Ask{{oneTarget, 5}})[0]
+		g := i.Issue(now.Add(time.Second), []SubjectRequest{{oneTarget, 5}})[0]
 		if isIssuer := slices.Contains(issuers, name); isIssuer != (g.Count > 0) {
 			t.Errorf("%s, issuer %v: %+v", name, isIssuer, g)
 		}
-		i.Take(now, targetstatus.Update{Incarnation: oneTarget, Limit: targetstatus.NoLimit, Sent: now.Add(time.Second), Received: now.Add(time.Second)})
-		if g := i.Issue(now.Add(time.Second), []Ask{{oneTarget, 7}})[0]; g.Count != 7 {
+		i.Apply(now, targetstatus.Update{Incarnation: oneTarget, Limit: targetstatus.NoLimit, Sent: now.Add(time.Second), Received: now.Add(time.Second)})
+		if g := i.Issue(now.Add(time.Second), []SubjectRequest{{oneTarget, 7}})[0]; g.Count != 7 {
 			t.Errorf("%s after the limit was taken back: %+v", name, g)
 		}
 	}
--- a/pkg/quota/usage.go
+++ b/pkg/quota/usage.go
@@ -12,10 +12,10 @@
 type Usage struct {
 	Workspace string
 	Limit     catalog.RateLimit
-	// PartPerSecond is the issuer's part of the limit, and Room the permits that it
+	// SharePerSecond is the issuer's part of the limit, and Room the permits that it
 	// could issue now; both are zero without a limit.
-	PartPerSecond float64
-	Room          float64
+	SharePerSecond float64
+	Available      float64
 	// Issued counts its permits, and Refused the asks of boxes that got none, since
 	// the issuer's start.
 	Issued  uint64
@@ -69,10 +69,10 @@
 
 // count notes the answer to an ask of a known workspace.
 func (i *Issuer) count(now time.Time, g Grant) {
-	t := i.tallies[g.Of]
+	t := i.tallies[g.Subject]
 	if t == nil {
 		t = &tally{}
-		i.tallies[g.Of] = t
+		i.tallies[g.Subject] = t
 	}
 	if g.Count == 0 {
 		t.refused.add(now, i.bound.Window, 1)
@@ -88,7 +88,7 @@
 		u := Usage{Workspace: name, Limit: limit}
 		if b := i.buckets[name]; b != nil {
 			b.fill(now)
-			u.PartPerSecond, u.Room = b.rate, b.tokens
+			u.SharePerSecond, u.Available = b.rate, b.tokens
 		}
 		if t := i.tallies[name]; t != nil {
 			u.Issued, u.Refused = t.issued.all, t.refused.all
--- a/pkg/quota/usage_test.go
+++ b/pkg/quota/usage_test.go
@@ -16,7 +16,7 @@
 	})
 	ask := func(name string, count int) int {
 		t.Helper()
-		grants, err := i.Issue(now, 7, []Ask{{name, count}})
+		grants, err := i.Issue(now, 7, []SubjectRequest{{name, count}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,11 +31,11 @@
 	if len(list) != 2 || list[0].Workspace != "a" || list[1].Workspace != "b" {
 		t.Fatalf("usage of %+v", list)
 	}
-	if a := list[0]; a.Issued != 3 || a.Refused != 0 || a.PartPerSecond != 0 {
+	if a := list[0]; a.Issued != 3 || a.Refused != 0 || a.SharePerSecond != 0 {
 		t.Errorf("a workspace without limit: %+v", a)
 	}
 	b := list[1]
-	if b.Refused != 1 || b.Issued < 6 || b.PartPerSecond != 5 || b.Room >= 1 {
+	if b.Refused != 1 || b.Issued < 6 || b.SharePerSecond != 5 || b.Available >= 1 {
 		t.Errorf("a workspace with a limit: %+v", b)
 	}
 	if b.IssuedPerSecond != 0 {
