--- a/pkg/quota/bound.go
+++ b/pkg/quota/bound.go
@@ -1,13 +1,14 @@
-// Package quota keeps the limits of workspaces over all entry boxes together. It
-// is made of state machines without I/O.
+// Package quota enforces rate limits over all entry boxes together: the limits of
+// workspaces, and those that targets report for themselves. It consists of state
+// machines without I/O.
 //
-// Each control replica is an Issuer of permits and holds a fixed part of every
-// workspace's limit, the same for all replicas, as a bucket of its own. It needs
-// no word of the others: parts never move, so no cut, restart or loss of a leader
-// can make two of them spend the same. An entry box keeps a Stock of permits, asks
-// the nearest issuer when it has none and the others when that one is empty, and
-// sends no request of a limited workspace without one. Permits end soon, so that
-// those that were issued earlier can't add to a window much.
+// Each control replica is an Issuer of permits. It holds a fixed share of every
+// workspace's limit, the same for all replicas, in a token bucket of its own. Issuers
+// do not coordinate: shares never move, so that no partition, restart or loss of a
+// leader can make two replicas spend the same share. An entry box keeps a PermitCache.
+// When it has no permit it asks the nearest issuer, and the others when that one is
+// empty, and it sends no request of a limited workspace without a permit. Permits
+// expire soon, so that those issued before a window add little to its requests.
 package quota
 
 import (
@@ -16,8 +17,8 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// Bound is what all boxes together may send for a workspace in any Window: what
-// its limit allows in it, Excess of that more, and Slack requests more.
+// Bound is how many requests all boxes together may send for a workspace in any
+// Window: what its limit allows, plus the fraction Excess of that, plus Slack requests.
 type Bound struct {
 	Window time.Duration
 	Excess float64
@@ -25,36 +26,37 @@
 }
 
 const (
-	// slackShare is the part of what may be exceeded that is used; the rest is for
-	// replicas that learn of a further one a little late.
+	// slackShare is the fraction of the permitted excess that is used. The rest covers
+	// replicas that learn of an additional one a little late.
 	slackShare = 0.9
-	// lifeShare is the part of that which permits use that were issued before a
-	// window. The rest makes the buckets deeper, which is what bears the chance of
-	// requests that come together.
-	lifeShare = 0.7
-	// longestLife bounds the life of a permit: what a box does not use is missing
-	// elsewhere for that long.
-	longestLife = time.Second
+	// ttlShare is the fraction of the used excess reserved for permits that were issued
+	// before a window. The rest makes the buckets deeper, which absorbs random bursts of
+	// requests.
+	ttlShare = 0.7
+	// maxPermitTTL bounds the lifetime of a permit: an unused permit is unavailable to
+	// other boxes for that long.
+	maxPermitTTL = time.Second
 )
 
-// part is what one issuer may issue of a limit: permits a second, how many at
-// once, and how long each may be used.
-type part struct {
+// bucketConfig holds the parameters of one issuer's token bucket: permits per second,
+// bucket size and permit lifetime.
+type bucketConfig struct {
 	rate  float64
-	depth float64
-	life  time.Duration
+	burst float64
+	ttl   time.Duration
 }
 
-// partOf divides a limit. In a window at most rate*(Window+life)+depth permits of
-// each of the parts are used, which together is what the bound allows.
-func (b Bound) partOf(l catalog.RateLimit, parts int) part {
+// bucketConfigFor divides a limit among replicas. In a window at most
+// rate*(Window+ttl)+burst permits of each replica are used, which add up to what the
+// bound allows.
+func (b Bound) bucketConfigFor(l catalog.RateLimit, replicas int) bucketConfig {
 	window := b.Window.Seconds()
 	slack := slackShare * (b.Excess*(l.PerSecond*window+l.Burst) + b.Slack)
-	life := min(lifeShare*slack/l.PerSecond, longestLife.Seconds())
-	extra := slack - life*l.PerSecond
-	return part{
-		rate:  l.PerSecond / float64(parts),
-		depth: (l.Burst + extra) / float64(parts),
-		life:  time.Duration(life * float64(time.Second)),
+	ttl := min(ttlShare*slack/l.PerSecond, maxPermitTTL.Seconds())
+	extra := slack - ttl*l.PerSecond
+	return bucketConfig{
+		rate:  l.PerSecond / float64(replicas),
+		burst: (l.Burst + extra) / float64(replicas),
+		ttl:   time.Duration(ttl * float64(time.Second)),
 	}
 }
--- a/pkg/quota/issuer.go
+++ b/pkg/quota/issuer.go
@@ -8,15 +8,15 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// SubjectRequest is how many permits an entry box wants. Of names the workspace, or the life of the
-// target, that they are of.
+// SubjectRequest asks for Count permits. Subject is a workspace or the incarnation of a
+// target.
 type SubjectRequest struct {
 	Subject string
 	Count   int
 }
 
-// Grant answers an Ask. Life is how long its permits may be used; Wait is when to
-// ask again if there were none.
+// Grant answers a SubjectRequest. TTL is the lifetime of its permits. RetryAfter is the
+// time after which to ask again if there were none.
 type Grant struct {
 	Subject    string
 	Count      int
@@ -24,67 +24,67 @@
 	RetryAfter time.Duration
 }
 
-// StaleLimitsError says that an issuer does not have the document of routes by which a
-// box asks: its limits may be older and higher.
+// StaleLimitsError reports that an issuer has an older routes document than the box
+// that asks: its limits may be outdated and higher.
 type StaleLimitsError struct{ Requested, Current uint64 }
 
 // Error implements error.
 func (e *StaleLimitsError) Error() string {
-	return fmt.Sprintf("permits are asked by document %d, this replica has %d", e.Requested, e.Current)
+	return fmt.Sprintf("permits requested under document %d, this replica has document %d", e.Requested, e.Current)
 }
 
 const (
-	// longestWait bounds what a box is told to wait before it asks again, so that
-	// it hears soon of a limit that was raised.
-	longestWait = time.Second
-	// unlimitedLife is that of permits of a workspace that has no limit any more.
-	unlimitedLife = time.Second
+	// maxRetryAfter bounds how long a box is told to wait before it asks again, so that it
+	// soon learns of a limit that was raised.
+	maxRetryAfter = time.Second
+	// unlimitedTTL is the lifetime of permits of a workspace whose limit was removed.
+	unlimitedTTL = time.Second
 )
 
 // Issuer issues the permits of one control replica. It is not safe for concurrent
 // use.
 type Issuer struct {
-	bound   Bound
-	parts   int
-	number  uint64
-	limits  map[string]catalog.RateLimit
-	buckets map[string]*bucket
-	tallies map[string]*tally
+	bound          Bound
+	replicas       int
+	documentNumber uint64
+	limits         map[string]catalog.RateLimit
+	buckets        map[string]*bucket
+	counters       map[string]*workspaceCounters
 }
 
-// bucket is an issuer's part of a limit. It starts empty: what a process before
-// this one issued is not known.
+// bucket is the token bucket for an issuer's share of a limit. It starts empty, because
+// the issuer does not know what it issued before a restart.
 type bucket struct {
-	part
-	tokens float64
-	at     time.Time
-	// served is until when boxes that got nothing have been told to wait.
-	served time.Time
+	bucketConfig
+	tokens     float64
+	refilledAt time.Time
+	// lastRetryAt is the latest time at which a box without permits was told to retry.
+	lastRetryAt time.Time
 }
 
-// NewIssuer returns the issuer of one of a number of replicas. It has no limits yet.
-func NewIssuer(b Bound, parts int) *Issuer {
+// NewIssuer returns the issuer of one of several replicas. It has no limits yet.
+func NewIssuer(b Bound, replicas int) *Issuer {
 	return &Issuer{
-		bound: b, parts: parts,
-		limits: make(map[string]catalog.RateLimit), buckets: make(map[string]*bucket), tallies: make(map[string]*tally),
+		bound: b, replicas: replicas,
+		limits: make(map[string]catalog.RateLimit), buckets: make(map[string]*bucket), counters: make(map[string]*workspaceCounters),
 	}
 }
 
-// SetReplicaCount tells how many replicas there are. It never becomes fewer: one that the
-// others have let go may not know it.
-func (i *Issuer) SetReplicaCount(now time.Time, parts int) {
-	if parts <= i.parts {
+// SetReplicaCount sets the number of replicas. The number never decreases: a replica
+// that was removed may not know it and goes on issuing its share.
+func (i *Issuer) SetReplicaCount(now time.Time, replicas int) {
+	if replicas <= i.replicas {
 		return
 	}
-	i.parts = parts
+	i.replicas = replicas
 	for name, b := range i.buckets {
-		b.resize(now, i.bound.partOf(i.limits[name], i.parts))
+		b.resize(now, i.bound.bucketConfigFor(i.limits[name], i.replicas))
 	}
 }
 
-// SetLimits takes the workspaces of a document; number is the document's.
+// SetLimits sets the limits of the workspaces of the document with the given number.
 func (i *Issuer) SetLimits(now time.Time, number uint64, workspaces []catalog.Workspace) {
-	i.number = number
+	i.documentNumber = number
 	known := make(map[string]bool, len(workspaces))
 	for _, w := range workspaces {
 		known[w.Name] = true
@@ -93,92 +93,92 @@
 			delete(i.buckets, w.Name)
 			continue
 		}
-		p := i.bound.partOf(w.Limit, i.parts)
+		c := i.bound.bucketConfigFor(w.Limit, i.replicas)
 		if b := i.buckets[w.Name]; b != nil {
-			b.resize(now, p)
+			b.resize(now, c)
 			continue
 		}
-		i.buckets[w.Name] = &bucket{part: p, at: now}
+		i.buckets[w.Name] = &bucket{bucketConfig: c, refilledAt: now}
 	}
 	for name := range i.limits {
 		if !known[name] {
 			delete(i.limits, name)
 			delete(i.buckets, name)
-			delete(i.tallies, name)
+			delete(i.counters, name)
 		}
 	}
 }
 
-// DocumentNumber is that of the document whose limits are kept.
-func (i *Issuer) DocumentNumber() uint64 { return i.number }
+// DocumentNumber returns the number of the document that the limits are from.
+func (i *Issuer) DocumentNumber() uint64 { return i.documentNumber }
 
-// Issue answers what a box asks by the document of a number. The error is a
-// StaleLimitsError.
-func (i *Issuer) Issue(now time.Time, number uint64, asks []SubjectRequest) ([]Grant, error) {
-	if number > i.number {
-		return nil, &StaleLimitsError{Requested: number, Current: i.number}
+// Issue answers the requests of a box whose document has the given number. The error is
+// a StaleLimitsError.
+func (i *Issuer) Issue(now time.Time, number uint64, requests []SubjectRequest) ([]Grant, error) {
+	if number > i.documentNumber {
+		return nil, &StaleLimitsError{Requested: number, Current: i.documentNumber}
 	}
-	out := make([]Grant, 0, len(asks))
-	for _, a := range asks {
-		g := i.grant(now, a)
-		if _, known := i.limits[a.Subject]; known {
-			i.count(now, g)
+	out := make([]Grant, 0, len(requests))
+	for _, r := range requests {
+		g := i.grant(now, r)
+		if _, known := i.limits[r.Subject]; known {
+			i.recordGrant(now, g)
 		}
 		out = append(out, g)
 	}
 	return out, nil
 }
 
-func (i *Issuer) grant(now time.Time, a SubjectRequest) Grant {
-	limit, known := i.limits[a.Subject]
+func (i *Issuer) grant(now time.Time, r SubjectRequest) Grant {
+	limit, known := i.limits[r.Subject]
 	if known && limit.None() {
-		return Grant{Subject: a.Subject, Count: a.Count, TTL: unlimitedLife}
+		return Grant{Subject: r.Subject, Count: r.Count, TTL: unlimitedTTL}
 	}
-	b := i.buckets[a.Subject]
+	b := i.buckets[r.Subject]
 	if b == nil {
-		return Grant{Subject: a.Subject, RetryAfter: longestWait}
+		return Grant{Subject: r.Subject, RetryAfter: maxRetryAfter}
 	}
-	return b.grant(now, a)
+	return b.grant(now, r)
 }
 
-// grant answers an ask as far as there are permits.
-func (b *bucket) grant(now time.Time, a SubjectRequest) Grant {
-	b.fill(now)
-	count := min(max(a.Count, 0), int(b.tokens))
+// grant grants as many of the requested permits as are available.
+func (b *bucket) grant(now time.Time, r SubjectRequest) Grant {
+	b.refill(now)
+	count := min(max(r.Count, 0), int(b.tokens))
 	b.tokens -= float64(count)
 	if count > 0 {
-		return Grant{Subject: a.Subject, Count: count, TTL: b.life}
+		return Grant{Subject: r.Subject, Count: count, TTL: b.ttl}
 	}
-	return Grant{Subject: a.Subject, RetryAfter: b.nextWait(now)}
+	return Grant{Subject: r.Subject, RetryAfter: b.nextRetryAfter(now)}
 }
 
-func (b *bucket) fill(now time.Time) {
-	if now.After(b.at) {
-		b.tokens = min(b.tokens+b.rate*now.Sub(b.at).Seconds(), b.depth)
-		b.at = now
+func (b *bucket) refill(now time.Time) {
+	if now.After(b.refilledAt) {
+		b.tokens = min(b.tokens+b.rate*now.Sub(b.refilledAt).Seconds(), b.burst)
+		b.refilledAt = now
 	}
 }
 
-func (b *bucket) resize(now time.Time, p part) {
-	b.fill(now)
-	b.part = p
-	b.tokens = min(b.tokens, b.depth)
+func (b *bucket) resize(now time.Time, c bucketConfig) {
+	b.refill(now)
+	b.bucketConfig = c
+	b.tokens = min(b.tokens, b.burst)
 }
 
-// nextWait is when a box that got nothing may ask again. Each is told another
-// time, as far apart as permits come, so that boxes of a workspace beyond its
-// limit ask no more often than there is something to get.
-func (b *bucket) nextWait(now time.Time) time.Duration {
+// nextRetryAfter returns when a box that got no permit may ask again. Each box gets a
+// different time, at the interval at which permits become available, so that the boxes of
+// a workspace over its limit do not ask more often than there are permits.
+func (b *bucket) nextRetryAfter(now time.Time) time.Duration {
 	first := now.Add(seconds((math.Floor(b.tokens) + 1 - b.tokens) / b.rate))
-	if b.served.Before(first) {
-		b.served = first
+	if b.lastRetryAt.Before(first) {
+		b.lastRetryAt = first
 	} else {
-		b.served = b.served.Add(seconds(1 / b.rate))
+		b.lastRetryAt = b.lastRetryAt.Add(seconds(1 / b.rate))
 	}
-	wait := b.served.Sub(now)
-	if wait > longestWait {
-		b.served = now.Add(longestWait)
-		return longestWait
+	wait := b.lastRetryAt.Sub(now)
+	if wait > maxRetryAfter {
+		b.lastRetryAt = now.Add(maxRetryAfter)
+		return maxRetryAfter
 	}
 	return wait
 }
--- a/pkg/quota/refusal.go
+++ b/pkg/quota/refusal.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// OverLimitError says that a workspace, or a target, has used up its limit.
+// OverLimitError reports that a workspace or target has used up its limit.
 type OverLimitError struct {
 	Subject string
-	// AvailableIn is when there may be room, and After when one of several that were refused may
-	// come back.
+	// AvailableIn is the time until a permit may be available. RetryAfter is the time
+	// after which this caller should retry: refused callers get different times.
 	AvailableIn time.Duration
 	RetryAfter  time.Duration
 }
@@ -19,14 +19,13 @@
 	return fmt.Sprintf("the limit of %s is used up; try again in %s", e.Subject, e.RetryAfter)
 }
 
-// NoIssuerError says that no issuer could be asked.
+// NoIssuerError reports that no issuer responds.
 type NoIssuerError struct {
-	Subject string
-	// RetryAfter is when one is asked again.
+	Subject    string
 	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *NoIssuerError) Error() string {
-	return fmt.Sprintf("no control replica tells whether %s is within its limit; try again in %s", e.Subject, e.RetryAfter)
+	return fmt.Sprintf("no control replica responds to requests for permits of %s; try again in %s", e.Subject, e.RetryAfter)
 }
--- a/pkg/quota/targetissuer.go
+++ b/pkg/quota/targetissuer.go
@@ -10,38 +10,41 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// What all boxes together send to a target that names a limit L, in any span of W:
+// All boxes together send a target with a limit of L requests per second, in any span
+// of W seconds, at most
 //
-//	L*(W + targetLife) + issuers + L*targetDepth   with permits,
-//	aloneShare*L*W + 1                             without control,
+//	L*(W + targetPermitTTL) + issuers + L*targetBurstTime   with permits,
+//	fallbackShare*L*W + 1                                   without control,
 //
-// which for W = 4 s is 5.8*L + 4. Of a limit below leastTargetRate it is at most 5, as only
-// whole permits come of each of the issuers and of the one box. Each permit is used once,
-// within targetLife from its ask on; a bucket starts empty, so that an issuer that starts
-// anew adds nothing; a permit that is lost or late is not used. A replica that was let go and
-// does not know it adds a third of the first line.
+// which is 5.8*L + 4 for W = 4 s. Below minTargetRate the total is at most 5, because
+// each issuer and the one fallback box hand out whole permits only. Each permit is used
+// once, within targetPermitTTL of its request. A bucket starts empty, so that an issuer
+// that restarts adds nothing, and a permit that is lost or late is not used. A replica that
+// was removed and does not know it adds a third of the first line.
 const (
-	// targetIssuers is how many control replicas issue for one target: the loss of one
-	// leaves two thirds of its limit, and a box of a region has one near more often than
-	// with fewer. Each holds a permit ready, so that more of them would add to bursts.
+	// targetIssuers is how many control replicas issue permits for one target. The loss of
+	// one leaves two thirds of the limit, and a box has an issuer in its region more often
+	// than with fewer. Each issuer keeps a permit ready, so that more of them would add to
+	// bursts.
 	targetIssuers = 3
-	// targetLife is how long a permit may be used. It bears two ways between regions.
-	targetLife = 500 * time.Millisecond
-	// targetDepth is for how long permits gather that nobody asks for, beyond one at each
-	// issuer. They bear requests that come together.
-	targetDepth = 500 * time.Millisecond
-	// leastTargetRate is the least limit that is gone by, in requests a second: a target
-	// that gets nothing has no answer in which to take its limit back.
-	leastTargetRate = 0.5
+	// targetPermitTTL is the lifetime of a permit. It covers two one-way trips between
+	// regions.
+	targetPermitTTL = 500 * time.Millisecond
+	// targetBurstTime bounds for how long unclaimed permits accumulate, beyond one at each
+	// issuer. They absorb bursts of requests.
+	targetBurstTime = 500 * time.Millisecond
+	// minTargetRate is the lowest limit that is enforced, in requests per second: a target
+	// that gets no requests has no response in which to withdraw its limit.
+	minTargetRate = 0.5
 )
 
-// TargetIssuers returns those of a list of replicas that issue the permits of a target.
-func TargetIssuers(life string, replicas []string) []string {
-	return topRanked(life, replicas, targetIssuers)
+// TargetIssuers returns the replicas, out of a list, that issue permits for a target.
+func TargetIssuers(incarnation string, replicas []string) []string {
+	return topRanked(incarnation, replicas, targetIssuers)
 }
 
 // topRanked returns the names that rank highest for a target by rendezvous hashing.
-func topRanked(life string, names []string, count int) []string {
+func topRanked(incarnation string, names []string, count int) []string {
 	if len(names) <= count {
 		return names
 	}
@@ -51,7 +54,7 @@
 	}
 	all := make([]ranked, 0, len(names))
 	for _, name := range names {
-		all = append(all, ranked{name, xxhash.Sum64String(life + "\x00" + name)})
+		all = append(all, ranked{name, xxhash.Sum64String(incarnation + "\x00" + name)})
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
 	out := make([]string, 0, count)
@@ -61,98 +64,98 @@
 	return out
 }
 
-// partOfTarget is what one of a number of issuers may issue of a target's limit.
-func partOfTarget(perSecond float64, issuers int) part {
-	rate := max(perSecond, leastTargetRate) / float64(issuers)
-	return part{rate: rate, depth: 1 + rate*targetDepth.Seconds(), life: targetLife}
+// targetBucketConfig divides a target's limit among its issuers.
+func targetBucketConfig(perSecond float64, issuers int) bucketConfig {
+	rate := max(perSecond, minTargetRate) / float64(issuers)
+	return bucketConfig{rate: rate, burst: 1 + rate*targetBurstTime.Seconds(), ttl: targetPermitTTL}
 }
 
-// TargetIssuer issues, at one control replica, permits of targets that name limits. It is
-// not safe for concurrent use.
+// TargetIssuer issues, at one control replica, permits for targets that report rate
+// limits. It is not safe for concurrent use.
 type TargetIssuer struct {
-	own      string
+	address  string
 	replicas []string
-	known    *targetstatus.Registry
+	registry *targetstatus.Registry
 	buckets  map[string]*bucket
-	tallies  map[string]*TargetCounters
+	counters map[string]*TargetCounters
 }
 
-// TargetCounters counts the permits of one target that a replica issued, and the asks that
-// got none.
+// TargetCounters counts the permits that a replica issued for one target, and the
+// requests for permits that got none.
 type TargetCounters struct {
 	Issued  uint64
 	Refused uint64
 }
 
-// NewTargetIssuer returns the issuer of a replica that other processes know by an address.
-func NewTargetIssuer(own string) *TargetIssuer {
-	return &TargetIssuer{own: own, known: targetstatus.NewRegistry(), buckets: make(map[string]*bucket), tallies: make(map[string]*TargetCounters)}
+// NewTargetIssuer returns the issuer of the replica with the given address.
+func NewTargetIssuer(address string) *TargetIssuer {
+	return &TargetIssuer{address: address, registry: targetstatus.NewRegistry(), buckets: make(map[string]*bucket), counters: make(map[string]*TargetCounters)}
 }
 
-// Targets is what the replica knows of targets.
-func (i *TargetIssuer) Targets() *targetstatus.Registry { return i.known }
+// Targets returns the registry of what targets reported.
+func (i *TargetIssuer) Targets() *targetstatus.Registry { return i.registry }
 
-// SetReplicas takes the addresses of all replicas.
+// SetReplicas sets the addresses of all replicas.
 func (i *TargetIssuer) SetReplicas(now time.Time, addresses []string) {
 	if slices.Equal(addresses, i.replicas) {
 		return
 	}
 	i.replicas = slices.Clone(addresses)
-	for life := range i.buckets {
-		i.resize(now, life)
+	for incarnation := range i.buckets {
+		i.resize(now, incarnation)
 	}
 }
 
-// Apply takes an update of a target and reports whether it changed what is known.
+// Apply applies an update of a target and reports whether it changed anything.
 func (i *TargetIssuer) Apply(now time.Time, u targetstatus.Update) (c targetstatus.Change, changed bool) {
-	c, changed = i.known.Take(u)
+	c, changed = i.registry.Take(u)
 	if changed {
 		i.resize(now, u.Incarnation)
 	}
 	return c, changed
 }
 
-// resize has a target's bucket follow its limit and the issuers.
-func (i *TargetIssuer) resize(now time.Time, life string) {
-	issuers := TargetIssuers(life, i.replicas)
-	if !i.known.HasLimit(life) || !slices.Contains(issuers, i.own) {
-		delete(i.buckets, life)
+// resize adapts a target's bucket to its limit and its issuers.
+func (i *TargetIssuer) resize(now time.Time, incarnation string) {
+	issuers := TargetIssuers(incarnation, i.replicas)
+	if !i.registry.HasLimit(incarnation) || !slices.Contains(issuers, i.address) {
+		delete(i.buckets, incarnation)
 		return
 	}
-	p := partOfTarget(i.known.Limit(life), len(issuers))
-	if b := i.buckets[life]; b != nil {
-		b.resize(now, p)
+	config := targetBucketConfig(i.registry.Limit(incarnation), len(issuers))
+	if b := i.buckets[incarnation]; b != nil {
+		b.resize(now, config)
 		return
 	}
-	i.buckets[life] = &bucket{part: p, at: now}
+	i.buckets[incarnation] = &bucket{bucketConfig: config, refilledAt: now}
 }
 
-// Issue answers what a box asks for targets.
-func (i *TargetIssuer) Issue(now time.Time, asks []SubjectRequest) []Grant {
-	out := make([]Grant, 0, len(asks))
-	for _, a := range asks {
-		g := i.grant(now, a)
-		i.count(g)
+// Issue answers a box's requests for permits of targets.
+func (i *TargetIssuer) Issue(now time.Time, requests []SubjectRequest) []Grant {
+	out := make([]Grant, 0, len(requests))
+	for _, r := range requests {
+		g := i.grant(now, r)
+		i.recordGrant(g)
 		out = append(out, g)
 	}
 	return out
 }
 
-func (i *TargetIssuer) grant(now time.Time, a SubjectRequest) Grant {
-	if b := i.buckets[a.Subject]; b != nil {
-		return b.grant(now, a)
+func (i *TargetIssuer) grant(now time.Time, r SubjectRequest) Grant {
+	if b := i.buckets[r.Subject]; b != nil {
+		return b.grant(now, r)
 	}
-	if i.known.HasLimit(a.Subject) {
-		return Grant{Subject: a.Subject, RetryAfter: longestWait} // others issue its permits
+	if i.registry.HasLimit(r.Subject) {
+		return Grant{Subject: r.Subject, RetryAfter: maxRetryAfter} // other replicas issue its permits
 	}
-	return Grant{Subject: a.Subject, Count: a.Count, TTL: targetLife}
+	return Grant{Subject: r.Subject, Count: r.Count, TTL: targetPermitTTL}
 }
 
-func (i *TargetIssuer) count(g Grant) {
-	t := i.tallies[g.Subject]
+func (i *TargetIssuer) recordGrant(g Grant) {
+	t := i.counters[g.Subject]
 	if t == nil {
 		t = &TargetCounters{}
-		i.tallies[g.Subject] = t
+		i.counters[g.Subject] = t
 	}
 	if g.Count == 0 {
 		t.Refused++
@@ -161,21 +164,21 @@
 	t.Issued += uint64(g.Count)
 }
 
-// Counters returns what was issued of a target's permits since it first named a limit.
-func (i *TargetIssuer) Counters(life string) TargetCounters {
-	if t := i.tallies[life]; t != nil {
+// Counters returns the counters of a target since it first reported a limit.
+func (i *TargetIssuer) Counters(incarnation string) TargetCounters {
+	if t := i.counters[incarnation]; t != nil {
 		return *t
 	}
 	return TargetCounters{}
 }
 
-// Prune forgets targets whose lives are over.
-func (i *TargetIssuer) Prune(now time.Time, lives func(life string) bool) {
-	i.known.Keep(now, lives)
-	for life := range i.tallies {
-		if !lives(life) {
-			delete(i.tallies, life)
-			delete(i.buckets, life)
+// Prune removes targets that are no longer registered.
+func (i *TargetIssuer) Prune(now time.Time, isRegistered func(incarnation string) bool) {
+	i.registry.Keep(now, isRegistered)
+	for incarnation := range i.counters {
+		if !isRegistered(incarnation) {
+			delete(i.counters, incarnation)
+			delete(i.buckets, incarnation)
 		}
 	}
 }
--- a/pkg/quota/targetlimit_test.go
+++ b/pkg/quota/targetlimit_test.go
@@ -11,105 +11,105 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-const oneTarget = "t"
+const testTarget = "t"
 
-// needWindow is the span in which targets count what they get.
-const needWindow = 4 * time.Second
+// targetWindow is the window in which a target's requests are counted.
+const targetWindow = 4 * time.Second
 
-// mostOfTarget is what a target that names a limit may get in it.
-func mostOfTarget(perSecond float64) float64 { return 1.5*perSecond*needWindow.Seconds() + 5 }
+// maxTargetRequests returns how many requests a rate-limited target may get in a window.
+func maxTargetRequests(perSecond float64) float64 { return 1.5*perSecond*targetWindow.Seconds() + 5 }
 
-// limitedTarget is a rate-limited target, some replicas and boxes in virtual time, and a network that
-// loses what its cuts forbid.
-type limitedTarget struct {
-	t        *rapid.T
-	now      time.Time
-	limit    targetstatus.Update
-	issuers  map[string]*TargetIssuer
-	replicas []string
-	boxes    []*limitedBox
-	cut      map[string]bool
-	sent     []time.Time
+// targetSimulation runs a rate-limited target, replicas and boxes in virtual time. Its
+// network loses the messages that its partitions block.
+type targetSimulation struct {
+	t           *rapid.T
+	now         time.Time
+	limit       targetstatus.Update
+	issuers     map[string]*TargetIssuer
+	replicas    []string
+	boxes       []*simulatedBox
+	partitioned map[string]bool
+	sent        []time.Time
 }
 
-// limitedBox is what a box has for the target.
-type limitedBox struct {
-	name  string
-	stock *PermitCache
-	alone *Fallback
-	// taken are permits that have been taken and not been used.
-	taken []time.Time
+// simulatedBox holds the limiters of a box for the target.
+type simulatedBox struct {
+	name     string
+	cache    *PermitCache
+	fallback *Fallback
+	// unused holds the expiry times of permits that were taken and are not used yet.
+	unused []time.Time
 }
 
-func (n *limitedTarget) startIssuer(name string) {
+func (n *targetSimulation) startIssuer(name string) {
 	i := NewTargetIssuer(name)
 	i.SetReplicas(n.now, n.replicas)
 	n.issuers[name] = i
 }
 
-func (n *limitedTarget) startBox(k int) {
-	b := &limitedBox{name: fmt.Sprint("b", k), alone: NewFallback(fmt.Sprint("b", k))}
-	b.stock = NewTargetPermitCache()
-	b.stock.SetIssuers(n.replicas)
+func (n *targetSimulation) startBox(k int) {
+	b := &simulatedBox{name: fmt.Sprint("b", k), fallback: NewFallback(fmt.Sprint("b", k))}
+	b.cache = NewTargetPermitCache()
+	b.cache.SetIssuers(n.replicas)
 	var all []string
 	for i := range n.boxes {
 		all = append(all, fmt.Sprint("b", i))
 	}
-	b.alone.SetBoxes(all)
+	b.fallback.SetBoxes(all)
 	n.boxes[k] = b
 }
 
-// request has a box send a request if it gets a permit; late has it sent as late as the
-// permit allows.
-func (n *limitedTarget) request(b *limitedBox, late bool) {
+// request makes a box send a request if it gets a permit; late delays it until just
+// before the permit expires.
+func (n *targetSimulation) request(b *simulatedBox, late bool) {
 	until, ok := n.permit(b)
 	switch {
 	case !ok:
 	case late:
-		b.taken = append(b.taken, until)
+		b.unused = append(b.unused, until)
 	default:
 		n.sent = append(n.sent, n.now)
 	}
 }
 
-func (n *limitedTarget) permit(b *limitedBox) (until time.Time, ok bool) {
-	b.stock.RecordRequest(n.now, oneTarget)
+func (n *targetSimulation) permit(b *simulatedBox) (until time.Time, ok bool) {
+	b.cache.RecordRequest(n.now, testTarget)
 	for range len(n.replicas) + 1 {
-		if until, ok := b.stock.Take(n.now, oneTarget); ok {
+		if until, ok := b.cache.Take(n.now, testTarget); ok {
 			return until, true
 		}
-		if b.stock.Refusal(n.now, oneTarget) != nil {
+		if b.cache.Refusal(n.now, testTarget) != nil {
 			break
 		}
-		b.stock.AddWaiter(oneTarget)
-		for _, a := range b.stock.StartCalls(n.now) {
+		b.cache.AddWaiter(testTarget)
+		for _, a := range b.cache.StartCalls(n.now) {
 			n.answer(b, a)
 		}
-		b.stock.RemoveWaiter(oneTarget)
+		b.cache.RemoveWaiter(testTarget)
 	}
-	return b.alone.Take(n.now, oneTarget, n.limit.Limit)
+	return b.fallback.Take(n.now, testTarget, n.limit.Limit)
 }
 
-func (n *limitedTarget) answer(b *limitedBox, a IssuerCall) {
-	if n.cut[b.name+a.Address] {
-		b.stock.HandleFailure(n.now, a)
+func (n *targetSimulation) answer(b *simulatedBox, a IssuerCall) {
+	if n.partitioned[b.name+a.Address] {
+		b.cache.HandleFailure(n.now, a)
 		return
 	}
 	i := n.issuers[a.Address]
 	i.Apply(n.now, n.limit)
 	grants := i.Issue(n.now, a.Requests)
-	if n.cut[a.Address+b.name] { // the answer is lost
-		b.stock.HandleFailure(n.now, a)
+	if n.partitioned[a.Address+b.name] { // the answer is lost
+		b.cache.HandleFailure(n.now, a)
 		return
 	}
-	b.stock.HandleGrants(n.now, a, grants)
+	b.cache.HandleGrants(n.now, a, grants)
 }
 
-// pass lets time pass; permits that were taken are used at the last moment.
-func (n *limitedTarget) pass(d time.Duration) {
+// advance advances the clock and uses pending permits at their last moment.
+func (n *targetSimulation) advance(d time.Duration) {
 	end := n.now.Add(d)
 	for _, b := range n.boxes {
-		b.taken = slices.DeleteFunc(b.taken, func(until time.Time) bool {
+		b.unused = slices.DeleteFunc(b.unused, func(until time.Time) bool {
 			if until.After(end) {
 				return false
 			}
@@ -121,7 +121,7 @@
 }
 
 // check checks each window that begins at from or later.
-func (n *limitedTarget) check(from time.Time, perSecond float64) {
+func (n *targetSimulation) check(from time.Time, perSecond float64) {
 	slices.SortFunc(n.sent, time.Time.Compare)
 	first := 0
 	for i, at := range n.sent {
@@ -129,35 +129,35 @@
 			first = i + 1
 			continue
 		}
-		for at.Sub(n.sent[first]) > needWindow {
+		for at.Sub(n.sent[first]) > targetWindow {
 			first++
 		}
-		if got := i - first + 1; float64(got) > mostOfTarget(perSecond) {
-			n.t.Fatalf("%d requests in %s with a limit of %v, allowed %v", got, needWindow, perSecond, mostOfTarget(perSecond))
+		if got := i - first + 1; float64(got) > maxTargetRequests(perSecond) {
+			n.t.Fatalf("%d requests in %s with a limit of %v, allowed %v", got, targetWindow, perSecond, maxTargetRequests(perSecond))
 		}
 	}
 }
 
-// The sum holds in each window, whatever is cut off, lost or starts anew, with boxes that
-// ask for all that they can get and use it as late as they may, and where the limit is
-// lowered.
+// Checks that all boxes together stay within the bound in each window while they request as
+// many permits as they can get and use them as late as allowed, links are cut, answers are
+// lost, boxes and issuers restart, and the limit is lowered.
 func TestTargetBoundHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := &limitedTarget{t: t, now: time.Time{}.Add(time.Hour), issuers: make(map[string]*TargetIssuer), cut: make(map[string]bool)}
-		n.limit = targetstatus.Update{Incarnation: oneTarget, Limit: rapid.SampledFrom([]float64{0, 0.3, 1, 5.6, 40}).Draw(t, "limit"), Sent: n.now, Received: n.now}
+		n := &targetSimulation{t: t, now: time.Time{}.Add(time.Hour), issuers: make(map[string]*TargetIssuer), partitioned: make(map[string]bool)}
+		n.limit = targetstatus.Update{Incarnation: testTarget, Limit: rapid.SampledFrom([]float64{0, 0.3, 1, 5.6, 40}).Draw(t, "limit"), Sent: n.now, Received: n.now}
 		for k := range rapid.IntRange(1, 9).Draw(t, "replicas") {
 			n.replicas = append(n.replicas, fmt.Sprint("r", k))
 		}
 		for _, r := range n.replicas {
 			n.startIssuer(r)
 		}
-		n.boxes = make([]*limitedBox, rapid.IntRange(1, 12).Draw(t, "boxes"))
+		n.boxes = make([]*simulatedBox, rapid.IntRange(1, 12).Draw(t, "boxes"))
 		for k := range n.boxes {
 			n.startBox(k)
 		}
 		higher, lowered := n.limit.Limit, time.Time{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			n.pass(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
+			n.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 			box := rapid.IntRange(0, len(n.boxes)-1).Draw(t, "box")
 			replica := rapid.SampledFrom(n.replicas).Draw(t, "replica")
 			switch rapid.SampledFrom([]string{"load", "load", "load", "late", "box", "issuer", "cut", "lost", "lower"}).Draw(t, "event") {
@@ -174,66 +174,66 @@
 			case "issuer":
 				n.startIssuer(replica)
 			case "cut":
-				n.cut[n.boxes[box].name+replica] = !n.cut[n.boxes[box].name+replica]
+				n.partitioned[n.boxes[box].name+replica] = !n.partitioned[n.boxes[box].name+replica]
 			case "lost":
-				n.cut[replica+n.boxes[box].name] = !n.cut[replica+n.boxes[box].name]
+				n.partitioned[replica+n.boxes[box].name] = !n.partitioned[replica+n.boxes[box].name]
 			case "lower":
 				if lowered.IsZero() {
-					n.limit = targetstatus.Update{Incarnation: oneTarget, Limit: higher / 3, Sent: n.now, Received: n.now}
+					n.limit = targetstatus.Update{Incarnation: testTarget, Limit: higher / 3, Sent: n.now, Received: n.now}
 					lowered = n.now
 				}
 			}
 		}
-		n.pass(targetLife)
+		n.advance(targetPermitTTL)
 		n.check(time.Time{}, higher)
 		if !lowered.IsZero() {
-			n.check(lowered.Add(needWindow), higher/3)
+			n.check(lowered.Add(targetWindow), higher/3)
 		}
 	})
 }
 
-// The worst window comes near what the inequality says and no further: all buckets are
-// full, these permits are used at the last moment, each further one at once, and the one
-// box that reaches nobody sends what it may.
-func TestWorstWindowOfATarget(t *testing.T) {
+// Checks the worst case: all buckets are full, their permits are used at the last moment,
+// every further permit at once, and the one box that reaches no replica uses its
+// fallback. The total stays within the bound and reaches at least the limit.
+func TestWorstCaseTargetWindow(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.5, 1, 5.6, 40} {
 		for _, replicas := range []int{1, 2, 3, 6, 9} {
-			got, want := worstOfTarget(perSecond, replicas), mostOfTarget(perSecond)
+			got, want := worstTargetWindow(perSecond, replicas), maxTargetRequests(perSecond)
 			if got > want {
 				t.Errorf("%v a second, %d replicas: %v, allowed %v", perSecond, replicas, got, want)
 			}
-			if got < perSecond*needWindow.Seconds() {
-				t.Errorf("%v a second, %d replicas: %v in %s, less than the limit", perSecond, replicas, got, needWindow)
+			if got < perSecond*targetWindow.Seconds() {
+				t.Errorf("%v a second, %d replicas: %v in %s, less than the limit", perSecond, replicas, got, targetWindow)
 			}
 		}
 	}
 }
 
-func worstOfTarget(perSecond float64, replicas int) float64 {
+func worstTargetWindow(perSecond float64, replicas int) float64 {
 	now := time.Time{}.Add(time.Hour)
-	limit := targetstatus.Update{Incarnation: oneTarget, Limit: perSecond, Sent: now, Received: now}
+	limit := targetstatus.Update{Incarnation: testTarget, Limit: perSecond, Sent: now, Received: now}
 	var all []string
 	for k := range replicas {
 		all = append(all, fmt.Sprint("r", k))
 	}
 	var issuers []*TargetIssuer
-	for _, name := range TargetIssuers(oneTarget, all) {
+	for _, name := range TargetIssuers(testTarget, all) {
 		i := NewTargetIssuer(name)
 		i.SetReplicas(now, all)
 		i.Apply(now, limit)
 		issuers = append(issuers, i)
 	}
-	alone := NewFallback("b")
-	alone.SetBoxes([]string{"b"})
-	alone.Take(now, oneTarget, perSecond)
+	fallback := NewFallback("b")
+	fallback.SetBoxes([]string{"b"})
+	fallback.Take(now, testTarget, perSecond)
 	now = now.Add(time.Minute)
 	used := 0
-	for end := now.Add(targetLife + needWindow); now.Before(end); now = now.Add(time.Millisecond) {
+	for end := now.Add(targetPermitTTL + targetWindow); now.Before(end); now = now.Add(time.Millisecond) {
 		for _, i := range issuers {
-			used += i.Issue(now, []SubjectRequest{{oneTarget, 1 << 20}})[0].Count
+			used += i.Issue(now, []SubjectRequest{{testTarget, 1 << 20}})[0].Count
 		}
-		if now.After(end.Add(-needWindow)) {
-			if _, ok := alone.Take(now, oneTarget, perSecond); ok {
+		if now.After(end.Add(-targetWindow)) {
+			if _, ok := fallback.Take(now, testTarget, perSecond); ok {
 				used++
 			}
 		}
@@ -241,13 +241,13 @@
 	return float64(used)
 }
 
-// A replica that does not issue for a target, and one that knows it only by its words,
-// give nothing; one that knows that the limit was taken back gives all.
-func TestWhoIssuesForATarget(t *testing.T) {
+// Guards against permits from a replica that is not an issuer of the target or has just
+// learned of its limit. A replica that knows that the limit was withdrawn grants everything.
+func TestOnlyDesignatedIssuersGrantTargetPermits(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
 	replicas := []string{"r0", "r1", "r2", "r3", "r4"}
-	limit := targetstatus.Update{Incarnation: oneTarget, Limit: 10, Sent: now, Received: now}
-	issuers := TargetIssuers(oneTarget, replicas)
+	limit := targetstatus.Update{Incarnation: testTarget, Limit: 10, Sent: now, Received: now}
+	issuers := TargetIssuers(testTarget, replicas)
 	if len(issuers) != targetIssuers {
 		t.Fatalf("issuers %v", issuers)
 	}
@@ -255,16 +255,16 @@
 		i := NewTargetIssuer(name)
 		i.SetReplicas(now, replicas)
 		i.Apply(now, limit)
-		if g := i.Issue(now, []SubjectRequest{{oneTarget, 1}})[0]; g.Count != 0 || g.RetryAfter <= 0 {
-			t.Errorf("%s begins with permits: %+v", name, g)
+		if g := i.Issue(now, []SubjectRequest{{testTarget, 1}})[0]; g.Count != 0 || g.RetryAfter <= 0 {
+			t.Errorf("%s starts with permits: %+v", name, g)
 		}
-		g := i.Issue(now.Add(time.Second), []SubjectRequest{{oneTarget, 5}})[0]
+		g := i.Issue(now.Add(time.Second), []SubjectRequest{{testTarget, 5}})[0]
 		if isIssuer := slices.Contains(issuers, name); isIssuer != (g.Count > 0) {
 			t.Errorf("%s, issuer %v: %+v", name, isIssuer, g)
 		}
-		i.Apply(now, targetstatus.Update{Incarnation: oneTarget, Limit: targetstatus.NoLimit, Sent: now.Add(time.Second), Received: now.Add(time.Second)})
-		if g := i.Issue(now.Add(time.Second), []SubjectRequest{{oneTarget, 7}})[0]; g.Count != 7 {
-			t.Errorf("%s after the limit was taken back: %+v", name, g)
+		i.Apply(now, targetstatus.Update{Incarnation: testTarget, Limit: targetstatus.NoLimit, Sent: now.Add(time.Second), Received: now.Add(time.Second)})
+		if g := i.Issue(now.Add(time.Second), []SubjectRequest{{testTarget, 7}})[0]; g.Count != 7 {
+			t.Errorf("%s after the limit was withdrawn: %+v", name, g)
 		}
 	}
 }
--- a/pkg/quota/usage_test.go
+++ b/pkg/quota/usage_test.go
@@ -7,14 +7,14 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-func TestUsageTellsOfTheLastWindow(t *testing.T) {
+func TestUsageReportsPreviousWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	i := NewIssuer(testBound, 2)
 	i.SetLimits(now, 7, []catalog.Workspace{
 		{Name: "b", Limit: catalog.RateLimit{PerSecond: 10, Burst: 4}},
 		{Name: "a"},
 	})
-	ask := func(name string, count int) int {
+	issue := func(name string, count int) int {
 		t.Helper()
 		grants, err := i.Issue(now, 7, []SubjectRequest{{name, count}})
 		if err != nil {
@@ -23,9 +23,9 @@
 		return grants[0].Count
 	}
 	now = now.Add(testBound.Window)
-	issued := ask("b", 5)
-	if issued != 5 || ask("b", 1000) == 0 || ask("b", 1) != 0 || ask("a", 3) != 3 || ask("nobody", 1) != 0 {
-		t.Fatal("the bucket is not as deep as it should be")
+	issued := issue("b", 5)
+	if issued != 5 || issue("b", 1000) == 0 || issue("b", 1) != 0 || issue("a", 3) != 3 || issue("nobody", 1) != 0 {
+		t.Fatal("the bucket does not have the expected size")
 	}
 	list := i.Usage(now)
 	if len(list) != 2 || list[0].Workspace != "a" || list[1].Workspace != "b" {
@@ -39,7 +39,7 @@
 		t.Errorf("a workspace with a limit: %+v", b)
 	}
 	if b.IssuedPerSecond != 0 {
-		t.Errorf("the present window is counted before it is over: %+v", b)
+		t.Errorf("the current window is counted before it ends: %+v", b)
 	}
 	now = now.Add(testBound.Window)
 	perSecond := float64(b.Issued) / testBound.Window.Seconds()
@@ -52,6 +52,6 @@
 	}
 	i.SetLimits(now, 8, nil)
 	if list := i.Usage(now); len(list) != 0 {
-		t.Errorf("a workspace that is gone is shown: %+v", list)
+		t.Errorf("a removed workspace is still listed: %+v", list)
 	}
 }
