--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -41,7 +41,7 @@
 		return
 	}
 	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.End.Request.String()).
-		Str("target", r.End.Life).Str("route", r.End.Route).Str("service", r.End.Service).
+		Str("target", r.End.Incarnation).Str("route", r.End.Route).Str("service", r.End.Service).
 		Dur("ran", r.End.Ended.Sub(r.End.Began)).Msg("a target ended while it ran a request")
 }
 
@@ -113,7 +113,7 @@
 		c.probation = true
 	case quarantine.Busy, quarantine.Held:
 		c.verdict = &v
-		c.refuse(v.Decision.String(), v.Wait)
+		c.refuse(v.Decision.String(), v.RetryAfter)
 		return false
 	}
 	return true
@@ -154,8 +154,8 @@
 	id := c.identity()
 	now := c.gateway.clock.Now()
 	c.gateway.isolation.Broke(isolation.Run{
-		End: quarantine.End{
-			Request: id.digest, Caller: id.caller, Life: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
+		End: quarantine.Crash{
+			Request: id.digest, Caller: id.caller, Incarnation: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
 			Began: e.began, Ended: now,
 		},
 		Address: e.choice.Target.Address,
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -96,7 +96,7 @@
 		line = line.Bool("onProbation", true)
 	}
 	if c.verdict != nil {
-		line = line.Int("endedTargets", c.verdict.Lives).Bool("listed", c.verdict.Listed)
+		line = line.Int("endedTargets", c.verdict.CrashedTargets).Bool("listed", c.verdict.Listed)
 	}
 	return line
 }
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -30,7 +30,7 @@
 
 // Run is a run whose connection broke after the request was sent.
 type Run struct {
-	End quarantine.End
+	End quarantine.Crash
 	// Address is that of the target, and Request the id of the request.
 	Address string
 	Request string
@@ -119,7 +119,7 @@
 func (i *Isolation) Run(ctx context.Context) error {
 	l := &loop{pending: make(map[string][]Run), looks: make(chan Look), told: make(chan toldReplica)}
 	defer l.running.Wait()
-	forget := time.NewTicker(quarantine.Memory / 10)
+	forget := time.NewTicker(quarantine.EvidenceRetention / 10)
 	defer forget.Stop()
 	tell := time.NewTimer(0)
 	defer tell.Stop()
@@ -138,7 +138,7 @@
 			tell.Reset(i.tellDue(ctx, l))
 		case t := <-l.told:
 			i.mu.Lock()
-			i.outbox.Ended(i.config.Clock.Now(), t.address, t.err == nil)
+			i.outbox.HandleResult(i.config.Clock.Now(), t.address, t.err == nil)
 			i.mu.Unlock()
 			tell.Reset(i.tellDue(ctx, l))
 		case <-forget.C:
@@ -149,7 +149,7 @@
 
 // lookAt has a target looked at whose connection broke; one look serves all runs there.
 func (i *Isolation) lookAt(ctx context.Context, l *loop, r Run) {
-	life := r.End.Life
+	life := r.End.Incarnation
 	if len(l.pending[life]) == 0 {
 		if len(l.pending) >= maxLooks {
 			return
@@ -169,8 +169,8 @@
 	replicas := i.config.Replicas()
 	i.mu.Lock()
 	i.outbox.SetReplicas(replicas)
-	batches := i.outbox.Due(now)
-	next := i.outbox.Next()
+	batches := i.outbox.NextBatches(now)
+	next := i.outbox.NextAt()
 	i.mu.Unlock()
 	for _, b := range batches {
 		e := evidence(now, b.Items)
@@ -186,9 +186,9 @@
 func evidence(now time.Time, items []quarantine.Item) *wire.Evidence {
 	out := &wire.Evidence{}
 	for _, i := range items {
-		if e := i.End; e != nil {
+		if e := i.Crash; e != nil {
 			out.Ends = append(out.Ends, &wire.RunEnd{
-				Digest: e.Request[:], Caller: uint64(e.Caller), Life: e.Life, Route: e.Route, Service: e.Service,
+				Digest: e.Request[:], Caller: uint64(e.Caller), Life: e.Incarnation, Route: e.Route, Service: e.Service,
 				BeganAgoMilli: now.Sub(e.Began).Milliseconds(), EndedAgoMilli: now.Sub(e.Ended).Milliseconds(),
 			})
 		}
@@ -248,10 +248,10 @@
 	now := i.config.Clock.Now()
 	for _, r := range runs {
 		i.mu.Lock()
-		news := i.guard.Ended(now, r.End)
+		news := i.guard.RecordCrash(now, r.End)
 		i.idle.Store(i.guard.IsIdle())
 		if news {
-			i.outbox.Add(now, quarantine.Item{End: &r.End})
+			i.outbox.Add(now, quarantine.Item{Crash: &r.End})
 		}
 		i.mu.Unlock()
 		if news {
@@ -273,7 +273,7 @@
 func (i *Isolation) Answered(d quarantine.Digest, c quarantine.Caller) {
 	now := i.config.Clock.Now()
 	i.mu.Lock()
-	tell := i.guard.Answered(now, d, c)
+	tell := i.guard.RecordAnswer(now, d, c)
 	if tell {
 		i.outbox.Add(now, quarantine.Item{Answer: &quarantine.Answer{Request: d, Caller: c, At: now}})
 	}
@@ -302,7 +302,7 @@
 func (i *Isolation) forget(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.guard.Forget(now)
+	i.guard.RemoveExpired(now)
 	i.idle.Store(i.guard.IsIdle())
 }
 
@@ -310,7 +310,7 @@
 func (i *Isolation) Suspects() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.guard.Suspects()
+	return i.guard.SuspectCount()
 }
 
 // Admit decides on a request that arrives. One that is let in on probation must be
@@ -334,5 +334,5 @@
 	now, wall := i.config.Clock.Now(), time.Now() // time of day: the list tells by it until when it holds
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.guard.MayRepeat(now, wall, d, c)
+	return i.guard.MayRetry(now, wall, d, c)
 }
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -45,10 +45,10 @@
 	return i
 }
 
-func end(request, life string) quarantine.End {
+func end(request, life string) quarantine.Crash {
 	now := time.Now()
-	return quarantine.End{
-		Request: quarantine.Request{Target: request}.Digest(), Caller: quarantine.CallerOf("c"), Life: life, Began: now.Add(-time.Millisecond), Ended: now,
+	return quarantine.Crash{
+		Request: quarantine.Request{Target: request}.Digest(), Caller: quarantine.CallerOf("c"), Incarnation: life, Began: now.Add(-time.Millisecond), Ended: now,
 	}
 }
 
@@ -117,7 +117,7 @@
 	const contact, arrivals = 3 * time.Second, 60
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		ledger := quarantine.NewLedger()
+		ledger := quarantine.NewEvidenceStore()
 		var list []quarantine.Entry
 		silentUntil := time.Now().Add(2 * time.Second)
 		tell := func(_ context.Context, address string, e *wire.Evidence) error {
@@ -132,9 +132,9 @@
 			defer mu.Unlock()
 			for _, r := range e.Ends {
 				at := time.Now().Add(-time.Duration(r.EndedAgoMilli) * time.Millisecond)
-				one := quarantine.End{Caller: quarantine.Caller(r.Caller), Life: r.Life, Began: at.Add(-time.Millisecond), Ended: at}
+				one := quarantine.Crash{Caller: quarantine.Caller(r.Caller), Incarnation: r.Life, Began: at.Add(-time.Millisecond), Ended: at}
 				copy(one.Request[:], r.Digest)
-				ledger.Ended(time.Now(), one)
+				ledger.RecordCrash(time.Now(), one)
 			}
 			return nil
 		}
@@ -161,7 +161,7 @@
 			}
 			time.Sleep(200 * time.Millisecond)
 			mu.Lock()
-			for _, o := range ledger.Due(time.Now(), time.Now(), list) {
+			for _, o := range ledger.PendingChanges(time.Now(), time.Now(), list) {
 				if o.Entry.Held {
 					list = nil
 				}
--- a/pkg/quarantine/entry.go
+++ b/pkg/quarantine/entry.go
@@ -11,7 +11,7 @@
 	// watchTime is for how long a request is watched, and holdTime for how long it is
 	// held. The second bounds what a wrong verdict costs and what a right one lets
 	// through: three targets in an hour. An operator may let a request go before.
-	watchTime = Memory
+	watchTime = EvidenceRetention
 	holdTime  = time.Hour
 )
 
@@ -24,8 +24,8 @@
 	Held    bool
 	Route   string
 	Service string
-	// Lives are those of targets that ended under it.
-	Lives []string
+	// CrashedTargets are those of targets that ended under it.
+	CrashedTargets []string
 	// Until is when it is let go, by the time of day.
 	Until time.Time
 }
@@ -37,7 +37,7 @@
 func EntryOf(m *wire.Quarantined) Entry {
 	e := Entry{
 		Caller: Caller(m.Caller), Held: m.Held, Route: m.Route, Service: m.Service,
-		Lives: slices.Clone(m.Lives), Until: time.UnixMilli(m.UntilUnixMilli),
+		CrashedTargets: slices.Clone(m.Lives), Until: time.UnixMilli(m.UntilUnixMilli),
 	}
 	copy(e.Request[:], m.Digest)
 	return e
@@ -56,7 +56,7 @@
 func (e Entry) Message() *wire.Quarantined {
 	return &wire.Quarantined{
 		Digest: e.Request[:], Caller: uint64(e.Caller), Held: e.Held, Route: e.Route, Service: e.Service,
-		Lives: e.Lives, UntilUnixMilli: e.Until.UnixMilli(),
+		Lives: e.CrashedTargets, UntilUnixMilli: e.Until.UnixMilli(),
 	}
 }
 
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -39,11 +39,11 @@
 // Verdict is the decision on a request with its grounds.
 type Verdict struct {
 	Decision Decision
-	// Lives is how many ended targets are known, and Listed whether control named it.
-	Lives  int
-	Listed bool
-	// Wait is when it may come back.
-	Wait time.Duration
+	// CrashedTargets is how many ended targets are known, and Listed whether control named it.
+	CrashedTargets int
+	Listed         bool
+	// RetryAfter is when it may come back.
+	RetryAfter time.Duration
 }
 
 // Guard decides at one box. It goes by the replicated list and by what the box saw
@@ -64,8 +64,8 @@
 // IsIdle reports whether nothing is known of any request, so that none needs a digest.
 func (g *Guard) IsIdle() bool { return len(g.records) == 0 && len(g.list) == 0 }
 
-// Suspects returns how many requests the box itself has evidence against.
-func (g *Guard) Suspects() int { return len(g.records) }
+// SuspectCount returns how many requests the box itself has evidence against.
+func (g *Guard) SuspectCount() int { return len(g.records) }
 
 // SetList takes the replicated list. What left it was let go: the box's own evidence
 // goes with it.
@@ -87,7 +87,7 @@
 		return v
 	}
 	if g.running[d] > 0 {
-		v.Decision, v.Wait = Busy, busyWait
+		v.Decision, v.RetryAfter = Busy, busyWait
 		return v
 	}
 	g.running[d]++
@@ -101,8 +101,8 @@
 	}
 }
 
-// MayRepeat reports whether a further target may get a request that has been let in.
-func (g *Guard) MayRepeat(now, wall time.Time, d Digest, c Caller) bool {
+// MayRetry reports whether a further target may get a request that has been let in.
+func (g *Guard) MayRetry(now, wall time.Time, d Digest, c Caller) bool {
 	return g.look(now, wall, d, c).Decision == Free
 }
 
@@ -113,12 +113,12 @@
 			continue
 		}
 		v.Listed = true
-		v.Lives = max(v.Lives, len(e.Lives))
+		v.CrashedTargets = max(v.CrashedTargets, len(e.CrashedTargets))
 		if g.isCleared(now, d, c) {
 			continue
 		}
 		if e.Held {
-			v.Decision, v.Wait = Held, max(v.Wait, e.Until.Sub(wall))
+			v.Decision, v.RetryAfter = Held, max(v.RetryAfter, e.Until.Sub(wall))
 			continue
 		}
 		if v.Decision == Free {
@@ -140,10 +140,10 @@
 		if e.against != AnyCaller && e.against != c {
 			continue
 		}
-		v.Lives = max(v.Lives, e.lives)
+		v.CrashedTargets = max(v.CrashedTargets, e.lives)
 		switch {
 		case e.lives >= holdLives && r.endedWhileWatched(e.against):
-			return Verdict{Decision: Held, Lives: v.Lives, Wait: Memory}
+			return Verdict{Decision: Held, CrashedTargets: v.CrashedTargets, RetryAfter: EvidenceRetention}
 		case e.lives >= watchLives:
 			v.Decision = OnProbation
 		}
@@ -166,9 +166,9 @@
 	return ok
 }
 
-// Ended takes that a target ended while it ran a request, and reports whether control
+// RecordCrash takes that a target ended while it ran a request, and reports whether control
 // must be told.
-func (g *Guard) Ended(now time.Time, e End) bool {
+func (g *Guard) RecordCrash(now time.Time, e Crash) bool {
 	r := g.records[e.Request]
 	if r == nil {
 		r = &record{}
@@ -184,9 +184,9 @@
 	return news
 }
 
-// Answered takes that a request got a whole answer, and reports whether control must be
+// RecordAnswer takes that a request got a whole answer, and reports whether control must be
 // told: only if it was suspected.
-func (g *Guard) Answered(now time.Time, d Digest, c Caller) bool {
+func (g *Guard) RecordAnswer(now time.Time, d Digest, c Caller) bool {
 	listed := len(g.list[d]) > 0
 	r := g.records[d]
 	if r == nil && !listed {
@@ -209,8 +209,8 @@
 	return true
 }
 
-// Forget drops what no longer counts.
-func (g *Guard) Forget(now time.Time) {
+// RemoveExpired drops what no longer counts.
+func (g *Guard) RemoveExpired(now time.Time) {
 	for d, r := range g.records {
 		if r.isOld(now) {
 			delete(g.records, d)
--- a/pkg/quarantine/guards_test.go
+++ b/pkg/quarantine/guards_test.go
@@ -7,13 +7,13 @@
 )
 
 // watchedBy returns a ledger whose request is on the list, watched since now.
-func watchedBy(now time.Time, ends ...End) (*Ledger, []Entry) {
-	l := NewLedger()
+func watchedBy(now time.Time, ends ...Crash) (*EvidenceStore, []Entry) {
+	l := NewEvidenceStore()
 	for _, e := range ends {
-		l.Ended(now, e)
+		l.RecordCrash(now, e)
 	}
-	list := []Entry{l.Due(now, now, nil)[0].Entry}
-	l.Due(now, now, list)
+	list := []Entry{l.PendingChanges(now, now, nil)[0].Entry}
+	l.PendingChanges(now, now, list)
 	return l, list
 }
 
@@ -25,8 +25,8 @@
 	now = now.Add(settleTime / 2)
 	fresh := endOf(alice, "3", 0)
 	fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-	l.Ended(now, fresh)
-	if due := l.Due(now, now, list); len(due) != 1 || !due[0].Entry.Held {
+	l.RecordCrash(now, fresh)
+	if due := l.PendingChanges(now, now, list); len(due) != 1 || !due[0].Entry.Held {
 		t.Fatalf("got %+v", due)
 	}
 }
@@ -36,15 +36,15 @@
 func TestTimeHoldsNothingWhileOthersAreAnswered(t *testing.T) {
 	now := morning.Add(time.Minute)
 	l, list := watchedBy(now, endOf(alice, "1", 0), endOf(alice, "2", 0), endOf(alice, "3", 0))
-	l.Answered(now, fatal, bob, now.Add(settleTime/2))
+	l.RecordAnswer(now, fatal, bob, now.Add(settleTime/2))
 	now = now.Add(2 * settleTime)
-	if due := l.Due(now, now, list); len(due) != 0 {
+	if due := l.PendingChanges(now, now, list); len(due) != 0 {
 		t.Fatalf("got %+v", due)
 	}
 	fresh := endOf(alice, "4", 0)
 	fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-	l.Ended(now, fresh)
-	if due := l.Due(now, now, list); len(due) != 1 || !due[0].Entry.Held || due[0].Entry.Caller != alice {
+	l.RecordCrash(now, fresh)
+	if due := l.PendingChanges(now, now, list); len(due) != 1 || !due[0].Entry.Held || due[0].Entry.Caller != alice {
 		t.Fatalf("after its turn: %+v", due)
 	}
 }
@@ -54,7 +54,7 @@
 func TestEachCallerIsHeldByItsOwn(t *testing.T) {
 	now := morning.Add(time.Minute)
 	g := NewGuard()
-	var ends []End
+	var ends []Crash
 	for i := range 4 {
 		ends = append(ends, endOf(alice, fmt.Sprint("a", i), time.Duration(i)*time.Second))
 	}
@@ -62,13 +62,13 @@
 		ends = append(ends, endOf(bob, fmt.Sprint("b", i), time.Duration(i)*time.Second))
 	}
 	l, list := watchedBy(now, ends...)
-	l.Answered(now, fatal, CallerOf("carol"), now)
+	l.RecordAnswer(now, fatal, CallerOf("carol"), now)
 	for _, c := range []Caller{alice, bob} {
 		now = now.Add(settleTime)
 		fresh := endOf(c, "fresh", 0)
 		fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-		l.Ended(now, fresh)
-		due := l.Due(now, now, list)
+		l.RecordCrash(now, fresh)
+		due := l.PendingChanges(now, now, list)
 		if len(due) != 1 || !due[0].Entry.Held || due[0].Entry.Caller != c {
 			t.Fatalf("got %+v", due)
 		}
@@ -76,7 +76,7 @@
 		ends = append(ends, fresh)
 	}
 	for _, e := range ends {
-		g.Ended(e.Ended, e)
+		g.RecordCrash(e.Ended, e)
 	}
 	for _, c := range []Caller{alice, bob} {
 		if v := g.Admit(now, now, fatal, c); v.Decision != Held {
@@ -91,12 +91,12 @@
 // Evidence that is told again, as the answer to the call was lost, counts once and pushes
 // out no other.
 func TestEvidenceCountsOnce(t *testing.T) {
-	l := NewLedger()
-	l.Ended(morning, endOf(alice, "1", 0))
+	l := NewEvidenceStore()
+	l.RecordCrash(morning, endOf(alice, "1", 0))
 	for range maxEnds {
-		l.Ended(morning, endOf(alice, "2", time.Second))
+		l.RecordCrash(morning, endOf(alice, "2", time.Second))
 	}
-	if due := l.Due(morning, morning, nil); len(due) != 1 || len(due[0].Entry.Lives) != 2 {
+	if due := l.PendingChanges(morning, morning, nil); len(due) != 1 || len(due[0].Entry.CrashedTargets) != 2 {
 		t.Fatalf("got %+v", due)
 	}
 }
@@ -107,7 +107,7 @@
 	g := NewGuard()
 	now := morning.Add(time.Minute)
 	g.SetList([]Entry{{Request: fatal, Caller: AnyCaller, Held: true, Until: now.Add(holdTime)}})
-	if !g.Answered(now, fatal, alice) {
+	if !g.RecordAnswer(now, fatal, alice) {
 		t.Fatal("an answer to a held request is not told")
 	}
 	if v := g.Admit(now, now, fatal, alice); v.Decision != Free {
@@ -130,40 +130,40 @@
 	now := morning
 	for i := range maxBatch + 1 {
 		e := endOf(alice, fmt.Sprint(i), 0)
-		o.Add(now, Item{End: &e})
+		o.Add(now, Item{Crash: &e})
 	}
-	if due := o.Due(now); len(due) != 0 || !o.Next().Equal(now.Add(gatherTime)) {
-		t.Fatalf("at once: %d batches, next %s", len(due), o.Next())
+	if due := o.NextBatches(now); len(due) != 0 || !o.NextAt().Equal(now.Add(gatherTime)) {
+		t.Fatalf("at once: %d batches, next %s", len(due), o.NextAt())
 	}
 	now = now.Add(gatherTime)
 	want := func(address string, items int) {
 		t.Helper()
-		due := o.Due(now)
+		due := o.NextBatches(now)
 		if len(due) != 1 || due[0].Address != address || len(due[0].Items) != items {
 			t.Fatalf("got %d batches, want %d items for %s", len(due), items, address)
 		}
 	}
 	want("a", maxBatch)
-	if due := o.Due(now); len(due) != 0 {
+	if due := o.NextBatches(now); len(due) != 0 {
 		t.Fatal("told again while a call is under way")
 	}
-	o.Ended(now, "a", false)
-	if due := o.Due(now); len(due) != 0 || !o.Next().Equal(now.Add(retryPause)) {
+	o.HandleResult(now, "a", false)
+	if due := o.NextBatches(now); len(due) != 0 || !o.NextAt().Equal(now.Add(retryPause)) {
 		t.Fatal("told again at once")
 	}
 	now = now.Add(retryPause)
 	want("a", maxBatch)
-	o.Ended(now, "a", true)
+	o.HandleResult(now, "a", true)
 	want("a", 1)
-	o.Ended(now, "a", true)
-	if !o.Next().IsZero() {
+	o.HandleResult(now, "a", true)
+	if !o.NextAt().IsZero() {
 		t.Fatal("there is more to tell")
 	}
 	o.SetReplicas([]string{"a", "b"})
 	want("b", maxBatch)
-	o.Ended(now, "b", true)
-	now = now.Add(2 * Memory)
-	if due := o.Due(now); len(due) != 0 {
+	o.HandleResult(now, "b", true)
+	now = now.Add(2 * EvidenceRetention)
+	if due := o.NextBatches(now); len(due) != 0 {
 		t.Fatal("evidence that no longer counts is told")
 	}
 }
--- a/pkg/quarantine/ledger.go
+++ b/pkg/quarantine/ledger.go
@@ -20,8 +20,8 @@
 	maxOrders = 16
 )
 
-// Order changes the replicated list: it enters or changes an entry, or lets it go.
-type Order struct {
+// ListChange changes the replicated list: it enters or changes an entry, or lets it go.
+type ListChange struct {
 	Entry   Entry
 	Release bool
 	// Reason is why, for the log.
@@ -35,27 +35,27 @@
 	listed bool
 }
 
-// Ledger keeps at a control replica what boxes tell of requests under which targets
+// EvidenceStore keeps at a control replica what boxes tell of requests under which targets
 // ended. Each replica is told all, so that any may lead. The caller provides locking.
-type Ledger struct {
+type EvidenceStore struct {
 	suspects map[Digest]*suspect
 }
 
-// NewLedger returns a ledger without evidence.
-func NewLedger() *Ledger { return &Ledger{suspects: make(map[Digest]*suspect)} }
+// NewEvidenceStore returns a ledger without evidence.
+func NewEvidenceStore() *EvidenceStore { return &EvidenceStore{suspects: make(map[Digest]*suspect)} }
 
 // Len returns how many requests there is evidence about.
-func (l *Ledger) Len() int { return len(l.suspects) }
+func (l *EvidenceStore) Len() int { return len(l.suspects) }
 
-// Ended takes an end that a box tells.
-func (l *Ledger) Ended(now time.Time, e End) { l.of(e.Request).add(now, e) }
+// RecordCrash takes an end that a box tells.
+func (l *EvidenceStore) RecordCrash(now time.Time, e Crash) { l.of(e.Request).add(now, e) }
 
-// Answered takes that a suspected request was answered.
-func (l *Ledger) Answered(now time.Time, d Digest, c Caller, at time.Time) {
+// RecordAnswer takes that a suspected request was answered.
+func (l *EvidenceStore) RecordAnswer(now time.Time, d Digest, c Caller, at time.Time) {
 	l.of(d).answer(now, c, at)
 }
 
-func (l *Ledger) of(d Digest) *suspect {
+func (l *EvidenceStore) of(d Digest) *suspect {
 	s := l.suspects[d]
 	if s != nil {
 		return s
@@ -68,14 +68,14 @@
 	return s
 }
 
-// Due returns what a leader has to change on the list; wall is the time of day. It is
+// PendingChanges returns what a leader has to change on the list; wall is the time of day. It is
 // returned again until the list shows it.
-func (l *Ledger) Due(now, wall time.Time, list []Entry) []Order {
+func (l *EvidenceStore) PendingChanges(now, wall time.Time, list []Entry) []ListChange {
 	known := byDigest(list)
-	var out []Order
+	var out []ListChange
 	for _, e := range list {
 		if !wall.Before(e.Until) {
-			out = append(out, Order{Entry: e, Release: true, Reason: "its time is over"})
+			out = append(out, ListChange{Entry: e, Release: true, Reason: "its time is over"})
 		}
 	}
 	for d, s := range l.suspects {
@@ -84,13 +84,13 @@
 		}
 		out = append(out, s.orders(now, wall, known[d])...)
 	}
-	slices.SortStableFunc(out, func(a, b Order) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
+	slices.SortStableFunc(out, func(a, b ListChange) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
 	return out[:min(len(out), maxOrders)]
 }
 
 // see notes whether a suspect is on the list and reports whether it is still one: what
 // left the list was let go, and the evidence goes with it.
-func (l *Ledger) see(now time.Time, d Digest, s *suspect, listed bool) bool {
+func (l *EvidenceStore) see(now time.Time, d Digest, s *suspect, listed bool) bool {
 	if s.listed && !listed || !listed && s.isOld(now) {
 		delete(l.suspects, d)
 		return false
@@ -103,7 +103,7 @@
 }
 
 // orders returns what is to be changed of one request.
-func (s *suspect) orders(now, wall time.Time, entries []Entry) []Order {
+func (s *suspect) orders(now, wall time.Time, entries []Entry) []ListChange {
 	for _, found := range s.evidence(now) {
 		if found.lives < holdLives || !s.mayHold(now, found.against) || isHeld(entries, found.against) {
 			continue
@@ -111,12 +111,12 @@
 		e := s.entry(found.against)
 		e.Held = true
 		e.Until = wall.Add(holdTime)
-		return []Order{{Entry: e, Reason: "targets ended under it one after the other"}}
+		return []ListChange{{Entry: e, Reason: "targets ended under it one after the other"}}
 	}
 	if s.most(now) >= watchLives && len(entries) == 0 {
 		e := s.entry(AnyCaller)
 		e.Until = wall.Add(watchTime)
-		return []Order{{Entry: e, Reason: "two targets ended under it"}}
+		return []ListChange{{Entry: e, Reason: "two targets ended under it"}}
 	}
 	return s.releases(now, entries)
 }
@@ -133,11 +133,11 @@
 }
 
 // releases lets go of entries whose callers were answered.
-func (s *suspect) releases(now time.Time, entries []Entry) []Order {
-	var out []Order
+func (s *suspect) releases(now time.Time, entries []Entry) []ListChange {
+	var out []ListChange
 	for _, e := range entries {
 		if s.clears(now, e) {
-			out = append(out, Order{Entry: e, Release: true, Reason: "it was answered"})
+			out = append(out, ListChange{Entry: e, Release: true, Reason: "it was answered"})
 		}
 	}
 	return out
@@ -148,7 +148,7 @@
 func (s *suspect) clears(now time.Time, e Entry) bool {
 	if e.Caller != AnyCaller {
 		_, answered := s.answerTo(e.Caller)
-		return answered && !slices.ContainsFunc(s.ends, func(end End) bool { return end.Caller == e.Caller })
+		return answered && !slices.ContainsFunc(s.ends, func(end Crash) bool { return end.Caller == e.Caller })
 	}
 	if len(s.answers) == 0 {
 		return false
@@ -171,8 +171,8 @@
 			continue
 		}
 		out.Request, out.Route, out.Service = e.Request, e.Route, e.Service
-		if !slices.Contains(out.Lives, e.Life) {
-			out.Lives = append(out.Lives, e.Life)
+		if !slices.Contains(out.CrashedTargets, e.Incarnation) {
+			out.CrashedTargets = append(out.CrashedTargets, e.Incarnation)
 		}
 	}
 	return out
--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -26,7 +26,7 @@
 
 // Item is a piece of evidence: an End or an Answer.
 type Item struct {
-	End    *End
+	Crash  *Crash
 	Answer *Answer
 }
 
@@ -86,9 +86,9 @@
 	maps.DeleteFunc(o.replicas, func(a string, _ *told) bool { return !slices.Contains(addresses, a) })
 }
 
-// Due returns what is to be told now. Each batch must be ended by Ended.
-func (o *Outbox) Due(now time.Time) []Batch {
-	old := slices.IndexFunc(o.items, func(i outItem) bool { return now.Sub(i.at) <= Memory })
+// NextBatches returns what is to be told now. Each batch must be ended by Ended.
+func (o *Outbox) NextBatches(now time.Time) []Batch {
+	old := slices.IndexFunc(o.items, func(i outItem) bool { return now.Sub(i.at) <= EvidenceRetention })
 	if old < 0 {
 		old = len(o.items)
 	}
@@ -121,8 +121,8 @@
 	return later(r.retryAt, o.items[from-o.first].at.Add(gatherTime)), true
 }
 
-// Ended takes how a call to a replica has ended.
-func (o *Outbox) Ended(now time.Time, address string, ok bool) {
+// HandleResult takes how a call to a replica has ended.
+func (o *Outbox) HandleResult(now time.Time, address string, ok bool) {
 	r := o.replicas[address]
 	if r == nil {
 		return
@@ -135,8 +135,8 @@
 	r.sending = 0
 }
 
-// Next returns when Due has to be asked again; zero if there is nothing to tell.
-func (o *Outbox) Next() (next time.Time) {
+// NextAt returns when Due has to be asked again; zero if there is nothing to tell.
+func (o *Outbox) NextAt() (next time.Time) {
 	for _, r := range o.replicas {
 		if at, ok := o.dueAt(r); ok && (next.IsZero() || at.Before(next)) {
 			next = at
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -15,22 +15,22 @@
 	// part p of the targets ending in the time of a run, an innocent request that is
 	// repeated three times is held with p^3: 0.003 where 0.15 of them end.
 	holdLives = 3
-	// Memory is how long evidence counts. A request that comes less often ends a
-	// target every Memory at most.
-	Memory = 10 * time.Minute
+	// EvidenceRetention is how long evidence counts. A request that comes less often ends a
+	// target every EvidenceRetention at most.
+	EvidenceRetention = 10 * time.Minute
 	// maxEnds and maxAnswers bound what is kept of one request.
 	maxEnds    = 8
 	maxAnswers = 8
 )
 
-// End is a run of a request that ended with the life of its target.
-type End struct {
+// Crash is a run of a request that ended with the life of its target.
+type Crash struct {
 	Request Digest
 	Caller  Caller
-	// Life is that of the target.
-	Life    string
-	Route   string
-	Service string
+	// Incarnation is that of the target.
+	Incarnation string
+	Route       string
+	Service     string
 	// Began and Ended are those of the run.
 	Began time.Time
 	Ended time.Time
@@ -44,7 +44,7 @@
 
 // record is what is known of one request.
 type record struct {
-	ends    []End
+	ends    []Crash
 	answers []answered
 	// changed is when something was learned last.
 	changed time.Time
@@ -53,11 +53,11 @@
 }
 
 // add takes an end and reports whether it counts.
-func (r *record) add(now time.Time, e End) bool {
+func (r *record) add(now time.Time, e Crash) bool {
 	if at, ok := r.answerTo(e.Caller); ok && !e.Ended.After(at) {
 		return false
 	}
-	if slices.ContainsFunc(r.ends, func(known End) bool { return known.Life == e.Life && known.Caller == e.Caller }) {
+	if slices.ContainsFunc(r.ends, func(known Crash) bool { return known.Incarnation == e.Incarnation && known.Caller == e.Caller }) {
 		return false
 	}
 	r.changed = now
@@ -72,7 +72,7 @@
 // longer.
 func (r *record) answer(now time.Time, c Caller, at time.Time) {
 	r.changed = now
-	r.ends = slices.DeleteFunc(r.ends, func(e End) bool { return e.Caller == c && !e.Ended.After(at) })
+	r.ends = slices.DeleteFunc(r.ends, func(e Crash) bool { return e.Caller == c && !e.Ended.After(at) })
 	i := slices.IndexFunc(r.answers, func(a answered) bool { return a.caller == c })
 	if i >= 0 {
 		r.answers[i].at = later(r.answers[i].at, at)
@@ -113,13 +113,13 @@
 func (r *record) evidence(now time.Time) []evidence {
 	byCaller := make(map[Caller]map[string]bool)
 	for _, e := range r.ends {
-		if now.Sub(e.Ended) > Memory {
+		if now.Sub(e.Ended) > EvidenceRetention {
 			continue
 		}
 		if byCaller[e.Caller] == nil {
 			byCaller[e.Caller] = make(map[string]bool)
 		}
-		byCaller[e.Caller][e.Life] = true
+		byCaller[e.Caller][e.Incarnation] = true
 	}
 	var out []evidence
 	for caller, lives := range byCaller {
@@ -148,8 +148,8 @@
 	lives := make(map[string]bool)
 	last := r.lastAnswer()
 	for _, e := range r.ends {
-		if now.Sub(e.Ended) <= Memory && e.Ended.After(last) {
-			lives[e.Life] = true
+		if now.Sub(e.Ended) <= EvidenceRetention && e.Ended.After(last) {
+			lives[e.Incarnation] = true
 		}
 	}
 	return len(lives)
@@ -158,16 +158,16 @@
 // endedWhileWatched reports whether a target ended under a run that began when the request
 // was watched already: that is no longer of the moment at which the others ended.
 func (r *record) endedWhileWatched(against Caller) bool {
-	return !r.watchedSince.IsZero() && slices.ContainsFunc(r.ends, func(e End) bool {
+	return !r.watchedSince.IsZero() && slices.ContainsFunc(r.ends, func(e Crash) bool {
 		return e.against(against) && e.Began.After(r.watchedSince)
 	})
 }
 
 // against reports whether an end is part of the evidence against a caller.
-func (e End) against(c Caller) bool { return c == AnyCaller || e.Caller == c }
+func (e Crash) against(c Caller) bool { return c == AnyCaller || e.Caller == c }
 
 // isOld reports whether nothing of the record counts any more.
-func (r *record) isOld(now time.Time) bool { return now.Sub(r.changed) > Memory }
+func (r *record) isOld(now time.Time) bool { return now.Sub(r.changed) > EvidenceRetention }
 
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
--- a/pkg/quarantine/request.go
+++ b/pkg/quarantine/request.go
@@ -22,9 +22,9 @@
 	"strings"
 )
 
-// BodyBytes is how much of a body counts, in bytes: what a box has of a longer one when
+// DigestedBodyBytes is how much of a body counts, in bytes: what a box has of a longer one when
 // its first target gets it.
-const BodyBytes = 64 << 10
+const DigestedBodyBytes = 64 << 10
 
 // Digest names a request. It is a part of a SHA-256, so that nobody can bring it about
 // for another's request: 2^128 tries for a given one.
@@ -72,7 +72,7 @@
 	head = binary.BigEndian.AppendUint64(head, uint64(r.Length))
 	h := sha256.New()
 	_, _ = h.Write(head) // a hash takes every write
-	_, _ = h.Write(r.Body[:min(len(r.Body), BodyBytes)])
+	_, _ = h.Write(r.Body[:min(len(r.Body), DigestedBodyBytes)])
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
--- a/pkg/quarantine/world_test.go
+++ b/pkg/quarantine/world_test.go
@@ -27,7 +27,7 @@
 	lossy    float64
 	attempts int
 	boxes    []*simBox
-	replicas []*Ledger
+	replicas []*EvidenceStore
 	leader   int
 	list     []Entry
 	later    []event
@@ -62,7 +62,7 @@
 		w.boxes = append(w.boxes, &simBox{guard: NewGuard(), outbox: NewOutbox()})
 	}
 	for range replicas {
-		w.replicas = append(w.replicas, NewLedger())
+		w.replicas = append(w.replicas, NewEvidenceStore())
 	}
 	return w
 }
@@ -102,7 +102,7 @@
 // lead has the leader put what is due on the list, and all boxes told.
 func (w *world) lead() {
 	for i, r := range w.replicas {
-		orders := r.Due(w.now, w.now, w.list)
+		orders := r.PendingChanges(w.now, w.now, w.list)
 		if i != w.leader {
 			continue
 		}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (w *world) apply(o Order) {
+func (w *world) apply(o ListChange) {
 	next := []Entry{}
 	for _, e := range w.list {
 		if e.Request != o.Entry.Request || e.Caller != o.Entry.Caller {
@@ -146,7 +146,7 @@
 	}
 	b.outbox.SetReplicas(addresses)
 	outbox := b.outbox
-	for _, batch := range outbox.Due(w.now) {
+	for _, batch := range outbox.NextBatches(w.now) {
 		var number int
 		_, _ = fmt.Sscan(batch.Address, &number)
 		lost, answerLost := w.random.Float64() < w.lossy, w.random.Float64() < w.lossy
@@ -157,21 +157,21 @@
 				w.take(w.replicas[number], batch.Items)
 			}
 			if !lost && !answerLost {
-				outbox.Ended(w.now, batch.Address, true)
+				outbox.HandleResult(w.now, batch.Address, true)
 				return
 			}
-			w.after(callTime, func() { outbox.Ended(w.now, batch.Address, false) })
+			w.after(callTime, func() { outbox.HandleResult(w.now, batch.Address, false) })
 		})
 	}
 }
 
-func (w *world) take(l *Ledger, items []Item) {
+func (w *world) take(l *EvidenceStore, items []Item) {
 	for _, i := range items {
-		if i.End != nil {
-			l.Ended(w.now, *i.End)
+		if i.Crash != nil {
+			l.RecordCrash(w.now, *i.Crash)
 		}
 		if i.Answer != nil {
-			l.Answered(w.now, i.Answer.Request, i.Answer.Caller, i.Answer.At)
+			l.RecordAnswer(w.now, i.Answer.Request, i.Answer.Caller, i.Answer.At)
 		}
 	}
 }
@@ -191,13 +191,13 @@
 }
 
 func (w *world) attempt(b *simBox, d Digest, c Caller, left int, probation bool, done func()) {
-	if left == 0 || left < w.attempts && (probation || !b.guard.MayRepeat(w.now, w.now, d, c)) {
+	if left == 0 || left < w.attempts && (probation || !b.guard.MayRetry(w.now, w.now, d, c)) {
 		done()
 		return
 	}
 	w.reached = append(w.reached, run{w.now, !w.now.Before(b.out.Add(contact))})
 	w.lives++
-	e := End{Request: d, Caller: c, Life: fmt.Sprint("life", w.lives), Began: w.now}
+	e := Crash{Request: d, Caller: c, Incarnation: fmt.Sprint("life", w.lives), Began: w.now}
 	w.after(w.between(50*time.Millisecond, 400*time.Millisecond), func() {
 		w.crashed = append(w.crashed, w.now)
 		e.Ended = w.now
@@ -206,15 +206,15 @@
 	})
 }
 
-func (w *world) ended(b *simBox, e End) {
-	if b.guard.Ended(w.now, e) {
-		b.outbox.Add(w.now, Item{End: &e})
+func (w *world) ended(b *simBox, e Crash) {
+	if b.guard.RecordCrash(w.now, e) {
+		b.outbox.Add(w.now, Item{Crash: &e})
 	}
 }
 
 // answer has a request get a whole answer at a box.
 func (w *world) answer(b *simBox, d Digest, c Caller) {
-	if b.guard.Answered(w.now, d, c) {
+	if b.guard.RecordAnswer(w.now, d, c) {
 		b.outbox.Add(w.now, Item{Answer: &Answer{d, c, w.now}})
 	}
 }
@@ -290,7 +290,7 @@
 		request := Request{Method: "GET", Host: "a", Target: "/hot"}.Digest()
 		type running struct {
 			box *simBox
-			end End
+			end Crash
 		}
 		var atWork []running
 		refused := 0
@@ -317,7 +317,7 @@
 				}
 				heldSince = time.Time{}
 				w.lives++
-				atWork = append(atWork, running{b, End{Request: request, Caller: c, Life: fmt.Sprint("life", w.lives%24), Began: w.now}})
+				atWork = append(atWork, running{b, Crash{Request: request, Caller: c, Incarnation: fmt.Sprint("life", w.lives%24), Began: w.now}})
 				if v.Decision == OnProbation {
 					w.after(300*time.Millisecond, func() { b.guard.Finish(request) })
 				}
