--- a/pkg/quarantine/entry.go
+++ b/pkg/quarantine/entry.go
@@ -8,32 +8,34 @@
 )
 
 const (
-	// watchTime is for how long a request is watched, and holdTime for how long it is
-	// held. The second bounds what a wrong verdict costs and what a right one lets
-	// through: three targets in an hour. An operator may let a request go before.
-	watchTime = EvidenceRetention
-	holdTime  = time.Hour
+	// probationTime is how long a request stays on probation, and quarantineTime how long it
+	// stays in quarantine. The latter bounds the harm of a wrong decision, and what a request
+	// that does crash its targets can still do: three targets in an hour. An operator may
+	// release a request earlier.
+	probationTime  = EvidenceRetention
+	quarantineTime = time.Hour
 )
 
 // Entry is a request on the replicated list.
 type Entry struct {
 	Request Digest
-	// Caller is whose requests are meant; AnyCaller for all.
+	// Caller is the caller whose requests are affected, or AnyCaller.
 	Caller Caller
-	// Held tells that it reaches no target; until then it is watched.
+	// Held is true if the request is quarantined and reaches no target. Otherwise it is on
+	// probation.
 	Held    bool
 	Route   string
 	Service string
-	// CrashedTargets are those of targets that ended under it.
+	// CrashedTargets are the incarnations of targets that crashed while they ran it.
 	CrashedTargets []string
-	// Until is when it is let go, by the time of day.
+	// Until is the wall clock time at which the entry is removed.
 	Until time.Time
 }
 
-// Covers reports whether the entry is about requests of a caller.
+// Covers reports whether the entry applies to requests of a caller.
 func (e Entry) Covers(c Caller) bool { return e.Caller == AnyCaller || e.Caller == c }
 
-// EntryOf reads an entry from its message.
+// EntryOf converts a message to an entry.
 func EntryOf(m *wire.Quarantined) Entry {
 	e := Entry{
 		Caller: Caller(m.Caller), Held: m.Held, Route: m.Route, Service: m.Service,
@@ -43,7 +45,7 @@
 	return e
 }
 
-// EntriesOf reads a list of entries.
+// EntriesOf converts a list of messages.
 func EntriesOf(list []*wire.Quarantined) []Entry {
 	out := make([]Entry, 0, len(list))
 	for _, m := range list {
@@ -52,7 +54,7 @@
 	return out
 }
 
-// Message returns the entry as a message.
+// Message converts the entry to a message.
 func (e Entry) Message() *wire.Quarantined {
 	return &wire.Quarantined{
 		Digest: e.Request[:], Caller: uint64(e.Caller), Held: e.Held, Route: e.Route, Service: e.Service,
@@ -60,7 +62,7 @@
 	}
 }
 
-func byDigest(list []Entry) map[Digest][]Entry {
+func groupByDigest(list []Entry) map[Digest][]Entry {
 	out := make(map[Digest][]Entry, len(list))
 	for _, e := range list {
 		out[e.Request] = append(out[e.Request], e)
--- /dev/null
+++ b/pkg/quarantine/evidencestore.go
@@ -0,0 +1,183 @@
+package quarantine
+
+import (
+	"bytes"
+	"slices"
+	"time"
+)
+
+const (
+	// clearancePeriod is how long a request on probation with enough crashed targets may
+	// still be cleared. Targets that crash at the same moment are one piece of evidence, and a
+	// request that is sent often is answered many times in this period. Informing all boxes
+	// takes 0.2 to 0.5 s.
+	clearancePeriod = time.Second
+	// maxSuspects bounds the requests of which a replica keeps evidence: 4,096 of about 400
+	// bytes each are 1.6 MB. A box with 20 requests at each of 200 targets that crash together
+	// leaves that many.
+	maxSuspects = 4096
+	// maxChanges bounds the changes that one call returns, so that they don't fill the log.
+	maxChanges = 16
+)
+
+// ListChange changes the replicated list: it adds or replaces an entry, or releases it.
+type ListChange struct {
+	Entry   Entry
+	Release bool
+	// Reason is the reason for the log.
+	Reason string
+}
+
+// suspect is a replica's evidence about one request.
+type suspect struct {
+	record
+	// listed is true once the request has been seen on the list.
+	listed bool
+}
+
+// EvidenceStore collects, at a control replica, the reports of boxes about requests that
+// crashed targets. Boxes report to every replica, so that any of them can lead. The caller
+// provides locking.
+type EvidenceStore struct {
+	suspects map[Digest]*suspect
+}
+
+// NewEvidenceStore returns an empty store.
+func NewEvidenceStore() *EvidenceStore { return &EvidenceStore{suspects: make(map[Digest]*suspect)} }
+
+// Len returns the number of requests with evidence.
+func (es *EvidenceStore) Len() int { return len(es.suspects) }
+
+// RecordCrash records a crash that a box reported.
+func (es *EvidenceStore) RecordCrash(now time.Time, e Crash) { es.get(e.Request).addCrash(now, e) }
+
+// RecordAnswer records that a suspected request was answered.
+func (es *EvidenceStore) RecordAnswer(now time.Time, d Digest, c Caller, at time.Time) {
+	es.get(d).addAnswer(now, c, at)
+}
+
+// get returns the evidence about a request. A new suspect evicts the weakest one if the
+// store is full.
+func (es *EvidenceStore) get(d Digest) *suspect {
+	s := es.suspects[d]
+	if s != nil {
+		return s
+	}
+	if len(es.suspects) >= maxSuspects {
+		delete(es.suspects, weakestRecord(es.suspects, func(s *suspect) *record { return &s.record }))
+	}
+	s = &suspect{}
+	es.suspects[d] = s
+	return s
+}
+
+// PendingChanges returns the changes that a leader has to make to the list; wall is the
+// wall clock time. A change is returned again until the list reflects it.
+func (es *EvidenceStore) PendingChanges(now, wall time.Time, list []Entry) []ListChange {
+	known := groupByDigest(list)
+	var out []ListChange
+	for _, e := range list {
+		if !wall.Before(e.Until) {
+			out = append(out, ListChange{Entry: e, Release: true, Reason: "the entry has expired"})
+		}
+	}
+	for d, s := range es.suspects {
+		if !es.updateListed(now, d, s, len(known[d]) > 0) {
+			continue
+		}
+		out = append(out, s.changes(now, wall, known[d])...)
+	}
+	slices.SortStableFunc(out, func(a, b ListChange) int { return bytes.Compare(a.Entry.Request[:], b.Entry.Request[:]) })
+	return out[:min(len(out), maxChanges)]
+}
+
+// updateListed records whether a suspect is on the list, and reports whether it is still
+// a suspect: one that left the list was released, and its evidence is dropped.
+func (es *EvidenceStore) updateListed(now time.Time, d Digest, s *suspect, listed bool) bool {
+	if s.listed && !listed || !listed && s.isExpired(now) {
+		delete(es.suspects, d)
+		return false
+	}
+	if listed && !s.listed {
+		s.listed = true
+		s.probationSince = now
+	}
+	return true
+}
+
+// changes returns the changes to make for one request.
+func (s *suspect) changes(now, wall time.Time, entries []Entry) []ListChange {
+	for _, found := range s.evidence(now) {
+		if found.crashedTargets < quarantineThreshold || !s.mayQuarantine(now, found.against) || isHeld(entries, found.against) {
+			continue
+		}
+		e := s.newEntry(found.against)
+		e.Held = true
+		e.Until = wall.Add(quarantineTime)
+		return []ListChange{{Entry: e, Reason: "targets crashed one after another while they ran it"}}
+	}
+	if s.maxCrashedTargets(now) >= probationThreshold && len(entries) == 0 {
+		e := s.newEntry(AnyCaller)
+		e.Until = wall.Add(probationTime)
+		return []ListChange{{Entry: e, Reason: "two targets crashed while they ran it"}}
+	}
+	return s.releases(now, entries)
+}
+
+// mayQuarantine reports whether a request on probation has had its chance to be cleared:
+// either a target crashed in a run that began during probation, or clearancePeriod has
+// passed without an answer to anybody. If other callers were answered, this caller may
+// not have had its turn yet.
+func (s *suspect) mayQuarantine(now time.Time, against Caller) bool {
+	if !s.listed {
+		return false
+	}
+	settled := now.Sub(s.probationSince) >= clearancePeriod && !s.lastAnswer().After(s.probationSince)
+	return settled || s.crashedOnProbation(against)
+}
+
+// releases returns the releases of entries whose callers were answered.
+func (s *suspect) releases(now time.Time, entries []Entry) []ListChange {
+	var out []ListChange
+	for _, e := range entries {
+		if s.isCleared(now, e) {
+			out = append(out, ListChange{Entry: e, Release: true, Reason: "the request was answered"})
+		}
+	}
+	return out
+}
+
+// isCleared reports whether answers refute an entry. A replica that restarted since knows
+// no crashes, so the absence of crashes alone does not clear an entry.
+func (s *suspect) isCleared(now time.Time, e Entry) bool {
+	if e.Caller != AnyCaller {
+		_, answered := s.lastAnswerTo(e.Caller)
+		return answered && !slices.ContainsFunc(s.crashes, func(crash Crash) bool { return crash.Caller == e.Caller })
+	}
+	if len(s.answers) == 0 {
+		return false
+	}
+	if e.Held {
+		return s.crashedSinceAnswer(now) < quarantineThreshold
+	}
+	return s.maxCrashedTargets(now) < probationThreshold
+}
+
+func isHeld(entries []Entry, c Caller) bool {
+	return slices.ContainsFunc(entries, func(e Entry) bool { return e.Held && e.Covers(c) })
+}
+
+// newEntry returns an entry for the request and a caller.
+func (s *suspect) newEntry(c Caller) Entry {
+	out := Entry{Caller: c}
+	for _, e := range s.crashes {
+		if !e.countsAgainst(c) {
+			continue
+		}
+		out.Request, out.Route, out.Service = e.Request, e.Route, e.Service
+		if !slices.Contains(out.CrashedTargets, e.Incarnation) {
+			out.CrashedTargets = append(out.CrashedTargets, e.Incarnation)
+		}
+	}
+	return out
+}
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -4,73 +4,76 @@
 	"time"
 )
 
-// Decision is what becomes of a request that arrives.
+// Decision is how to treat an incoming request.
 type Decision int
 
 // The decisions on a request.
 const (
-	// Free: nothing is known against it.
+	// Free: there is no evidence against it.
 	Free Decision = iota
-	// OnProbation: it may run at one target, and must be finished.
+	// OnProbation: it may run at one target only, and Finish must be called.
 	OnProbation
-	// Busy: it is on probation and runs already; it may come back after busyWait.
+	// Busy: it is on probation and already running. It may be sent again after
+	// probationRetryAfter.
 	Busy
-	// Held: it reaches no target.
+	// Held: it is quarantined and reaches no target.
 	Held
 )
 
-// String returns the name as it stands in logs.
+// String returns the name that is used in logs.
 func (d Decision) String() string {
 	return [...]string{"free", "onProbation", "probationBusy", "quarantined"}[d]
 }
 
 const (
-	// busyWait is when a request may come back whose like is on probation: longer than
-	// most runs take.
-	busyWait = time.Second
-	// clearedTime is for how long an answer at this box counts for more than the list. By
-	// then control has been told of it, also where calls to it are lost.
-	clearedTime = 10 * time.Second
-	// maxRecords bounds the requests that a box knows of by itself: a target has some
-	// twenty at work when it ends, so this holds what fifty ended targets leave.
+	// probationRetryAfter is when a request may be sent again while an identical one runs on
+	// probation. It is longer than most runs take.
+	probationRetryAfter = time.Second
+	// localClearanceTime is for how long an answer at this box overrides the replicated
+	// list. By then control has been informed of it, also if calls to control are lost.
+	localClearanceTime = 10 * time.Second
+	// maxRecords bounds the requests of which a box keeps evidence. A target runs about
+	// twenty requests when it crashes, so this is enough for fifty crashed targets.
 	maxRecords = 1024
 )
 
-// Verdict is the decision on a request with its grounds.
+// Verdict is the decision on a request and the evidence behind it.
 type Verdict struct {
 	Decision Decision
-	// CrashedTargets is how many ended targets are known, and Listed whether control named it.
+	// CrashedTargets is the number of known crashed targets. Listed is true if the request
+	// is on the replicated list.
 	CrashedTargets int
 	Listed         bool
-	// RetryAfter is when it may come back.
+	// RetryAfter is when the request may be sent again.
 	RetryAfter time.Duration
 }
 
-// Guard decides at one box. It goes by the replicated list and by what the box saw
-// itself, so that a box without word of control sends a request to three targets at
-// most. The caller provides locking.
+// Guard decides at one box, from the replicated list and from what the box observed
+// itself, so that a box without contact to control sends a request to at most three
+// targets. The caller provides locking.
 type Guard struct {
 	records map[Digest]*record
 	list    map[Digest][]Entry
-	// running counts requests on probation that run.
+	// running counts the running requests that are on probation.
 	running map[Digest]int
 }
 
-// NewGuard returns a guard that knows of nothing.
+// NewGuard returns a guard without evidence.
 func NewGuard() *Guard {
 	return &Guard{records: make(map[Digest]*record), list: make(map[Digest][]Entry), running: make(map[Digest]int)}
 }
 
-// IsIdle reports whether nothing is known of any request, so that none needs a digest.
+// IsIdle reports whether there is no evidence against any request, in which case no
+// digest has to be computed.
 func (g *Guard) IsIdle() bool { return len(g.records) == 0 && len(g.list) == 0 }
 
-// SuspectCount returns how many requests the box itself has evidence against.
+// SuspectCount returns the number of requests against which the box itself has evidence.
 func (g *Guard) SuspectCount() int { return len(g.records) }
 
-// SetList takes the replicated list. What left it was let go: the box's own evidence
-// goes with it.
+// SetList sets the replicated list. A request that is no longer on it was released, so
+// the box's own evidence is dropped too.
 func (g *Guard) SetList(list []Entry) {
-	next := byDigest(list)
+	next := groupByDigest(list)
 	for d := range g.list {
 		if next[d] == nil {
 			delete(g.records, d)
@@ -79,35 +82,35 @@
 	g.list = next
 }
 
-// Admit decides on a request that arrives; wall is the time of day. One that is let in
-// on probation must be finished by Finish.
+// Admit decides on an incoming request; wall is the wall clock time. If it is admitted on
+// probation, Finish must be called when it ends.
 func (g *Guard) Admit(now, wall time.Time, d Digest, c Caller) Verdict {
-	v := g.look(now, wall, d, c)
+	v := g.decide(now, wall, d, c)
 	if v.Decision != OnProbation {
 		return v
 	}
 	if g.running[d] > 0 {
-		v.Decision, v.RetryAfter = Busy, busyWait
+		v.Decision, v.RetryAfter = Busy, probationRetryAfter
 		return v
 	}
 	g.running[d]++
 	return v
 }
 
-// Finish ends a request that was let in on probation.
+// Finish ends a request that was admitted on probation.
 func (g *Guard) Finish(d Digest) {
 	if g.running[d]--; g.running[d] <= 0 {
 		delete(g.running, d)
 	}
 }
 
-// MayRetry reports whether a further target may get a request that has been let in.
+// MayRetry reports whether an admitted request may be sent to another target.
 func (g *Guard) MayRetry(now, wall time.Time, d Digest, c Caller) bool {
-	return g.look(now, wall, d, c).Decision == Free
+	return g.decide(now, wall, d, c).Decision == Free
 }
 
-func (g *Guard) look(now, wall time.Time, d Digest, c Caller) Verdict {
-	v := g.lookAtOwn(now, d, c)
+func (g *Guard) decide(now, wall time.Time, d Digest, c Caller) Verdict {
+	v := g.decideLocally(now, d, c)
 	for _, e := range g.list[d] {
 		if !e.Covers(c) || !wall.Before(e.Until) {
 			continue
@@ -128,9 +131,10 @@
 	return v
 }
 
-// lookAtOwn decides by what the box saw itself. On probation a request runs once at a
-// time: it is answered, which clears it, or ends one more target, which holds it.
-func (g *Guard) lookAtOwn(now time.Time, d Digest, c Caller) Verdict {
+// decideLocally decides from what the box observed itself. On probation a request runs
+// once at a time: either it is answered, which clears it, or it crashes another target,
+// which quarantines it.
+func (g *Guard) decideLocally(now time.Time, d Digest, c Caller) Verdict {
 	r := g.records[d]
 	if r == nil {
 		return Verdict{}
@@ -140,52 +144,52 @@
 		if e.against != AnyCaller && e.against != c {
 			continue
 		}
-		v.CrashedTargets = max(v.CrashedTargets, e.lives)
+		v.CrashedTargets = max(v.CrashedTargets, e.crashedTargets)
 		switch {
-		case e.lives >= holdLives && r.endedWhileWatched(e.against):
+		case e.crashedTargets >= quarantineThreshold && r.crashedOnProbation(e.against):
 			return Verdict{Decision: Held, CrashedTargets: v.CrashedTargets, RetryAfter: EvidenceRetention}
-		case e.lives >= watchLives:
+		case e.crashedTargets >= probationThreshold:
 			v.Decision = OnProbation
 		}
 	}
 	return v
 }
 
-// isCleared reports whether a caller was answered here a short time ago, since the last
-// target ended under its requests: control may not have heard of it yet.
+// isCleared reports whether a caller was recently answered here, after the last crash
+// under its requests. Control may not know of the answer yet.
 func (g *Guard) isCleared(now time.Time, d Digest, c Caller) bool {
 	r := g.records[d]
 	if r == nil {
 		return false
 	}
-	at, ok := r.answerTo(c)
-	ok = ok && now.Sub(at) <= clearedTime
-	for _, e := range r.ends {
+	at, ok := r.lastAnswerTo(c)
+	ok = ok && now.Sub(at) <= localClearanceTime
+	for _, e := range r.crashes {
 		ok = ok && !(e.Caller == c && e.Ended.After(at))
 	}
 	return ok
 }
 
-// RecordCrash takes that a target ended while it ran a request, and reports whether control
-// must be told.
+// RecordCrash records that a target crashed while it ran a request, and reports whether
+// control must be informed.
 func (g *Guard) RecordCrash(now time.Time, e Crash) bool {
 	r := g.records[e.Request]
 	if r == nil {
 		r = &record{}
 		if len(g.records) >= maxRecords {
-			delete(g.records, leastTelling(g.records, func(r *record) *record { return r }))
+			delete(g.records, weakestRecord(g.records, func(r *record) *record { return r }))
 		}
 		g.records[e.Request] = r
 	}
-	news := r.add(now, e)
-	if r.most(now) >= watchLives && r.watchedSince.IsZero() {
-		r.watchedSince = now
+	added := r.addCrash(now, e)
+	if r.maxCrashedTargets(now) >= probationThreshold && r.probationSince.IsZero() {
+		r.probationSince = now
 	}
-	return news
+	return added
 }
 
-// RecordAnswer takes that a request got a whole answer, and reports whether control must be
-// told: only if it was suspected.
+// RecordAnswer records a complete answer to a request, and reports whether control must
+// be informed: only if the request was suspected.
 func (g *Guard) RecordAnswer(now time.Time, d Digest, c Caller) bool {
 	listed := len(g.list[d]) > 0
 	r := g.records[d]
@@ -193,26 +197,26 @@
 		return false
 	}
 	if listed && g.isCleared(now, d, c) {
-		return false // told before
+		return false // already reported
 	}
 	if r == nil {
 		r = &record{}
 		g.records[d] = r
 	}
-	r.answer(now, c, now)
-	if r.most(now) < watchLives {
-		r.watchedSince = time.Time{}
+	r.addAnswer(now, c, now)
+	if r.maxCrashedTargets(now) < probationThreshold {
+		r.probationSince = time.Time{}
 	}
-	if !listed && len(r.ends) == 0 {
+	if !listed && len(r.crashes) == 0 {
 		delete(g.records, d)
 	}
 	return true
 }
 
-// RemoveExpired drops what no longer counts.
+// RemoveExpired removes evidence that no longer counts.
 func (g *Guard) RemoveExpired(now time.Time) {
 	for d, r := range g.records {
-		if r.isOld(now) {
+		if r.isExpired(now) {
 			delete(g.records, d)
 		}
 	}
--- a/pkg/quarantine/guards_test.go
+++ b/pkg/quarantine/guards_test.go
@@ -6,76 +6,77 @@
 	"time"
 )
 
-// watchedBy returns a ledger whose request is on the list, watched since now.
-func watchedBy(now time.Time, ends ...Crash) (*EvidenceStore, []Entry) {
-	l := NewEvidenceStore()
-	for _, e := range ends {
-		l.RecordCrash(now, e)
-	}
-	list := []Entry{l.PendingChanges(now, now, nil)[0].Entry}
-	l.PendingChanges(now, now, list)
-	return l, list
+// storeOnProbation returns a store whose request is on the list, on probation since now.
+func storeOnProbation(now time.Time, crashes ...Crash) (*EvidenceStore, []Entry) {
+	store := NewEvidenceStore()
+	for _, e := range crashes {
+		store.RecordCrash(now, e)
+	}
+	list := []Entry{store.PendingChanges(now, now, nil)[0].Entry}
+	store.PendingChanges(now, now, list)
+	return store, list
 }
 
-// A target that ended under a run that began after the request was watched holds it at
-// once; without that the time to be cleared must pass.
-func TestFreshEndHoldsAtOnce(t *testing.T) {
-	now := morning.Add(time.Minute)
-	l, list := watchedBy(now, endOf(alice, "1", 0), endOf(alice, "2", time.Second))
-	now = now.Add(settleTime / 2)
-	fresh := endOf(alice, "3", 0)
-	fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-	l.RecordCrash(now, fresh)
-	if due := l.PendingChanges(now, now, list); len(due) != 1 || !due[0].Entry.Held {
-		t.Fatalf("got %+v", due)
+// A target that crashes in a run that began during probation quarantines the request at
+// once. Otherwise clearancePeriod must pass.
+func TestCrashOnProbationQuarantinesAtOnce(t *testing.T) {
+	now := testStart.Add(time.Minute)
+	store, list := storeOnProbation(now, crashOf(alice, "1", 0), crashOf(alice, "2", time.Second))
+	now = now.Add(clearancePeriod / 2)
+	crash := crashOf(alice, "3", 0)
+	crash.Began, crash.Ended = now.Add(-100*time.Millisecond), now
+	store.RecordCrash(now, crash)
+	if changes := store.PendingChanges(now, now, list); len(changes) != 1 || !changes[0].Entry.Held {
+		t.Fatalf("got %+v", changes)
 	}
 }
 
-// While others are answered, a caller whose targets ended at one moment may not have had
-// its turn yet: time alone does not hold its request.
-func TestTimeHoldsNothingWhileOthersAreAnswered(t *testing.T) {
-	now := morning.Add(time.Minute)
-	l, list := watchedBy(now, endOf(alice, "1", 0), endOf(alice, "2", 0), endOf(alice, "3", 0))
-	l.RecordAnswer(now, fatal, bob, now.Add(settleTime/2))
-	now = now.Add(2 * settleTime)
-	if due := l.PendingChanges(now, now, list); len(due) != 0 {
-		t.Fatalf("got %+v", due)
-	}
-	fresh := endOf(alice, "4", 0)
-	fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-	l.RecordCrash(now, fresh)
-	if due := l.PendingChanges(now, now, list); len(due) != 1 || !due[0].Entry.Held || due[0].Entry.Caller != alice {
-		t.Fatalf("after its turn: %+v", due)
+// Guards against a false quarantine: while others are answered, a caller whose targets
+// crashed at one moment may not have had its turn yet, so the passing of time alone must
+// not quarantine its request.
+func TestTimeDoesNotQuarantineWhileOthersAreAnswered(t *testing.T) {
+	now := testStart.Add(time.Minute)
+	store, list := storeOnProbation(now, crashOf(alice, "1", 0), crashOf(alice, "2", 0), crashOf(alice, "3", 0))
+	store.RecordAnswer(now, fatal, bob, now.Add(clearancePeriod/2))
+	now = now.Add(2 * clearancePeriod)
+	if changes := store.PendingChanges(now, now, list); len(changes) != 0 {
+		t.Fatalf("got %+v", changes)
+	}
+	crash := crashOf(alice, "4", 0)
+	crash.Began, crash.Ended = now.Add(-100*time.Millisecond), now
+	store.RecordCrash(now, crash)
+	if changes := store.PendingChanges(now, now, list); len(changes) != 1 || !changes[0].Entry.Held || changes[0].Entry.Caller != alice {
+		t.Fatalf("after its turn: %+v", changes)
 	}
 }
 
-// A request that ends targets for two callers and is answered for a third is held for
-// both, whichever lost more; only the worse of the two was before.
-func TestEachCallerIsHeldByItsOwn(t *testing.T) {
-	now := morning.Add(time.Minute)
+// Guards against a request that crashes targets for two callers, is answered for a third
+// and gets quarantined only for the caller that lost more targets.
+func TestEachCallerIsQuarantinedByOwnEvidence(t *testing.T) {
+	now := testStart.Add(time.Minute)
 	g := NewGuard()
-	var ends []Crash
+	var crashes []Crash
 	for i := range 4 {
-		ends = append(ends, endOf(alice, fmt.Sprint("a", i), time.Duration(i)*time.Second))
+		crashes = append(crashes, crashOf(alice, fmt.Sprint("a", i), time.Duration(i)*time.Second))
 	}
 	for i := range 3 {
-		ends = append(ends, endOf(bob, fmt.Sprint("b", i), time.Duration(i)*time.Second))
+		crashes = append(crashes, crashOf(bob, fmt.Sprint("b", i), time.Duration(i)*time.Second))
 	}
-	l, list := watchedBy(now, ends...)
-	l.RecordAnswer(now, fatal, CallerOf("carol"), now)
+	store, list := storeOnProbation(now, crashes...)
+	store.RecordAnswer(now, fatal, CallerOf("carol"), now)
 	for _, c := range []Caller{alice, bob} {
-		now = now.Add(settleTime)
-		fresh := endOf(c, "fresh", 0)
-		fresh.Began, fresh.Ended = now.Add(-100*time.Millisecond), now
-		l.RecordCrash(now, fresh)
-		due := l.PendingChanges(now, now, list)
-		if len(due) != 1 || !due[0].Entry.Held || due[0].Entry.Caller != c {
-			t.Fatalf("got %+v", due)
+		now = now.Add(clearancePeriod)
+		crash := crashOf(c, "fresh", 0)
+		crash.Began, crash.Ended = now.Add(-100*time.Millisecond), now
+		store.RecordCrash(now, crash)
+		changes := store.PendingChanges(now, now, list)
+		if len(changes) != 1 || !changes[0].Entry.Held || changes[0].Entry.Caller != c {
+			t.Fatalf("got %+v", changes)
 		}
-		list = append(list, due[0].Entry)
-		ends = append(ends, fresh)
+		list = append(list, changes[0].Entry)
+		crashes = append(crashes, crash)
 	}
-	for _, e := range ends {
+	for _, e := range crashes {
 		g.RecordCrash(e.Ended, e)
 	}
 	for _, c := range []Caller{alice, bob} {
@@ -84,31 +85,31 @@
 		}
 	}
 	if v := g.Admit(now, now, fatal, CallerOf("carol")); v.Decision != Held && v.Decision != OnProbation {
-		t.Errorf("a caller of whom nothing is known: %s", v.Decision)
+		t.Errorf("a caller without evidence: %s", v.Decision)
 	}
 }
 
-// Evidence that is told again, as the answer to the call was lost, counts once and pushes
-// out no other.
+// Evidence is reported again when the answer to a call is lost. It must count once and
+// evict no other evidence.
 func TestEvidenceCountsOnce(t *testing.T) {
-	l := NewEvidenceStore()
-	l.RecordCrash(morning, endOf(alice, "1", 0))
-	for range maxEnds {
-		l.RecordCrash(morning, endOf(alice, "2", time.Second))
+	store := NewEvidenceStore()
+	store.RecordCrash(testStart, crashOf(alice, "1", 0))
+	for range maxCrashes {
+		store.RecordCrash(testStart, crashOf(alice, "2", time.Second))
 	}
-	if due := l.PendingChanges(morning, morning, nil); len(due) != 1 || len(due[0].Entry.CrashedTargets) != 2 {
-		t.Fatalf("got %+v", due)
+	if changes := store.PendingChanges(testStart, testStart, nil); len(changes) != 1 || len(changes[0].Entry.CrashedTargets) != 2 {
+		t.Fatalf("got %+v", changes)
 	}
 }
 
-// An answer at this box counts for more than the list, which may not have heard of it, for
-// a short time.
-func TestOwnAnswerCountsBeforeTheList(t *testing.T) {
+// An answer at this box overrides the list for a short time, because the list may not
+// reflect the answer yet.
+func TestLocalAnswerOverridesList(t *testing.T) {
 	g := NewGuard()
-	now := morning.Add(time.Minute)
-	g.SetList([]Entry{{Request: fatal, Caller: AnyCaller, Held: true, Until: now.Add(holdTime)}})
+	now := testStart.Add(time.Minute)
+	g.SetList([]Entry{{Request: fatal, Caller: AnyCaller, Held: true, Until: now.Add(quarantineTime)}})
 	if !g.RecordAnswer(now, fatal, alice) {
-		t.Fatal("an answer to a held request is not told")
+		t.Fatal("an answer to a quarantined request is not reported")
 	}
 	if v := g.Admit(now, now, fatal, alice); v.Decision != Free {
 		t.Errorf("after an answer: %s", v.Decision)
@@ -116,40 +117,40 @@
 	if v := g.Admit(now, now, fatal, bob); v.Decision != Held {
 		t.Errorf("another caller: %s", v.Decision)
 	}
-	now = now.Add(clearedTime + time.Second)
+	now = now.Add(localClearanceTime + time.Second)
 	if v := g.Admit(now, now, fatal, alice); v.Decision != Held {
 		t.Errorf("later: %s", v.Decision)
 	}
 }
 
-// A replica that did not answer is told again, all that it lacks; one that is new is told
-// all that is known, and each in calls of a bounded size.
-func TestOutboxTellsUntilItIsKnown(t *testing.T) {
+// Evidence is sent again to a replica that did not answer, a new replica gets all
+// evidence, and each call has a bounded size.
+func TestOutboxRetriesUntilDelivered(t *testing.T) {
 	o := NewOutbox()
 	o.SetReplicas([]string{"a"})
-	now := morning
+	now := testStart
 	for i := range maxBatch + 1 {
-		e := endOf(alice, fmt.Sprint(i), 0)
+		e := crashOf(alice, fmt.Sprint(i), 0)
 		o.Add(now, Item{Crash: &e})
 	}
-	if due := o.NextBatches(now); len(due) != 0 || !o.NextAt().Equal(now.Add(gatherTime)) {
-		t.Fatalf("at once: %d batches, next %s", len(due), o.NextAt())
+	if changes := o.NextBatches(now); len(changes) != 0 || !o.NextAt().Equal(now.Add(batchDelay)) {
+		t.Fatalf("at once: %d batches, next %s", len(changes), o.NextAt())
 	}
-	now = now.Add(gatherTime)
+	now = now.Add(batchDelay)
 	want := func(address string, items int) {
 		t.Helper()
-		due := o.NextBatches(now)
-		if len(due) != 1 || due[0].Address != address || len(due[0].Items) != items {
-			t.Fatalf("got %d batches, want %d items for %s", len(due), items, address)
+		changes := o.NextBatches(now)
+		if len(changes) != 1 || changes[0].Address != address || len(changes[0].Items) != items {
+			t.Fatalf("got %d batches, want %d items for %s", len(changes), items, address)
 		}
 	}
 	want("a", maxBatch)
-	if due := o.NextBatches(now); len(due) != 0 {
-		t.Fatal("told again while a call is under way")
+	if changes := o.NextBatches(now); len(changes) != 0 {
+		t.Fatal("sent again while a call is in flight")
 	}
 	o.HandleResult(now, "a", false)
-	if due := o.NextBatches(now); len(due) != 0 || !o.NextAt().Equal(now.Add(retryPause)) {
-		t.Fatal("told again at once")
+	if changes := o.NextBatches(now); len(changes) != 0 || !o.NextAt().Equal(now.Add(retryPause)) {
+		t.Fatal("sent again without a pause")
 	}
 	now = now.Add(retryPause)
 	want("a", maxBatch)
@@ -157,13 +158,13 @@
 	want("a", 1)
 	o.HandleResult(now, "a", true)
 	if !o.NextAt().IsZero() {
-		t.Fatal("there is more to tell")
+		t.Fatal("there is more to send")
 	}
 	o.SetReplicas([]string{"a", "b"})
 	want("b", maxBatch)
 	o.HandleResult(now, "b", true)
 	now = now.Add(2 * EvidenceRetention)
-	if due := o.NextBatches(now); len(due) != 0 {
-		t.Fatal("evidence that no longer counts is told")
+	if changes := o.NextBatches(now); len(changes) != 0 {
+		t.Fatal("expired evidence is sent")
 	}
 }
--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -7,96 +7,98 @@
 )
 
 const (
-	// gatherTime is how long evidence waits for more: the runs of one target end together.
-	gatherTime = 20 * time.Millisecond
-	// retryPause is the wait before a replica that did not answer is told again.
+	// batchDelay is how long evidence waits to be sent together with more: the runs of one
+	// target end at the same time.
+	batchDelay = 20 * time.Millisecond
+	// retryPause is the wait before evidence is sent again to a replica that did not answer.
 	retryPause = 300 * time.Millisecond
-	// maxItems bounds what a box remembers to tell: some 100 bytes each.
+	// maxItems bounds the items that a box stores, at about 100 bytes each.
 	maxItems = 1024
-	// maxBatch bounds one call: 256 items are some 15 KB.
+	// maxBatch bounds the items of one call: 256 of them are about 15 KB.
 	maxBatch = 256
 )
 
-// Answer is a whole answer to a request that was suspected.
+// Answer is a complete answer to a suspected request.
 type Answer struct {
 	Request Digest
 	Caller  Caller
 	At      time.Time
 }
 
-// Item is a piece of evidence: an End or an Answer.
+// Item is one piece of evidence: either a Crash or an Answer.
 type Item struct {
 	Crash  *Crash
 	Answer *Answer
 }
 
-// Batch is evidence that a replica is to be told.
+// Batch is evidence to be sent to one replica.
 type Batch struct {
 	Address string
 	Items   []Item
 }
 
-type outItem struct {
+type queuedItem struct {
 	Item
-	at time.Time
+	addedAt time.Time
 }
 
-// told is how much of the evidence a replica has.
-type told struct {
-	// next is the number of the first item that it lacks; sending is what it will lack
-	// once the call under way has succeeded, zero if there is none.
-	next    uint64
-	sending uint64
-	retryAt time.Time
+// replicaProgress tracks how much of the evidence a replica has.
+type replicaProgress struct {
+	// next is the number of the first item that the replica lacks. inFlight is the value
+	// that next will get when the call in flight succeeds, zero if there is no call.
+	next     uint64
+	inFlight uint64
+	retryAt  time.Time
 }
 
-// Outbox has each control replica told all evidence of a box, in order, until it has it:
-// any replica may lead, now or next, and a box that held a request by itself gets no new
-// evidence of it. It keeps evidence for Memory. The caller provides locking.
+// Outbox delivers all evidence of a box to each control replica, in order and until the
+// replica has it. Any replica may lead, now or later, and a box that quarantined a request
+// by itself gets no new evidence of it. Evidence is kept for EvidenceRetention. The caller
+// provides locking.
 type Outbox struct {
-	items []outItem
+	items []queuedItem
 	// first is the number of the first item.
 	first    uint64
-	replicas map[string]*told
+	replicas map[string]*replicaProgress
 }
 
 // NewOutbox returns an empty outbox.
-func NewOutbox() *Outbox { return &Outbox{replicas: make(map[string]*told)} }
+func NewOutbox() *Outbox { return &Outbox{replicas: make(map[string]*replicaProgress)} }
 
-// Add takes an item.
+// Add appends an item.
 func (o *Outbox) Add(now time.Time, i Item) {
-	o.items = append(o.items, outItem{i, now})
+	o.items = append(o.items, queuedItem{i, now})
 	if len(o.items) > maxItems {
-		o.drop(1)
+		o.dropFirst(1)
 	}
 }
 
-func (o *Outbox) drop(n int) {
+func (o *Outbox) dropFirst(n int) {
 	o.items = slices.Delete(o.items, 0, n)
 	o.first += uint64(n)
 }
 
-// SetReplicas takes the addresses of the replicas; one that is new is told all.
+// SetReplicas sets the addresses of the replicas. A new replica is sent all evidence.
 func (o *Outbox) SetReplicas(addresses []string) {
 	for _, a := range addresses {
 		if o.replicas[a] == nil {
-			o.replicas[a] = &told{}
+			o.replicas[a] = &replicaProgress{}
 		}
 	}
-	maps.DeleteFunc(o.replicas, func(a string, _ *told) bool { return !slices.Contains(addresses, a) })
+	maps.DeleteFunc(o.replicas, func(a string, _ *replicaProgress) bool { return !slices.Contains(addresses, a) })
 }
 
-// NextBatches returns what is to be told now. Each batch must be ended by Ended.
+// NextBatches returns the batches to send now. HandleResult must be called for each.
 func (o *Outbox) NextBatches(now time.Time) []Batch {
-	old := slices.IndexFunc(o.items, func(i outItem) bool { return now.Sub(i.at) <= EvidenceRetention })
-	if old < 0 {
-		old = len(o.items)
+	expired := slices.IndexFunc(o.items, func(i queuedItem) bool { return now.Sub(i.addedAt) <= EvidenceRetention })
+	if expired < 0 {
+		expired = len(o.items)
 	}
-	o.drop(old)
+	o.dropFirst(expired)
 	var out []Batch
 	for _, a := range slices.Sorted(maps.Keys(o.replicas)) {
 		r := o.replicas[a]
-		at, ok := o.dueAt(r)
+		at, ok := o.nextAttempt(r)
 		if !ok || now.Before(at) {
 			continue
 		}
@@ -106,39 +108,39 @@
 		for _, i := range o.items[from:to] {
 			b.Items = append(b.Items, i.Item)
 		}
-		r.sending = o.first + uint64(to)
+		r.inFlight = o.first + uint64(to)
 		out = append(out, b)
 	}
 	return out
 }
 
-// dueAt is when a replica is to be told, if there is something that it lacks.
-func (o *Outbox) dueAt(r *told) (at time.Time, ok bool) {
+// nextAttempt returns when to call a replica, if there are items that it lacks.
+func (o *Outbox) nextAttempt(r *replicaProgress) (at time.Time, ok bool) {
 	from := max(r.next, o.first)
-	if r.sending > 0 || from >= o.first+uint64(len(o.items)) {
+	if r.inFlight > 0 || from >= o.first+uint64(len(o.items)) {
 		return at, false
 	}
-	return later(r.retryAt, o.items[from-o.first].at.Add(gatherTime)), true
+	return later(r.retryAt, o.items[from-o.first].addedAt.Add(batchDelay)), true
 }
 
-// HandleResult takes how a call to a replica has ended.
+// HandleResult records the result of a call to a replica.
 func (o *Outbox) HandleResult(now time.Time, address string, ok bool) {
 	r := o.replicas[address]
 	if r == nil {
 		return
 	}
 	if ok {
-		r.next = r.sending
+		r.next = r.inFlight
 	} else {
 		r.retryAt = now.Add(retryPause)
 	}
-	r.sending = 0
+	r.inFlight = 0
 }
 
-// NextAt returns when Due has to be asked again; zero if there is nothing to tell.
+// NextAt returns when to call NextBatches again, or zero if there is nothing to send.
 func (o *Outbox) NextAt() (next time.Time) {
 	for _, r := range o.replicas {
-		if at, ok := o.dueAt(r); ok && (next.IsZero() || at.Before(next)) {
+		if at, ok := o.nextAttempt(r); ok && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// What a request is the same by.
+// The digest ignores the case of the host and depends on the body.
 func ExampleRequest_Digest() {
 	r := Request{Method: "POST", Host: "shop.example", Target: "/orders?draft", Length: 2, Body: []byte("{}")}
 	same := r
@@ -19,7 +19,7 @@
 	// Output: true false
 }
 
-func TestDigestTellsRequestsApart(t *testing.T) {
+func TestDigestDistinguishesRequests(t *testing.T) {
 	long := bytes.Repeat([]byte("x"), DigestedBodyBytes+1)
 	requests := []Request{
 		{Method: "GET", Host: "a", Target: "/b"},
@@ -33,11 +33,11 @@
 	seen := make(map[Digest]int)
 	for i, r := range requests {
 		if j, ok := seen[r.Digest()]; ok {
-			t.Errorf("requests %d and %d have one digest", i, j)
+			t.Errorf("requests %d and %d have the same digest", i, j)
 		}
 		seen[r.Digest()] = i
 	}
-	// A box may have read a byte more of a long body than another.
+	// Boxes may have read different lengths of a long body.
 	more, less := requests[6], requests[6]
 	less.Body = long[:DigestedBodyBytes]
 	if more.Digest() != less.Digest() {
@@ -45,7 +45,7 @@
 	}
 	d := more.Digest()
 	if back, err := ParseDigest(d.String()); err != nil || back != d {
-		t.Errorf("read %v, %v", back, err)
+		t.Errorf("parsed %v, %v", back, err)
 	}
 	var bad *DigestError
 	if _, err := ParseDigest("12"); !errors.As(err, &bad) {
@@ -54,65 +54,65 @@
 }
 
 var (
-	fatal   = Request{Method: "GET", Host: "a", Target: "/fatal"}.Digest()
-	morning = time.Unix(1_700_000_000, 0)
-	alice   = CallerOf("alice")
-	bob     = CallerOf("bob")
+	fatal     = Request{Method: "GET", Host: "a", Target: "/fatal"}.Digest()
+	testStart = time.Unix(1_700_000_000, 0)
+	alice     = CallerOf("alice")
+	bob       = CallerOf("bob")
 )
 
-func endOf(c Caller, life string, at time.Duration) Crash {
-	return Crash{Request: fatal, Caller: c, Incarnation: life, Route: "r", Service: "s", Began: morning.Add(at - 100*time.Millisecond), Ended: morning.Add(at)}
+func crashOf(c Caller, incarnation string, at time.Duration) Crash {
+	return Crash{Request: fatal, Caller: c, Incarnation: incarnation, Route: "r", Service: "s", Began: testStart.Add(at - 100*time.Millisecond), Ended: testStart.Add(at)}
 }
 
-// A box without word of control goes by what it saw: the second ended target puts the
-// request on probation, the third holds it.
-func TestGuardGoesByItself(t *testing.T) {
+// A box without contact to control decides from what it observed: the second crashed
+// target puts the request on probation, and the third quarantines it.
+func TestGuardDecidesWithoutControl(t *testing.T) {
 	g := NewGuard()
 	if !g.IsIdle() {
 		t.Fatal("a new guard is not idle")
 	}
-	now := morning.Add(time.Minute)
+	now := testStart.Add(time.Minute)
 	want := func(c Caller, d Decision) {
 		t.Helper()
 		if v := g.Admit(now, now, fatal, c); v.Decision != d {
 			t.Fatalf("got %s, want %s", v.Decision, d)
 		}
 	}
-	g.RecordCrash(now, endOf(alice, "1", 0))
-	g.RecordCrash(now, endOf(alice, "1", time.Second)) // the same target
+	g.RecordCrash(now, crashOf(alice, "1", 0))
+	g.RecordCrash(now, crashOf(alice, "1", time.Second)) // the same target
 	want(alice, Free)
-	g.RecordCrash(now, endOf(alice, "2", time.Second))
+	g.RecordCrash(now, crashOf(alice, "2", time.Second))
 	want(alice, OnProbation)
 	want(alice, Busy)
 	want(bob, Free)
 	if g.MayRetry(now, now, fatal, alice) {
-		t.Fatal("on probation it may go to a further target")
+		t.Fatal("a request on probation may be retried")
 	}
 	g.Finish(fatal)
-	g.RecordCrash(now, endOf(alice, "3", 2*time.Second))
-	want(alice, OnProbation) // the three may have ended at one moment
+	g.RecordCrash(now, crashOf(alice, "3", 2*time.Second))
+	want(alice, OnProbation) // the three may have crashed at one moment
 	g.Finish(fatal)
-	g.RecordCrash(now, endOf(alice, "4", 2*time.Minute)) // it began after that
+	g.RecordCrash(now, crashOf(alice, "4", 2*time.Minute)) // this run began on probation
 	want(alice, Held)
 	want(bob, Free)
-	g.RecordCrash(now, endOf(bob, "5", 3*time.Minute))
-	want(bob, Held) // several callers, and no answer to any
+	g.RecordCrash(now, crashOf(bob, "5", 3*time.Minute))
+	want(bob, Held) // several callers, none of whom was answered
 	g.RemoveExpired(now.Add(2 * EvidenceRetention))
 	if !g.IsIdle() {
-		t.Fatal("evidence that no longer counts is kept")
+		t.Fatal("expired evidence is kept")
 	}
 }
 
-// An answer to one caller says nothing of another's request.
-func TestAnswersClearTheirCaller(t *testing.T) {
+// An answer to one caller must not clear the request of another.
+func TestAnswerClearsOnlyItsCaller(t *testing.T) {
 	g := NewGuard()
-	now := morning.Add(time.Minute)
+	now := testStart.Add(time.Minute)
 	for i := range 3 {
-		g.RecordCrash(now, endOf(alice, fmt.Sprint(i), time.Duration(i)*time.Minute))
+		g.RecordCrash(now, crashOf(alice, fmt.Sprint(i), time.Duration(i)*time.Minute))
 	}
 	now = now.Add(time.Minute)
 	if !g.RecordAnswer(now, fatal, bob) {
-		t.Fatal("an answer to a suspected request is not told")
+		t.Fatal("an answer to a suspected request is not reported")
 	}
 	if v := g.Admit(now, now, fatal, alice); v.Decision != Held {
 		t.Fatalf("an answer to another caller: %s", v.Decision)
@@ -126,94 +126,95 @@
 	}
 }
 
-// What is let go is let go with the box's own evidence, else it would hold on.
-func TestLetGoIsLetGo(t *testing.T) {
+// Guards against evidence that survives a release and quarantines the request again.
+func TestReleaseDropsEvidence(t *testing.T) {
 	g := NewGuard()
-	l := NewEvidenceStore()
-	now := morning.Add(time.Minute)
+	store := NewEvidenceStore()
+	now := testStart.Add(time.Minute)
 	for i := range 3 {
-		e := endOf(alice, fmt.Sprint(i), time.Duration(i)*time.Second)
+		e := crashOf(alice, fmt.Sprint(i), time.Duration(i)*time.Second)
 		g.RecordCrash(now, e)
-		l.RecordCrash(now, e)
+		store.RecordCrash(now, e)
 	}
-	watch := l.PendingChanges(now, now, nil)
-	if len(watch) != 1 || watch[0].Entry.Held || watch[0].Entry.Caller != AnyCaller {
-		t.Fatalf("at first: %+v", watch)
+	probation := store.PendingChanges(now, now, nil)
+	if len(probation) != 1 || probation[0].Entry.Held || probation[0].Entry.Caller != AnyCaller {
+		t.Fatalf("at first: %+v", probation)
 	}
-	list := []Entry{watch[0].Entry}
-	if early := l.PendingChanges(now, now, list); len(early) != 0 {
-		t.Fatalf("held before it had time to be cleared: %+v", early)
+	list := []Entry{probation[0].Entry}
+	if premature := store.PendingChanges(now, now, list); len(premature) != 0 {
+		t.Fatalf("quarantined before it had time to be cleared: %+v", premature)
 	}
-	now = now.Add(settleTime)
-	hold := l.PendingChanges(now, now, list)
-	if len(hold) != 1 || !hold[0].Entry.Held || hold[0].Entry.Caller != alice || len(hold[0].Entry.CrashedTargets) != 3 {
-		t.Fatalf("then: %+v", hold)
+	now = now.Add(clearancePeriod)
+	quarantine := store.PendingChanges(now, now, list)
+	if len(quarantine) != 1 || !quarantine[0].Entry.Held || quarantine[0].Entry.Caller != alice || len(quarantine[0].Entry.CrashedTargets) != 3 {
+		t.Fatalf("then: %+v", quarantine)
 	}
-	list = append(list, hold[0].Entry)
+	list = append(list, quarantine[0].Entry)
 	g.SetList(list)
-	if v := g.Admit(now, now, fatal, alice); v.Decision != Held || !v.Listed || v.RetryAfter != holdTime {
+	if v := g.Admit(now, now, fatal, alice); v.Decision != Held || !v.Listed || v.RetryAfter != quarantineTime {
 		t.Fatalf("got %+v", v)
 	}
-	if more := l.PendingChanges(now, now, list); len(more) != 0 {
-		t.Fatalf("told again: %+v", more)
+	if more := store.PendingChanges(now, now, list); len(more) != 0 {
+		t.Fatalf("changes after quarantine: %+v", more)
 	}
 	g.SetList(nil)
-	if again := l.PendingChanges(now, now, nil); len(again) != 0 || l.Len() != 0 {
-		t.Fatalf("let go by an operator, then: %+v", again)
+	if again := store.PendingChanges(now, now, nil); len(again) != 0 || store.Len() != 0 {
+		t.Fatalf("after release by an operator: %+v", again)
 	}
 	if v := g.Admit(now, now, fatal, alice); v.Decision != Free {
-		t.Fatalf("let go, then: %s", v.Decision)
+		t.Fatalf("after release: %s", v.Decision)
 	}
 }
 
-// Time lets go, also at a replica that knows of nothing but the list, and so does an
-// answer.
+// An entry is released when it expires, also by a replica that knows nothing but the
+// list, and when its caller is answered.
 func TestEntriesAreReleased(t *testing.T) {
-	held := Entry{Request: fatal, Caller: alice, Held: true, Until: morning.Add(holdTime)}
-	l := NewEvidenceStore()
-	if due := l.PendingChanges(morning, morning, []Entry{held}); len(due) != 0 {
-		t.Fatalf("before its time: %+v", due)
+	held := Entry{Request: fatal, Caller: alice, Held: true, Until: testStart.Add(quarantineTime)}
+	store := NewEvidenceStore()
+	if changes := store.PendingChanges(testStart, testStart, []Entry{held}); len(changes) != 0 {
+		t.Fatalf("before expiry: %+v", changes)
 	}
-	if due := l.PendingChanges(morning, morning.Add(holdTime), []Entry{held}); len(due) != 1 || !due[0].Release {
-		t.Fatalf("after its time: %+v", due)
+	if changes := store.PendingChanges(testStart, testStart.Add(quarantineTime), []Entry{held}); len(changes) != 1 || !changes[0].Release {
+		t.Fatalf("after expiry: %+v", changes)
 	}
-	l.RecordAnswer(morning, fatal, bob, morning)
-	if due := l.PendingChanges(morning, morning, []Entry{held}); len(due) != 0 {
-		t.Fatalf("answered to another: %+v", due)
+	store.RecordAnswer(testStart, fatal, bob, testStart)
+	if changes := store.PendingChanges(testStart, testStart, []Entry{held}); len(changes) != 0 {
+		t.Fatalf("after an answer to another caller: %+v", changes)
 	}
-	l.RecordAnswer(morning, fatal, alice, morning)
-	if due := l.PendingChanges(morning, morning, []Entry{held}); len(due) != 1 || !due[0].Release {
-		t.Fatalf("answered: %+v", due)
+	store.RecordAnswer(testStart, fatal, alice, testStart)
+	if changes := store.PendingChanges(testStart, testStart, []Entry{held}); len(changes) != 1 || !changes[0].Release {
+		t.Fatalf("after an answer: %+v", changes)
 	}
 }
 
-// Many requests with one ended target each push out none that has two.
-func TestManySuspectsPushOutNoGuiltyOne(t *testing.T) {
-	g, l := NewGuard(), NewEvidenceStore()
-	now := morning
-	for _, life := range []string{"1", "2"} {
-		g.RecordCrash(now, endOf(alice, life, 0))
-		l.RecordCrash(now, endOf(alice, life, 0))
+// Many requests with one crashed target each must not evict one that has two.
+func TestManySuspectsDoNotEvictStrongerEvidence(t *testing.T) {
+	g, store := NewGuard(), NewEvidenceStore()
+	now := testStart
+	for _, incarnation := range []string{"1", "2"} {
+		g.RecordCrash(now, crashOf(alice, incarnation, 0))
+		store.RecordCrash(now, crashOf(alice, incarnation, 0))
 	}
 	for i := range 2 * maxSuspects {
 		now = now.Add(time.Millisecond)
-		e := endOf(alice, fmt.Sprint("other", i), 0)
+		e := crashOf(alice, fmt.Sprint("other", i), 0)
 		e.Request = Request{Target: fmt.Sprint(i)}.Digest()
 		g.RecordCrash(now, e)
-		l.RecordCrash(now, e)
+		store.RecordCrash(now, e)
 	}
-	if g.SuspectCount() > maxRecords || l.Len() > maxSuspects {
-		t.Fatalf("%d and %d are kept", g.SuspectCount(), l.Len())
+	if g.SuspectCount() > maxRecords || store.Len() > maxSuspects {
+		t.Fatalf("the guard keeps %d records, the store %d", g.SuspectCount(), store.Len())
 	}
 	if v := g.Admit(now, now, fatal, alice); v.Decision != OnProbation {
 		t.Errorf("the box: %s", v.Decision)
 	}
-	if due := l.PendingChanges(now, now, nil); len(due) != 1 || due[0].Entry.Request != fatal {
-		t.Errorf("the replica: %+v", due)
+	if changes := store.PendingChanges(now, now, nil); len(changes) != 1 || changes[0].Entry.Request != fatal {
+		t.Errorf("the replica: %+v", changes)
 	}
 }
 
-// What a digest costs a box while something is known of a request.
+// BenchmarkDigest measures the cost of a digest, which a box computes for each request
+// while it has evidence against any.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 512, 4 << 10, DigestedBodyBytes} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -226,17 +227,18 @@
 	}
 }
 
-// What an arrival costs a box of which others are known: the digest and the look.
+// BenchmarkAdmit measures the cost of an incoming request while there is evidence
+// against others: the digest and the decision.
 func BenchmarkAdmit(b *testing.B) {
 	g := NewGuard()
 	for i := range maxRecords {
-		e := endOf(alice, "1", 0)
+		e := crashOf(alice, "1", 0)
 		e.Request = Request{Target: fmt.Sprint(i)}.Digest()
-		g.RecordCrash(morning, e)
+		g.RecordCrash(testStart, e)
 	}
 	r := Request{Method: "GET", Host: "shop.example", Target: "/orders/17/2f3a"}
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Admit(morning, morning, r.Digest(), alice)
+		g.Admit(testStart, testStart, r.Digest(), alice)
 	}
 }
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -7,84 +7,85 @@
 )
 
 const (
-	// watchLives is from how many ended targets on a request is watched: run by a box
-	// once at a time and not repeated by it. An innocent one gets there if two targets
-	// end under it in a row.
-	watchLives = 2
-	// holdLives is from how many ended targets on a request reaches no target. With a
-	// part p of the targets ending in the time of a run, an innocent request that is
-	// repeated three times is held with p^3: 0.003 where 0.15 of them end.
-	holdLives = 3
-	// EvidenceRetention is how long evidence counts. A request that comes less often ends a
-	// target every EvidenceRetention at most.
+	// probationThreshold is the number of crashed targets from which a request is on
+	// probation: a box runs it once at a time and does not retry it. An innocent request gets
+	// there if two targets in a row crash while they run it.
+	probationThreshold = 2
+	// quarantineThreshold is the number of crashed targets from which a request reaches no
+	// target. If a fraction p of the targets crash within the time of a run, an innocent
+	// request that is tried three times is quarantined with probability p^3: 0.003 for
+	// p = 0.15.
+	quarantineThreshold = 3
+	// EvidenceRetention is how long evidence counts. A request that is sent less often
+	// crashes at most one target per EvidenceRetention.
 	EvidenceRetention = 10 * time.Minute
-	// maxEnds and maxAnswers bound what is kept of one request.
-	maxEnds    = 8
+	// maxCrashes and maxAnswers bound what is kept of one request.
+	maxCrashes = 8
 	maxAnswers = 8
 )
 
-// Crash is a run of a request that ended with the life of its target.
+// Crash is a run of a request during which its target crashed.
 type Crash struct {
 	Request Digest
 	Caller  Caller
-	// Incarnation is that of the target.
+	// Incarnation is the one of the target that crashed.
 	Incarnation string
 	Route       string
 	Service     string
-	// Began and Ended are those of the run.
+	// Began and Ended delimit the run.
 	Began time.Time
 	Ended time.Time
 }
 
-// answered is the last whole answer to a caller.
-type answered struct {
+// callerAnswer is the last complete answer to a caller.
+type callerAnswer struct {
 	caller Caller
 	at     time.Time
 }
 
-// record is what is known of one request.
+// record is the evidence about one request.
 type record struct {
-	ends    []Crash
-	answers []answered
-	// changed is when something was learned last.
-	changed time.Time
-	// watchedSince is since when the request is watched, zero if it is not.
-	watchedSince time.Time
+	crashes []Crash
+	answers []callerAnswer
+	// updatedAt is the time of the last new evidence.
+	updatedAt time.Time
+	// probationSince is when the request was put on probation, zero if it is not.
+	probationSince time.Time
 }
 
-// add takes an end and reports whether it counts.
-func (r *record) add(now time.Time, e Crash) bool {
-	if at, ok := r.answerTo(e.Caller); ok && !e.Ended.After(at) {
+// addCrash adds a crash and reports whether it counts.
+func (r *record) addCrash(now time.Time, e Crash) bool {
+	if at, ok := r.lastAnswerTo(e.Caller); ok && !e.Ended.After(at) {
 		return false
 	}
-	if slices.ContainsFunc(r.ends, func(known Crash) bool { return known.Incarnation == e.Incarnation && known.Caller == e.Caller }) {
+	if slices.ContainsFunc(r.crashes, func(known Crash) bool { return known.Incarnation == e.Incarnation && known.Caller == e.Caller }) {
 		return false
 	}
-	r.changed = now
-	r.ends = append(r.ends, e)
-	if len(r.ends) > maxEnds {
-		r.ends = slices.Delete(r.ends, 0, 1)
+	r.updatedAt = now
+	r.crashes = append(r.crashes, e)
+	if len(r.crashes) > maxCrashes {
+		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
 	return true
 }
 
-// answer takes a whole answer to a caller: what was held against it before counts no
-// longer.
-func (r *record) answer(now time.Time, c Caller, at time.Time) {
-	r.changed = now
-	r.ends = slices.DeleteFunc(r.ends, func(e Crash) bool { return e.Caller == c && !e.Ended.After(at) })
-	i := slices.IndexFunc(r.answers, func(a answered) bool { return a.caller == c })
+// addAnswer adds a complete answer to a caller. It invalidates earlier evidence against
+// that caller.
+func (r *record) addAnswer(now time.Time, c Caller, at time.Time) {
+	r.updatedAt = now
+	r.crashes = slices.DeleteFunc(r.crashes, func(e Crash) bool { return e.Caller == c && !e.Ended.After(at) })
+	i := slices.IndexFunc(r.answers, func(a callerAnswer) bool { return a.caller == c })
 	if i >= 0 {
 		r.answers[i].at = later(r.answers[i].at, at)
 		return
 	}
-	r.answers = append(r.answers, answered{c, at})
+	r.answers = append(r.answers, callerAnswer{c, at})
 	if len(r.answers) > maxAnswers {
 		r.answers = slices.Delete(r.answers, 0, 1)
 	}
 }
 
-func (r *record) answerTo(c Caller) (at time.Time, ok bool) {
+func (r *record) lastAnswerTo(c Caller) (at time.Time, ok bool) {
 	for _, a := range r.answers {
 		if a.caller == c {
 			return a.at, true
@@ -93,7 +94,7 @@
 	return time.Time{}, false
 }
 
-// lastAnswer is when any caller was answered last.
+// lastAnswer returns the time of the last answer to any caller.
 func (r *record) lastAnswer() (at time.Time) {
 	for _, a := range r.answers {
 		at = later(at, a.at)
@@ -101,18 +102,18 @@
 	return at
 }
 
-// evidence is how many targets ended under requests of a caller; AnyCaller stands for
-// several of whom none was answered since.
+// evidence is the number of targets that crashed while they ran requests of a caller.
+// AnyCaller stands for several callers none of whom was answered since.
 type evidence struct {
-	against Caller
-	lives   int
+	against        Caller
+	crashedTargets int
 }
 
-// evidence returns what there is against each caller, and against all of them if several
-// lost targets, the gravest first. Ends that are older than Memory don't count.
+// evidence returns the evidence against each caller, and against all of them if there are
+// several, the strongest first. Crashes older than EvidenceRetention don't count.
 func (r *record) evidence(now time.Time) []evidence {
 	byCaller := make(map[Caller]map[string]bool)
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if now.Sub(e.Ended) > EvidenceRetention {
 			continue
 		}
@@ -122,52 +123,53 @@
 		byCaller[e.Caller][e.Incarnation] = true
 	}
 	var out []evidence
-	for caller, lives := range byCaller {
-		out = append(out, evidence{caller, len(lives)})
+	for caller, incarnations := range byCaller {
+		out = append(out, evidence{caller, len(incarnations)})
 	}
-	if all := r.livesSinceAnswer(now); len(byCaller) > 1 && all > 0 {
+	if all := r.crashedSinceAnswer(now); len(byCaller) > 1 && all > 0 {
 		out = append(out, evidence{AnyCaller, all})
 	}
 	slices.SortFunc(out, func(a, b evidence) int {
-		return cmp.Or(cmp.Compare(b.lives, a.lives), cmp.Compare(a.against, b.against))
+		return cmp.Or(cmp.Compare(b.crashedTargets, a.crashedTargets), cmp.Compare(a.against, b.against))
 	})
 	return out
 }
 
-// most is how many targets the gravest evidence names.
-func (r *record) most(now time.Time) int {
+// maxCrashedTargets returns the number of crashed targets of the strongest evidence.
+func (r *record) maxCrashedTargets(now time.Time) int {
 	if all := r.evidence(now); len(all) > 0 {
-		return all[0].lives
+		return all[0].crashedTargets
 	}
 	return 0
 }
 
-// livesSinceAnswer counts the targets that ended under requests of any caller since one
-// was answered last.
-func (r *record) livesSinceAnswer(now time.Time) int {
-	lives := make(map[string]bool)
+// crashedSinceAnswer counts the targets that crashed while they ran requests of any
+// caller, since a caller was last answered.
+func (r *record) crashedSinceAnswer(now time.Time) int {
+	incarnations := make(map[string]bool)
 	last := r.lastAnswer()
-	for _, e := range r.ends {
+	for _, e := range r.crashes {
 		if now.Sub(e.Ended) <= EvidenceRetention && e.Ended.After(last) {
-			lives[e.Incarnation] = true
+			incarnations[e.Incarnation] = true
 		}
 	}
-	return len(lives)
+	return len(incarnations)
 }
 
-// endedWhileWatched reports whether a target ended under a run that began when the request
-// was watched already: that is no longer of the moment at which the others ended.
-func (r *record) endedWhileWatched(against Caller) bool {
-	return !r.watchedSince.IsZero() && slices.ContainsFunc(r.ends, func(e Crash) bool {
-		return e.against(against) && e.Began.After(r.watchedSince)
+// crashedOnProbation reports whether a target crashed in a run that began when the
+// request was already on probation. Such a crash is independent of the earlier ones,
+// which may have happened at one moment.
+func (r *record) crashedOnProbation(against Caller) bool {
+	return !r.probationSince.IsZero() && slices.ContainsFunc(r.crashes, func(e Crash) bool {
+		return e.countsAgainst(against) && e.Began.After(r.probationSince)
 	})
 }
 
-// against reports whether an end is part of the evidence against a caller.
-func (e Crash) against(c Caller) bool { return c == AnyCaller || e.Caller == c }
+// countsAgainst reports whether a crash is part of the evidence against a caller.
+func (e Crash) countsAgainst(c Caller) bool { return c == AnyCaller || e.Caller == c }
 
-// isOld reports whether nothing of the record counts any more.
-func (r *record) isOld(now time.Time) bool { return now.Sub(r.changed) > EvidenceRetention }
+// isExpired reports whether nothing of the record counts any more.
+func (r *record) isExpired(now time.Time) bool { return now.Sub(r.updatedAt) > EvidenceRetention }
 
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
@@ -176,14 +178,14 @@
 	return a
 }
 
-// leastTelling returns the digest of the record that is forgotten first where there is
-// no room: one with the fewest ended targets, and of those the oldest. Many requests
-// with one end each push out none that has more.
-func leastTelling[R any](records map[Digest]R, of func(R) *record) (out Digest) {
+// weakestRecord returns the digest of the record to evict when there is no space: the one
+// with the fewest crashed targets, and of those the oldest. Many requests with one crash
+// each can't evict one that has more.
+func weakestRecord[R any](records map[Digest]R, of func(R) *record) (out Digest) {
 	var least *record
 	for d, one := range records {
 		r := of(one)
-		if least == nil || len(r.ends) < len(least.ends) || len(r.ends) == len(least.ends) && r.changed.Before(least.changed) {
+		if least == nil || len(r.crashes) < len(least.crashes) || len(r.crashes) == len(least.crashes) && r.updatedAt.Before(least.updatedAt) {
 			out, least = d, r
 		}
 	}
--- a/pkg/quarantine/request.go
+++ b/pkg/quarantine/request.go
@@ -1,17 +1,18 @@
-// Package quarantine decides which requests are kept from targets because they end
-// each target that runs them (a query of death): failures are booked to what was asked,
-// not only to who was asked.
+// Package quarantine keeps requests away from targets if they crash each target that
+// runs them (queries of death). A failure is attributed to the request as well as to the
+// target that failed.
 //
-// A request is named by a digest of all that a target gets of it, and its caller by
-// another. Each target that ended while it ran the request is evidence, each whole
-// answer clears it, as a request that ends its targets is never answered. A box keeps
-// what it saw itself in a Guard, which works without control; control replicas keep what
-// all boxes tell in a Ledger, and the leader has requests watched from the second ended
-// target on and held from the third. The list of both is replicated state, so that boxes
-// that start or come back have it with the routes, and no loss of leaders or power lets
-// a held request go.
+// A request is identified by a digest of everything that a target receives of it, and its
+// caller by another digest. Each target that crashed while it ran the request is evidence
+// against it. Each complete answer clears it, because a request that crashes its targets
+// is never answered. A box keeps what it observed itself in a Guard, which works without
+// control. Control replicas keep the reports of all boxes in an EvidenceStore, and the
+// leader puts a request on probation from the second crashed target on and in quarantine
+// from the third. The list of both is replicated state: boxes that start or reconnect
+// receive it with the routes, and no loss of leaders or power releases a quarantined
+// request.
 //
-// Both are state machines without I/O. They keep nothing of a path or a body.
+// Guard and EvidenceStore are state machines without I/O. They store no path and no body.
 package quarantine
 
 import (
@@ -22,18 +23,18 @@
 	"strings"
 )
 
-// DigestedBodyBytes is how much of a body counts, in bytes: what a box has of a longer one when
-// its first target gets it.
+// DigestedBodyBytes is how many bytes of a body are included in the digest: what a box
+// has read of a longer body when the first target gets the request.
 const DigestedBodyBytes = 64 << 10
 
-// Digest names a request. It is a part of a SHA-256, so that nobody can bring it about
-// for another's request: 2^128 tries for a given one.
+// Digest identifies a request. It is a prefix of a SHA-256 hash, long enough that nobody
+// can construct a request with the digest of another one: that takes 2^128 attempts.
 type Digest [16]byte
 
-// String returns the digest as it stands in logs and commands.
+// String returns the digest as it appears in logs and commands.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// DigestError says that a text is no digest.
+// DigestError reports a text that is not a digest.
 type DigestError struct{ Text string }
 
 // Error implements error.
@@ -41,7 +42,7 @@
 	return fmt.Sprintf("%q is no digest of a request: want %d hexadecimal digits", e.Text, 2*len(Digest{}))
 }
 
-// ParseDigest reads what String wrote. The error is a DigestError.
+// ParseDigest parses the output of String. The error is a DigestError.
 func ParseDigest(text string) (Digest, error) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(Digest{}) {
@@ -50,20 +51,20 @@
 	return Digest(data), nil
 }
 
-// Request is what of a request a target can fall over, and that is the same each time
-// it comes: ids, deadlines and what concerns one connection are left out.
+// Request holds the parts of a request that can make a target crash and are the same
+// each time it is sent. It excludes ids, deadlines and headers of one connection.
 type Request struct {
 	Method string
 	Host   string
-	// Target is path and query as they came.
+	// Target is the path and query as received.
 	Target string
-	// Length is that of the whole body; below zero if it is not known.
+	// Length is the length of the whole body, or negative if it is not known.
 	Length int64
-	// Body is the body or its beginning, of which BodyBytes count.
+	// Body is the body or its beginning, of which DigestedBodyBytes count.
 	Body []byte
 }
 
-// Digest returns the name of the request.
+// Digest returns the digest of the request.
 func (r Request) Digest() Digest {
 	head := make([]byte, 0, 256)
 	head = appendText(head, r.Method)
@@ -71,25 +72,26 @@
 	head = appendText(head, r.Target)
 	head = binary.BigEndian.AppendUint64(head, uint64(r.Length))
 	h := sha256.New()
-	_, _ = h.Write(head) // a hash takes every write
+	_, _ = h.Write(head) // a hash never returns an error
 	_, _ = h.Write(r.Body[:min(len(r.Body), DigestedBodyBytes)])
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// appendText appends a text behind its length, so that no two lists of texts are alike.
+// appendText appends a text with its length before it, so that different lists of texts
+// never have the same encoding.
 func appendText(out []byte, text string) []byte {
 	out = binary.BigEndian.AppendUint32(out, uint32(len(text)))
 	return append(out, text...)
 }
 
-// Caller names who asks.
+// Caller identifies the sender of a request.
 type Caller uint64
 
 // AnyCaller stands for all callers.
 const AnyCaller Caller = 0
 
-// CallerOf returns the name of a caller that is known by a text: its workspace, or its
-// address without port where it has none.
+// CallerOf returns the identifier of the caller with the given name: its workspace, or
+// its address without port if it has no workspace.
 func CallerOf(text string) Caller {
 	sum := sha256.Sum256([]byte(text))
 	return Caller(max(binary.BigEndian.Uint64(sum[:]), 1))
