--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -137,8 +137,8 @@
 		v.request.placeEnded(out.Final, v.after)
 		return
 	}
-	if !out.Wake.IsZero() {
-		s.at(out.Wake, func() { v.carryOut(v.plan.Tick(s.now)) })
+	if !out.NextTick.IsZero() {
+		s.at(out.NextTick, func() { v.carryOut(v.plan.Tick(s.now)) })
 	}
 }
 
@@ -197,18 +197,18 @@
 	})
 }
 
-func (s *sim) finished(p *pool, a *attempt, result admission.Result, end retry.End) {
+func (s *sim) finished(p *pool, a *attempt, result admission.Result, end retry.AttemptResult) {
 	s.handle(p, admission.Finish{ID: a.id, Result: result, Latency: s.now.Sub(a.began)})
 	a.end(end, 0)
 }
 
-func (a *attempt) end(end retry.End, retryAfter time.Duration) {
+func (a *attempt) end(end retry.AttemptResult, retryAfter time.Duration) {
 	if a.over {
 		return
 	}
 	a.over = true
 	a.visit.after = retryAfter
-	a.visit.carryOut(a.visit.plan.Ended(a.visit.request.sim.now, a.number, end))
+	a.visit.carryOut(a.visit.plan.HandleResult(a.visit.request.sim.now, a.number, end))
 }
 
 // placeEnded takes the answer of a place and goes on as the failover decides.
--- a/pkg/retry/boxes_test.go
+++ b/pkg/retry/boxes_test.go
@@ -22,7 +22,7 @@
 // fleet is a number of boxes that share the bound, and what all of them did.
 type fleet struct {
 	extra  float64
-	boxes  []*Window
+	boxes  []*WindowBudget
 	starts []int // the step at which each box started
 	fresh  []bool
 	firsts []int // by step, summed over the boxes
@@ -30,9 +30,9 @@
 }
 
 func newFleet(boxes int, extra float64) *fleet {
-	f := &fleet{extra: extra, boxes: make([]*Window, boxes), starts: make([]int, boxes), fresh: make([]bool, boxes)}
+	f := &fleet{extra: extra, boxes: make([]*WindowBudget, boxes), starts: make([]int, boxes), fresh: make([]bool, boxes)}
 	for i := range f.boxes {
-		f.boxes[i] = NewWindow(boxesShare, boxesLength)
+		f.boxes[i] = NewWindowBudget(boxesShare, boxesLength)
 	}
 	return f
 }
@@ -40,7 +40,7 @@
 // restart ends a box and starts it without memory of its retries; as it may follow
 // one that took its part, it has no fixed retries for a window's length.
 func (f *fleet) restart(box int) {
-	f.boxes[box] = NewWindow(boxesShare, boxesLength)
+	f.boxes[box] = NewWindowBudget(boxesShare, boxesLength)
 	f.starts[box] = len(f.firsts)
 	f.fresh[box] = true
 }
@@ -57,7 +57,7 @@
 			extra = 0
 		}
 		for range n {
-			f.boxes[b].First(at)
+			f.boxes[b].RecordFirst(at)
 		}
 		f.firsts[step] += n
 		for range n * retriesPerRequest {
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -25,8 +25,8 @@
 // SetShare changes the share; at zero percent no token is given out.
 func (b *Budget) SetShare(sharePercent int) { b.share = float64(sharePercent) / 100 }
 
-// First notes a first attempt.
-func (b *Budget) First() { b.tokens = min(b.tokens+b.share, MaxTokens) }
+// RecordFirst notes a first attempt.
+func (b *Budget) RecordFirst() { b.tokens = min(b.tokens+b.share, MaxTokens) }
 
 // Take takes a token for a retry if there is one.
 func (b *Budget) Take() bool {
--- a/pkg/retry/plan.go
+++ b/pkg/retry/plan.go
@@ -13,13 +13,13 @@
 	Deadline   time.Time
 }
 
-// End is how an attempt has ended.
-type End int
+// AttemptResult is how an attempt has ended.
+type AttemptResult int
 
 // The ends of an attempt.
 const (
 	// Answered: a complete answer is there.
-	Answered End = iota
+	Answered AttemptResult = iota
 	// NotRun: the target surely has not run it.
 	NotRun
 	// Failed: it may have run, and there is no answer.
@@ -48,8 +48,8 @@
 	// whose answer is the answer.
 	Final   Verdict
 	Attempt int
-	// Wake is when Tick is next needed; zero for never.
-	Wake time.Time
+	// NextTick is when Tick is next needed; zero for never.
+	NextTick time.Time
 }
 
 // Plan is the course of one request.
@@ -70,7 +70,7 @@
 
 // Begin starts the first attempt.
 func (p *Plan) Begin(now time.Time) Output {
-	p.budget.First()
+	p.budget.RecordFirst()
 	if p.config.Repeatable && p.config.HedgeAfter > 0 {
 		p.hedgeAt = now.Add(p.config.HedgeAfter)
 	}
@@ -80,7 +80,7 @@
 func (p *Plan) launch() Output {
 	p.started++
 	p.open[p.started] = true
-	return Output{Launch: p.started, Wake: p.wake()}
+	return Output{Launch: p.started, NextTick: p.wake()}
 }
 
 func (p *Plan) wake() time.Time {
@@ -99,11 +99,11 @@
 		return p.giveUp()
 	}
 	if p.hedgeAt.IsZero() || now.Before(p.hedgeAt) {
-		return Output{Wake: p.wake()}
+		return Output{NextTick: p.wake()}
 	}
 	p.hedgeAt = time.Time{}
 	if len(p.open) != 1 || !p.mayLaunch(now) {
-		return Output{Wake: p.wake()}
+		return Output{NextTick: p.wake()}
 	}
 	return p.launch()
 }
@@ -112,8 +112,8 @@
 	return p.started < p.config.MaxAttempts && now.Before(p.config.Deadline) && p.budget.Take()
 }
 
-// Ended takes the end of an attempt.
-func (p *Plan) Ended(now time.Time, attempt int, end End) Output {
+// HandleResult takes the end of an attempt.
+func (p *Plan) HandleResult(now time.Time, attempt int, end AttemptResult) Output {
 	if p.done || !p.open[attempt] {
 		return Output{}
 	}
@@ -127,7 +127,7 @@
 		p.mayRun = true
 	}
 	if len(p.open) > 0 {
-		return Output{Wake: p.wake()}
+		return Output{NextTick: p.wake()}
 	}
 	again := end == NotRun || (end == Failed && p.config.Repeatable)
 	if again && p.mayLaunch(now) {
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -49,12 +49,12 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 				take(p.Tick(now))
 				for n := range open {
-					end := End(rapid.IntRange(0, 3).Draw(t, "end"))
+					end := AttemptResult(rapid.IntRange(0, 3).Draw(t, "end"))
 					delete(open, n)
 					if end == Answered || end == Failed {
 						mayRun++
 					}
-					take(p.Ended(now, n, end))
+					take(p.HandleResult(now, n, end))
 					break
 				}
 			}
@@ -77,8 +77,8 @@
 	now := time.Unix(0, 0)
 	p := NewPlan(Config{Repeatable: true, MaxAttempts: 2, Deadline: now.Add(time.Second)}, NewBudget(10))
 	fmt.Println("launch", p.Begin(now).Launch)
-	fmt.Println("launch", p.Ended(now, 1, Failed).Launch)
-	fmt.Println("ran", p.Ended(now, 2, Answered).Final == Ran)
+	fmt.Println("launch", p.HandleResult(now, 1, Failed).Launch)
+	fmt.Println("ran", p.HandleResult(now, 2, Answered).Final == Ran)
 	// Output:
 	// launch 1
 	// launch 2
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Window bounds the retries of one process so that those of all processes
+// WindowBudget bounds the retries of one process so that those of all processes
 // together stay within a share of the requests of a sliding time and a fixed
 // number more. Each first attempt earns a part of a retry, which expires soon:
 // so the sum over all processes follows from the sum of their first attempts,
 // whichever process the callers ask next. It is a state machine without I/O.
-type Window struct {
+type WindowBudget struct {
 	share  float64
 	length time.Duration
 	slots  [windowSlots]windowSlot
@@ -45,16 +45,16 @@
 	extraMargin = 0.8
 )
 
-// NewWindow returns a window without requests.
-func NewWindow(share float64, length time.Duration) *Window {
-	return &Window{share: share, length: length}
+// NewWindowBudget returns a window without requests.
+func NewWindowBudget(share float64, length time.Duration) *WindowBudget {
+	return &WindowBudget{share: share, length: length}
 }
 
-func (w *Window) number(at time.Duration) int64 {
+func (w *WindowBudget) number(at time.Duration) int64 {
 	return int64(at / (w.length / slotsOfLength))
 }
 
-func (w *Window) slot(at time.Duration) *windowSlot {
+func (w *WindowBudget) slot(at time.Duration) *windowSlot {
 	number := w.number(at)
 	s := &w.slots[number%windowSlots]
 	if s.number != number {
@@ -63,19 +63,19 @@
 	return s
 }
 
-// First notes a first attempt at a time since the start of the process.
-func (w *Window) First(at time.Duration) { w.slot(at).earned += earnedMargin * w.share }
+// RecordFirst notes a first attempt at a time since the start of the process.
+func (w *WindowBudget) RecordFirst(at time.Duration) { w.slot(at).earned += earnedMargin * w.share }
 
 // Allows reports whether the window allows one more retry. Extra is this
 // process's part of the retries that are free.
-func (w *Window) Allows(at time.Duration, extra float64) bool {
+func (w *WindowBudget) Allows(at time.Duration, extra float64) bool {
 	earned, taken := w.sums(at)
 	return earned+extraMargin*extra-taken >= 1
 }
 
 // sums returns the retries that are earned and have not expired, and the fixed
 // ones taken within the window's length.
-func (w *Window) sums(at time.Duration) (earned, taken float64) {
+func (w *WindowBudget) sums(at time.Duration) (earned, taken float64) {
 	now := w.number(at)
 	for i := range w.slots {
 		s := &w.slots[i]
@@ -92,7 +92,7 @@
 
 // Take takes a retry if the window allows one more: what expires first, and a
 // fixed one for what is not earned.
-func (w *Window) Take(at time.Duration, extra float64) bool {
+func (w *WindowBudget) Take(at time.Duration, extra float64) bool {
 	if !w.Allows(at, extra) {
 		return false
 	}
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -12,13 +12,13 @@
 func TestWindowBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, extra = 10 * time.Second, 5.0
-		w := NewWindow(0.2, length)
+		w := NewWindowBudget(0.2, length)
 		var firsts, retries []time.Duration
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
-				w.First(at)
+				w.RecordFirst(at)
 				firsts = append(firsts, at)
 				continue
 			}
@@ -45,7 +45,7 @@
 }
 
 func TestWindowWithoutRequestsGivesTheExtraOnes(t *testing.T) {
-	w := NewWindow(0.2, 10*time.Second)
+	w := NewWindowBudget(0.2, 10*time.Second)
 	taken := 0
 	for range 20 {
 		if w.Take(time.Second, 5) {
@@ -59,7 +59,7 @@
 
 // Asking whether there is a retry takes none.
 func TestWindowAllowsTakesNothing(t *testing.T) {
-	w := NewWindow(0, time.Second)
+	w := NewWindowBudget(0, time.Second)
 	for range 3 {
 		if !w.Allows(0, 1.5) {
 			t.Fatal("the one retry was taken by asking")
@@ -79,7 +79,7 @@
 		tenth        = length / 100
 		moved        = 150 // tenths after the start
 	)
-	boxes := []*Window{NewWindow(share, length), NewWindow(share, length)}
+	boxes := []*WindowBudget{NewWindowBudget(share, length), NewWindowBudget(share, length)}
 	rates := func(i int) []int {
 		if i < moved {
 			return []int{10, 10}
@@ -91,7 +91,7 @@
 		at := time.Duration(i) * tenth
 		for b, rate := range rates(i) {
 			for range rate {
-				boxes[b].First(at)
+				boxes[b].RecordFirst(at)
 			}
 			if i < moved {
 				continue // targets turn nothing away yet
