--- a/pkg/retry/boxes_test.go
+++ b/pkg/retry/boxes_test.go
@@ -8,71 +8,72 @@
 	"pgregory.net/rapid"
 )
 
-// The bound on retries is one for all boxes together, but each box sees its own
-// requests only. These tests sum over all boxes while callers move between them
-// and boxes start anew, which the count of one box can't see.
+// The bound on retries applies to all boxes together, but each box sees its own requests
+// only. These tests sum over all boxes while callers move between them and boxes restart,
+// which the counters of a single box can't show.
 
 const (
-	boxesShare  = 0.2
-	boxesLength = 10 * time.Second
-	// boxesStep is the time between two rounds of requests.
-	boxesStep = boxesLength / 100
+	testShare  = 0.2
+	testWindow = 10 * time.Second
+	// stepTime is the time between two rounds of requests.
+	stepTime = testWindow / 100
 )
 
-// fleet is a number of boxes that share the bound, and what all of them did.
+// fleet is a number of boxes that share the bound, with the counters of all of them.
 type fleet struct {
-	extra  float64
-	boxes  []*WindowBudget
-	starts []int // the step at which each box started
-	fresh  []bool
-	firsts []int // by step, summed over the boxes
-	taken  []int
+	extra         float64
+	boxes         []*WindowBudget
+	starts        []int // the step at which each box started
+	restarted     []bool
+	firstAttempts []int // by step, summed over the boxes
+	retries       []int
 }
 
 func newFleet(boxes int, extra float64) *fleet {
-	f := &fleet{extra: extra, boxes: make([]*WindowBudget, boxes), starts: make([]int, boxes), fresh: make([]bool, boxes)}
+	f := &fleet{extra: extra, boxes: make([]*WindowBudget, boxes), starts: make([]int, boxes), restarted: make([]bool, boxes)}
 	for i := range f.boxes {
-		f.boxes[i] = NewWindowBudget(boxesShare, boxesLength)
+		f.boxes[i] = NewWindowBudget(testShare, testWindow)
 	}
 	return f
 }
 
-// restart ends a box and starts it without memory of its retries; as it may follow
-// one that took its part, it has no fixed retries for a window's length.
+// restart restarts a box without memory of its retries. Because its predecessor may have
+// used the box's part, it gets no extra retries for the length of a window.
 func (f *fleet) restart(box int) {
-	f.boxes[box] = NewWindowBudget(boxesShare, boxesLength)
-	f.starts[box] = len(f.firsts)
-	f.fresh[box] = true
+	f.boxes[box] = NewWindowBudget(testShare, testWindow)
+	f.starts[box] = len(f.firstAttempts)
+	f.restarted[box] = true
 }
 
-// step has each box take its number of requests, and as many retries as asked for.
+// step gives each box its number of requests, and takes as many retries as allowed, up
+// to retriesPerRequest.
 func (f *fleet) step(requests []int, retriesPerRequest int) {
-	step := len(f.firsts)
-	f.firsts = append(f.firsts, 0)
-	f.taken = append(f.taken, 0)
+	step := len(f.firstAttempts)
+	f.firstAttempts = append(f.firstAttempts, 0)
+	f.retries = append(f.retries, 0)
 	for b, n := range requests {
-		at := time.Duration(step-f.starts[b]) * boxesStep
+		at := time.Duration(step-f.starts[b]) * stepTime
 		extra := f.extra / float64(len(f.boxes))
-		if f.fresh[b] && at < boxesLength {
+		if f.restarted[b] && at < testWindow {
 			extra = 0
 		}
 		for range n {
 			f.boxes[b].RecordFirst(at)
 		}
-		f.firsts[step] += n
+		f.firstAttempts[step] += n
 		for range n * retriesPerRequest {
 			if f.boxes[b].Take(at, extra) {
-				f.taken[step]++
+				f.retries[step]++
 			}
 		}
 	}
 }
 
-// excess returns by how much the window that ends before the step holds more
-// retries than allowed: the share of the requests in that window, in the one before
-// it or in the one half a window before it, whichever holds most, and the extra.
+// excess returns by how much the retries of the window that ends before the step exceed
+// the bound: the extra retries plus the share of the requests in that window, the one
+// before it or the one half a window before it, whichever has most.
 func (f *fleet) excess(end int) float64 {
-	const steps = int(boxesLength / boxesStep)
+	const steps = int(testWindow / stepTime)
 	sum := func(list []int, from, to int) (n int) {
 		for i := max(from, 0); i < min(to, len(list)); i++ {
 			n += list[i]
@@ -80,14 +81,14 @@
 		return n
 	}
 	from := end - steps
-	requests := max(sum(f.firsts, from, end), sum(f.firsts, from-steps, from), sum(f.firsts, from-steps/2, end-steps/2))
-	return float64(sum(f.taken, from, end)) - boxesShare*float64(requests) - f.extra
+	requests := max(sum(f.firstAttempts, from, end), sum(f.firstAttempts, from-steps, from), sum(f.firstAttempts, from-steps/2, end-steps/2))
+	return float64(sum(f.retries, from, end)) - testShare*float64(requests) - f.extra
 }
 
-// Callers move between boxes as they like, boxes are restarted one after the other,
-// the rate of all requests changes once, and targets turn all away from some time
-// on: no window holds more retries than allowed. The sizes are those of a small and
-// of a large deployment, with their fixed retries.
+// Checks the bound in each window while callers move between boxes, boxes restart one
+// after the other, the total request rate changes once, and targets start to reject all
+// requests. The sizes are those of a small and of a large deployment, with their extra
+// retries.
 func TestWindowsOfManyBoxesBoundRetries(t *testing.T) {
 	for _, c := range []struct {
 		boxes, requests int
@@ -126,7 +127,7 @@
 						retries = 2
 					}
 					f.step(requests, retries)
-					if over := f.excess(len(f.firsts)); over > 1e-6 {
+					if over := f.excess(len(f.firstAttempts)); over > 1e-6 {
 						t.Fatalf("%.1f retries too many after step %d", over, step)
 					}
 				}
@@ -135,9 +136,9 @@
 	}
 }
 
-// What a box has at once when its targets begin to fail, and in the long run: the
-// price that callers pay for parts that expire.
-func TestWindowGivesWhatCallersNeed(t *testing.T) {
+// Checks how many retries a box has at once when its targets begin to fail, and in the long
+// run. Fewer are available because earned fractions expire.
+func TestRetriesAvailableDuringFailure(t *testing.T) {
 	const requests = 20 // a step, 200 a second
 	f := newFleet(1, 0)
 	for range 100 {
@@ -145,17 +146,17 @@
 	}
 	f.step([]int{requests}, 100)
 	// 0.75 of the share of 3 s of requests, less the slot that is not over.
-	if atOnce := f.taken[100]; atOnce < 75 || atOnce > 90 {
-		t.Errorf("%d retries at once, wanted those of about 0.4 s of all requests", atOnce)
+	if atOnce := f.retries[100]; atOnce < 75 || atOnce > 90 {
+		t.Errorf("%d retries at once, want those of about 0.4 s of all requests", atOnce)
 	}
 	for range 200 {
 		f.step([]int{requests}, 100)
 	}
 	later := 0
-	for _, n := range f.taken[201:301] {
+	for _, n := range f.retries[201:301] {
 		later += n
 	}
 	if want := 300; later < want-1 || later > want+1 { // 0.75 of the share of 2,000
-		t.Errorf("%d retries in a later window, wanted about %d", later, want)
+		t.Errorf("%d retries in a later window, want about %d", later, want)
 	}
 }
--- a/pkg/retry/plan.go
+++ b/pkg/retry/plan.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Config is what is known of a request when it begins.
+// Config holds the parameters of a request.
 type Config struct {
-	// Repeatable requests may run more than once.
+	// Repeatable is true if the request may run more than once.
 	Repeatable  bool
 	MaxAttempts int
-	// HedgeAfter is the wait before a second attempt beside the first; zero
-	// for none.
+	// HedgeAfter is the delay after which a second attempt starts while the first is still
+	// running; zero disables hedging.
 	HedgeAfter time.Duration
 	Deadline   time.Time
 }
 
-// AttemptResult is how an attempt has ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult int
 
 // The ends of an attempt.
 const (
-	// Answered: a complete answer is there.
+	// Answered: there is a complete answer.
 	Answered AttemptResult = iota
-	// NotRun: the target surely has not run it.
+	// NotRun: the target has certainly not run the request.
 	NotRun
-	// Failed: it may have run, and there is no answer.
+	// Failed: there is no answer, and the target may have run the request.
 	Failed
-	// Refused: there was no slot for it; it has not run.
+	// Refused: there was no slot for the request, so it did not run.
 	Refused
 )
 
@@ -38,34 +38,34 @@
 	Unknown
 )
 
-// Output is what to carry out after an event.
+// Output lists the actions to carry out after an event.
 type Output struct {
-	// Launch asks for an attempt of this number, from 1; zero for none.
+	// Launch is the number of an attempt to start, counted from 1; zero for none.
 	Launch int
-	// Cancel names attempts that are no longer wanted.
+	// Cancel lists the attempts that are no longer needed.
 	Cancel []int
-	// Final is the request's end, zero while it goes on. Attempt is the one
-	// whose answer is the answer.
+	// Final is the final state of the request, zero while it is running. Attempt is the
+	// attempt whose answer is returned.
 	Final   Verdict
 	Attempt int
-	// NextTick is when Tick is next needed; zero for never.
+	// NextTick is when Tick must be called next; zero for never.
 	NextTick time.Time
 }
 
-// Plan is the course of one request.
+// Plan drives the attempts of one request.
 type Plan struct {
-	config  Config
-	budget  *Budget
-	open    map[int]bool
-	started int
-	mayRun  bool
-	done    bool
-	hedgeAt time.Time
+	config     Config
+	budget     *Budget
+	running    map[int]bool
+	launched   int
+	mayHaveRun bool
+	done       bool
+	hedgeAt    time.Time
 }
 
-// NewPlan returns the plan of a request; Begin must follow.
+// NewPlan returns the plan of a request. Begin must be called next.
 func NewPlan(c Config, b *Budget) *Plan {
-	return &Plan{config: c, budget: b, open: make(map[int]bool)}
+	return &Plan{config: c, budget: b, running: make(map[int]bool)}
 }
 
 // Begin starts the first attempt.
@@ -78,19 +78,19 @@
 }
 
 func (p *Plan) launch() Output {
-	p.started++
-	p.open[p.started] = true
-	return Output{Launch: p.started, NextTick: p.wake()}
+	p.launched++
+	p.running[p.launched] = true
+	return Output{Launch: p.launched, NextTick: p.nextTick()}
 }
 
-func (p *Plan) wake() time.Time {
+func (p *Plan) nextTick() time.Time {
 	if p.hedgeAt.IsZero() || p.config.Deadline.Before(p.hedgeAt) {
 		return p.config.Deadline
 	}
 	return p.hedgeAt
 }
 
-// Tick ends the request at its deadline and starts a hedge when it is due.
+// Tick ends the request at its deadline, and starts a hedged attempt when it is due.
 func (p *Plan) Tick(now time.Time) Output {
 	if p.done {
 		return Output{}
@@ -99,37 +99,37 @@
 		return p.giveUp()
 	}
 	if p.hedgeAt.IsZero() || now.Before(p.hedgeAt) {
-		return Output{NextTick: p.wake()}
+		return Output{NextTick: p.nextTick()}
 	}
 	p.hedgeAt = time.Time{}
-	if len(p.open) != 1 || !p.mayLaunch(now) {
-		return Output{NextTick: p.wake()}
+	if len(p.running) != 1 || !p.mayLaunch(now) {
+		return Output{NextTick: p.nextTick()}
 	}
 	return p.launch()
 }
 
 func (p *Plan) mayLaunch(now time.Time) bool {
-	return p.started < p.config.MaxAttempts && now.Before(p.config.Deadline) && p.budget.Take()
+	return p.launched < p.config.MaxAttempts && now.Before(p.config.Deadline) && p.budget.Take()
 }
 
-// HandleResult takes the end of an attempt.
-func (p *Plan) HandleResult(now time.Time, attempt int, end AttemptResult) Output {
-	if p.done || !p.open[attempt] {
+// HandleResult processes the result of an attempt.
+func (p *Plan) HandleResult(now time.Time, attempt int, result AttemptResult) Output {
+	if p.done || !p.running[attempt] {
 		return Output{}
 	}
-	delete(p.open, attempt)
-	if end == Answered {
+	delete(p.running, attempt)
+	if result == Answered {
 		out := p.finish(Ran)
 		out.Attempt = attempt
 		return out
 	}
-	if end == Failed {
-		p.mayRun = true
+	if result == Failed {
+		p.mayHaveRun = true
 	}
-	if len(p.open) > 0 {
-		return Output{NextTick: p.wake()}
+	if len(p.running) > 0 {
+		return Output{NextTick: p.nextTick()}
 	}
-	again := end == NotRun || (end == Failed && p.config.Repeatable)
+	again := result == NotRun || (result == Failed && p.config.Repeatable)
 	if again && p.mayLaunch(now) {
 		return p.launch()
 	}
@@ -138,7 +138,7 @@
 	return out
 }
 
-// Abandon ends a request whose caller has left.
+// Abandon ends a request whose caller has disconnected.
 func (p *Plan) Abandon() Output {
 	if p.done {
 		return Output{}
@@ -147,7 +147,7 @@
 }
 
 func (p *Plan) giveUp() Output {
-	if p.mayRun || len(p.open) > 0 {
+	if p.mayHaveRun || len(p.running) > 0 {
 		return p.finish(Unknown)
 	}
 	return p.finish(DidNotRun)
@@ -156,8 +156,8 @@
 func (p *Plan) finish(v Verdict) Output {
 	p.done = true
 	out := Output{Final: v}
-	for n := 1; n <= p.started; n++ {
-		if p.open[n] {
+	for n := 1; n <= p.launched; n++ {
+		if p.running[n] {
 			out.Cancel = append(out.Cancel, n)
 		}
 	}
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPlan runs requests whose attempts end in any way and checks that one
-// that may not be repeated runs once, that "did not run" is true and that the
-// retries stay within the budget.
+// TestPlan runs requests whose attempts have random results. It checks that a request that
+// is not repeatable runs at most once, that DidNotRun is only reported if the request did
+// not run, and that retries stay within the budget.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(0, 50).Draw(t, "share")
@@ -31,7 +31,7 @@
 			take := func(out Output) {
 				if out.Launch > 0 {
 					if finals > 0 || !now.Before(c.Deadline) {
-						t.Fatal("an attempt after the end")
+						t.Fatal("an attempt was launched after the request ended")
 					}
 					launched++
 					open[out.Launch] = true
@@ -41,7 +41,7 @@
 				}
 				finals++
 				if out.Final == DidNotRun && (mayRun > 0 || len(open) > 0) {
-					t.Fatal("called not run though it may have run")
+					t.Fatal("reported as not run though it may have run")
 				}
 			}
 			take(p.Begin(now))
@@ -59,7 +59,7 @@
 				}
 			}
 			if !c.Repeatable && mayRun > 1 {
-				t.Fatal("a request that may not be repeated ran twice")
+				t.Fatal("a request that is not repeatable ran twice")
 			}
 			if launched > c.MaxAttempts || finals > 1 {
 				t.Fatalf("%d attempts of %d, %d ends", launched, c.MaxAttempts, finals)
@@ -72,7 +72,7 @@
 	})
 }
 
-// ExamplePlan tries a repeatable request again after a failure.
+// ExamplePlan retries a repeatable request after a failure.
 func ExamplePlan() {
 	now := time.Unix(0, 0)
 	p := NewPlan(Config{Repeatable: true, MaxAttempts: 2, Deadline: now.Add(time.Second)}, NewBudget(10))
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// In every span of the window's length the retries are at most the share of
-// the requests of that span and the one before, and the extra ones.
+// Checks that in every span of the window's length the retries are at most the share of
+// the requests of that span and the one before, plus the extra retries.
 func TestWindowBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, extra = 10 * time.Second, 5.0
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestWindowWithoutRequestsGivesTheExtraOnes(t *testing.T) {
+func TestIdleWindowAllowsExtraRetries(t *testing.T) {
 	w := NewWindowBudget(0.2, 10*time.Second)
 	taken := 0
 	for range 20 {
@@ -57,20 +57,20 @@
 	}
 }
 
-// Asking whether there is a retry takes none.
-func TestWindowAllowsTakesNothing(t *testing.T) {
+// Allows must not consume a retry.
+func TestAllowsConsumesNothing(t *testing.T) {
 	w := NewWindowBudget(0, time.Second)
 	for range 3 {
 		if !w.Allows(0, 1.5) {
-			t.Fatal("the one retry was taken by asking")
+			t.Fatal("Allows consumed the only retry")
 		}
 	}
 	if !w.Take(0, 1.5) || w.Allows(0, 1.5) || w.Take(0, 1.5) {
-		t.Fatal("not one retry")
+		t.Fatal("want exactly one retry")
 	}
 }
 
-// Guards against more repeats than the share allows where callers move from one box to
+// Guards against more retries than the share allows when callers move from one box to
 // another.
 func TestWindowsOfTwoBoxesBoundRetriesWhenCallersMove(t *testing.T) {
 	const (
@@ -94,7 +94,7 @@
 				boxes[b].RecordFirst(at)
 			}
 			if i < moved {
-				continue // targets turn nothing away yet
+				continue // targets do not reject requests yet
 			}
 			firsts += rate
 			for range 2 * rate {
