--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -77,7 +77,7 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	updates, last := t.issuer.Targets().Since(change)
+	updates, last := t.issuer.Targets().ChangedSince(change)
 	return targetstatus.Messages(now, updates), last
 }
 
@@ -115,7 +115,7 @@
 func (t *targetLimits) named() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.issuer.Targets().Limited()
+	return t.issuer.Targets().LimitedCount()
 }
 
 // takeUpdates takes what targets told boxes and has the subscribers told.
--- a/internal/gateway/countedtarget_test.go
+++ b/internal/gateway/countedtarget_test.go
@@ -248,7 +248,7 @@
 			for _, w := range told {
 				i.Apply(time.Now(), targetstatus.UpdateOf(time.Now(), w))
 			}
-			words, last := i.Targets().Since(known[name])
+			words, last := i.Targets().ChangedSince(known[name])
 			known[name] = last
 			for _, w := range words {
 				news = append(news, w.Message(time.Now()))
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -120,9 +120,9 @@
 }
 
 func (l *targetLimits) take(u targetstatus.Update) (targetstatus.Change, bool) {
-	c, changed := l.known.Take(u)
+	c, changed := l.known.Apply(u)
 	if changed {
-		l.named.Store(int32(l.known.Limited()))
+		l.named.Store(int32(l.known.LimitedCount()))
 	}
 	return c, changed
 }
@@ -171,10 +171,10 @@
 	l.permits.forget(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known.Keep(now, lives)
+	l.known.Prune(now, lives)
 	maps.DeleteFunc(l.pending, func(life string, _ time.Time) bool { return !lives(life) })
 	l.alone.Prune(func(life string) bool { return l.known.HasLimit(life) })
-	l.named.Store(int32(l.known.Limited()))
+	l.named.Store(int32(l.known.LimitedCount()))
 }
 
 // permit returns a permit to send a request to a target, for which it may wait. The error
--- a/pkg/admission/backoff.go
+++ b/pkg/admission/backoff.go
@@ -29,7 +29,7 @@
 		if !t.isServing(now) {
 			continue
 		}
-		left := t.backOff.Left(now)
+		left := t.backOff.Remaining(now)
 		if left == 0 {
 			return 0
 		}
--- a/pkg/admission/limited.go
+++ b/pkg/admission/limited.go
@@ -26,14 +26,14 @@
 // grants at most limit * (limitShare+checkShare) * (T+limitDepth) + 2 requests and checks.
 // A new holder begins with an empty bucket once the target has told it.
 type rate struct {
-	shared    targetstatus.Shared
+	shared    targetstatus.SharedState
 	tokens    float64
 	at        time.Time
 	checkedAt time.Time
 }
 
 func newRate(target string) rate {
-	return rate{shared: targetstatus.Shared{Incarnation: target}}
+	return rate{shared: targetstatus.SharedState{Incarnation: target}}
 }
 
 // take takes an update of the target.
--- a/pkg/balance/backoff_test.go
+++ b/pkg/balance/backoff_test.go
@@ -156,7 +156,7 @@
 		b := New(Config{Box: fmt.Sprint("box", i), Zone: "z", Region: "r"})
 		b.SetTargets(now, []Target{{ID: "t", Service: "s", Zone: "z", Region: "r", Slots: 4}})
 		b.BackOff(now, "t", targetstatus.Status{BackOff: 3 * time.Second})
-		left := b.byID["t"].backOff.Left(now)
+		left := b.byID["t"].backOff.Remaining(now)
 		if left < 3*time.Second || left > 3300*time.Millisecond {
 			t.Errorf("box %d returns after %s", i, left)
 		}
--- a/pkg/balance/limited.go
+++ b/pkg/balance/limited.go
@@ -80,7 +80,7 @@
 		wait, reason = max(t.throttledUntil.Sub(now), wait), ReasonLimited
 	}
 	if !t.backOff.Allows(now, t.trying()) {
-		wait, reason = max(t.backOff.Left(now), wait), ReasonBackedOff
+		wait, reason = max(t.backOff.Remaining(now), wait), ReasonBackedOff
 	}
 	return wait, reason
 }
--- a/pkg/quota/targetissuer.go
+++ b/pkg/quota/targetissuer.go
@@ -108,7 +108,7 @@
 
 // Apply applies an update of a target and reports whether it changed anything.
 func (i *TargetIssuer) Apply(now time.Time, u targetstatus.Update) (c targetstatus.Change, changed bool) {
-	c, changed = i.registry.Take(u)
+	c, changed = i.registry.Apply(u)
 	if changed {
 		i.resize(now, u.Incarnation)
 	}
@@ -174,7 +174,7 @@
 
 // Prune removes targets that are no longer registered.
 func (i *TargetIssuer) Prune(now time.Time, isRegistered func(incarnation string) bool) {
-	i.registry.Keep(now, isRegistered)
+	i.registry.Prune(now, isRegistered)
 	for incarnation := range i.counters {
 		if !isRegistered(incarnation) {
 			delete(i.counters, incarnation)
--- a/pkg/targetstatus/backoff.go
+++ b/pkg/targetstatus/backoff.go
@@ -54,8 +54,8 @@
 // IsRecovering reports whether the target gets less than it has slots for, after a back-off.
 func (b BackOff) IsRecovering() bool { return b.recovering > 0 }
 
-// Left returns how much longer the target is to get nothing.
-func (b BackOff) Left(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
+// Remaining returns how much longer the target is to get nothing.
+func (b BackOff) Remaining(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
 
 // Allows reports whether the target may get one more request beside a number in flight.
 func (b BackOff) Allows(now time.Time, inFlight int) bool {
--- a/pkg/targetstatus/registry.go
+++ b/pkg/targetstatus/registry.go
@@ -12,7 +12,7 @@
 
 // entry is what is known of one target.
 type entry struct {
-	Shared
+	SharedState
 	// active is the limit that is used: the one that holds, or one that is lower by less
 	// than leastRaise.
 	active float64
@@ -41,17 +41,17 @@
 // LimitChanged reports whether the limit changed.
 func (c Change) LimitChanged() bool { return c.Before != c.After }
 
-// Take takes an update and reports whether it changed what is known.
-func (r *Registry) Take(u Update) (c Change, changed bool) {
+// Apply takes an update and reports whether it changed what is known.
+func (r *Registry) Apply(u Update) (c Change, changed bool) {
 	before, known := r.known[u.Incarnation]
 	if !known {
 		if !u.HasLimit() && !u.Leaving {
 			return c, false
 		}
-		before = entry{Shared: Shared{Incarnation: u.Incarnation}, active: NoLimit}
+		before = entry{SharedState: SharedState{Incarnation: u.Incarnation}, active: NoLimit}
 	}
 	next := before
-	next.Shared = before.With(u)
+	next.SharedState = before.With(u)
 	next.active = activeLimit(before.active, next.Limit())
 	if u.Received.After(next.at) {
 		next.at = u.Received
@@ -110,8 +110,8 @@
 	return []Update{{Incarnation: incarnation, Limit: NoLimit}}
 }
 
-// Limited returns how many targets name limits.
-func (r *Registry) Limited() (n int) {
+// LimitedCount returns how many targets name limits.
+func (r *Registry) LimitedCount() (n int) {
 	for _, e := range r.known {
 		if e.active < NoLimit {
 			n++
@@ -120,8 +120,8 @@
 	return n
 }
 
-// Leaving returns how many targets reported that they leave.
-func (r *Registry) Leaving() (n int) {
+// LeavingCount returns how many targets reported that they leave.
+func (r *Registry) LeavingCount() (n int) {
 	for _, e := range r.known {
 		if e.Leaving {
 			n++
@@ -130,9 +130,9 @@
 	return n
 }
 
-// Since returns updates on the targets of which something changed after a change, and the
+// ChangedSince returns updates on the targets of which something changed after a change, and the
 // number of the last one.
-func (r *Registry) Since(change uint64) (updates []Update, last uint64) {
+func (r *Registry) ChangedSince(change uint64) (updates []Update, last uint64) {
 	if change >= r.changes {
 		return nil, r.changes
 	}
@@ -152,9 +152,9 @@
 	takenBackMemory = 10 * time.Minute
 )
 
-// Keep forgets targets that are not registered any more, and limits that were taken back so
+// Prune forgets targets that are not registered any more, and limits that were taken back so
 // long ago that no answer of before is in flight.
-func (r *Registry) Keep(now time.Time, isRegistered func(incarnation string) bool) {
+func (r *Registry) Prune(now time.Time, isRegistered func(incarnation string) bool) {
 	for incarnation, e := range r.known {
 		ago := now.Sub(e.at)
 		gone := !isRegistered(incarnation) && ago > registrationTime
--- a/pkg/targetstatus/shared.go
+++ b/pkg/targetstatus/shared.go
@@ -55,13 +55,13 @@
 // maxCandidates bounds the limits of one target of which each may be the latest.
 const maxCandidates = 8
 
-// Shared is what the updates of one incarnation lead to, in whatever order they come and
+// SharedState is what the updates of one incarnation lead to, in whatever order they come and
 // however often. It is a join of them: associative, commutative and idempotent.
 //
 // An update is superseded by another one whose request was sent after its answer had come.
 // Of those that are not superseded each may be the latest one; the lowest limit of them
 // holds.
-type Shared struct {
+type SharedState struct {
 	Incarnation string
 	Leaving     bool
 	// sent is the latest time at which a request was sent whose answer speaks of the limit:
@@ -73,7 +73,7 @@
 }
 
 // With returns what is known once a further update has come.
-func (s Shared) With(u Update) Shared {
+func (s SharedState) With(u Update) SharedState {
 	s.Leaving = s.Leaving || u.Leaving
 	if u.Sent.After(s.sent) {
 		s.sent = u.Sent
@@ -117,7 +117,7 @@
 }
 
 // Limit returns the limit that holds, NoLimit for none.
-func (s Shared) Limit() float64 {
+func (s SharedState) Limit() float64 {
 	if len(s.limits) == 0 {
 		return NoLimit
 	}
@@ -125,7 +125,7 @@
 }
 
 // Updates returns updates that lead to the same: what another process is told.
-func (s Shared) Updates() []Update {
+func (s SharedState) Updates() []Update {
 	if len(s.limits) == 0 {
 		return []Update{{Incarnation: s.Incarnation, Limit: NoLimit, Leaving: s.Leaving, Sent: s.sent, Received: s.sent}}
 	}
--- a/pkg/targetstatus/shared_test.go
+++ b/pkg/targetstatus/shared_test.go
@@ -19,7 +19,7 @@
 func activeAfter(updates ...Update) float64 {
 	r := NewRegistry()
 	for _, u := range updates {
-		r.Take(u)
+		r.Apply(u)
 	}
 	return r.Limit(oneTarget)
 }
@@ -81,7 +81,7 @@
 	book := NewRegistry()
 	changes := 0
 	take := func(at time.Duration, perSecond float64) {
-		if _, changed := book.Take(said(perSecond, at, at+1)); changed {
+		if _, changed := book.Apply(said(perSecond, at, at+1)); changed {
 			changes++
 		}
 	}
@@ -120,7 +120,7 @@
 		order := rapid.Permutation(answers).Draw(t, "order")
 		book := NewRegistry()
 		for _, a := range order {
-			book.Take(a.Update)
+			book.Apply(a.Update)
 		}
 		if got := book.Limit(oneTarget); got > last.Limit {
 			t.Fatalf("%v a second is known, the target said %v last", got, last.Limit)
@@ -132,23 +132,23 @@
 // whose request was sent after the last answer that named it.
 func TestLimitThatIsTakenBackIsForgotten(t *testing.T) {
 	book := NewRegistry()
-	book.Take(said(5, 10, 20))
-	if _, changed := book.Take(said(NoLimit, 15, 30)); changed {
+	book.Apply(said(5, 10, 20))
+	if _, changed := book.Apply(said(NoLimit, 15, 30)); changed {
 		t.Error("taken back by an answer that ran beside")
 	}
-	c, changed := book.Take(said(NoLimit, 20, 40))
-	if !changed || c.Before != 5 || c.After != NoLimit || book.Limited() != 0 {
+	c, changed := book.Apply(said(NoLimit, 20, 40))
+	if !changed || c.Before != 5 || c.After != NoLimit || book.LimitedCount() != 0 {
 		t.Errorf("got %+v, changed %v", c, changed)
 	}
-	if _, changed := book.Take(said(5, 1, 19)); changed {
+	if _, changed := book.Apply(said(5, 1, 19)); changed {
 		t.Error("named again by an answer of before")
 	}
-	words, last := book.Since(0)
+	words, last := book.ChangedSince(0)
 	if len(words) != 1 || words[0].HasLimit() || last != 2 {
 		t.Errorf("subscribers are told %+v, %d", words, last)
 	}
-	book.Keep(time.Time{}.Add(time.Hour), func(string) bool { return true })
-	if words, _ := book.Since(0); len(words) != 0 {
+	book.Prune(time.Time{}.Add(time.Hour), func(string) bool { return true })
+	if words, _ := book.ChangedSince(0); len(words) != 0 {
 		t.Errorf("still known after an hour: %+v", words)
 	}
 }
@@ -190,7 +190,7 @@
 func TestUpdatesAreJoined(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := drawnUpdates(t)
-		var once, often, relayed Shared
+		var once, often, relayed SharedState
 		for _, u := range updates {
 			once = once.With(u)
 		}
@@ -199,7 +199,7 @@
 			often = often.With(u)
 		}
 		cut := rapid.IntRange(0, len(again)).Draw(t, "cut")
-		var first, second Shared
+		var first, second SharedState
 		for _, u := range again[:cut] {
 			first = first.With(u)
 		}
@@ -209,7 +209,7 @@
 		for _, u := range append(second.Updates(), first.Updates()...) {
 			relayed = relayed.With(u)
 		}
-		for name, s := range map[string]Shared{"once": once, "often": often, "relayed": relayed} {
+		for name, s := range map[string]SharedState{"once": once, "often": often, "relayed": relayed} {
 			if got, want := s.Limit(), lowestCandidate(updates); got != want {
 				t.Fatalf("%s: limit %v, want %v", name, got, want)
 			}
@@ -222,7 +222,7 @@
 
 // Guards against a bound on what is remembered that raises a limit.
 func TestManyLimitsAtOnceAreBounded(t *testing.T) {
-	var s Shared
+	var s SharedState
 	for i := range 100 {
 		s = s.With(said(float64(1+i), 0, time.Duration(10+i)))
 	}
@@ -240,17 +240,17 @@
 // Guards against a target that is revived by an answer or a message of before.
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	r := NewRegistry()
-	if c, changed := r.Take(Update{Incarnation: oneTarget, Leaving: true}.WithoutLimit()); !changed || !c.Leaving || c.LimitChanged() {
+	if c, changed := r.Apply(Update{Incarnation: oneTarget, Leaving: true}.WithoutLimit()); !changed || !c.Leaving || c.LimitChanged() {
 		t.Errorf("got %+v, %v", c, changed)
 	}
-	if _, changed := r.Take(said(NoLimit, 50, 60)); changed || !r.IsLeaving(oneTarget) {
+	if _, changed := r.Apply(said(NoLimit, 50, 60)); changed || !r.IsLeaving(oneTarget) {
 		t.Error("an answer without it takes it back")
 	}
-	updates, _ := r.Since(0)
+	updates, _ := r.ChangedSince(0)
 	relayed := NewRegistry()
-	relayed.Take(said(5, 1, 2))
+	relayed.Apply(said(5, 1, 2))
 	for _, u := range updates {
-		relayed.Take(UpdateOf(time.Time{}.Add(time.Hour), u.Message(time.Time{}.Add(time.Hour))))
+		relayed.Apply(UpdateOf(time.Time{}.Add(time.Hour), u.Message(time.Time{}.Add(time.Hour))))
 	}
 	if !relayed.IsLeaving(oneTarget) || relayed.Limit(oneTarget) != 5 {
 		t.Errorf("relayed: %v, limit %v", relayed.IsLeaving(oneTarget), relayed.Limit(oneTarget))
--- a/pkg/targetstatus/status.go
+++ b/pkg/targetstatus/status.go
@@ -28,8 +28,8 @@
 	// Load holds if HasLoad. It is about all boxes and fades within seconds.
 	Load    Load
 	HasLoad bool
-	// ColdLeft is how much longer the target is cold; zero if it does not say so.
-	ColdLeft time.Duration
+	// WarmupRemaining is how much longer the target is cold; zero if it does not say so.
+	WarmupRemaining time.Duration
 	// Limit is how many requests a second the target takes from all boxes together, if
 	// HasLimit. It ends with an answer that has none.
 	Limit    float64
@@ -41,8 +41,8 @@
 	BackOff time.Duration
 	// limitUnreadable tells that a limit was named that could not be read.
 	limitUnreadable bool
-	// Unread are the names of headers that could not be read. Their fields are empty.
-	Unread []string
+	// Unparsed are the names of headers that could not be read. Their fields are empty.
+	Unparsed []string
 }
 
 // ReportsLimit reports whether the answer tells what the limit is, none included. A rejection
@@ -62,14 +62,14 @@
 // Headers names the headers in which targets say these things, and reads those that have a
 // format of their own; ok is false if they can't be read.
 type Headers struct {
-	NotRun   string
-	Load     string
-	ColdLeft string
-	Limit    string
-	Leaving  string
+	NotRun          string
+	Load            string
+	WarmupRemaining string
+	Limit           string
+	Leaving         string
 
-	ParseLoad func(text string) (l Load, ok bool)
-	ParseCold func(text string) (left time.Duration, ok bool)
+	ParseLoad   func(text string) (l Load, ok bool)
+	ParseWarmup func(text string) (left time.Duration, ok bool)
 }
 
 // Decode returns what an answer with a status code says of its target. The time of day is
@@ -87,10 +87,10 @@
 		s.Load, s.HasLoad = h.ParseLoad(text)
 		s.logUnread(h.Load, s.HasLoad)
 	}
-	if text := header.Get(h.ColdLeft); text != "" {
-		left, ok := h.ParseCold(text)
-		s.ColdLeft = max(left, 0)
-		s.logUnread(h.ColdLeft, ok)
+	if text := header.Get(h.WarmupRemaining); text != "" {
+		left, ok := h.ParseWarmup(text)
+		s.WarmupRemaining = max(left, 0)
+		s.logUnread(h.WarmupRemaining, ok)
 	}
 	if text := header.Get(h.Limit); text != "" {
 		s.Limit, s.HasLimit = ParseLimit(text)
@@ -112,6 +112,6 @@
 
 func (s *Status) logUnread(header string, ok bool) {
 	if !ok {
-		s.Unread = append(s.Unread, header)
+		s.Unparsed = append(s.Unparsed, header)
 	}
 }
--- a/pkg/targetstatus/status_test.go
+++ b/pkg/targetstatus/status_test.go
@@ -14,9 +14,9 @@
 
 func headers() targetstatus.Headers {
 	return targetstatus.Headers{
-		NotRun: "Not-Run", Load: "Load", ColdLeft: "Cold", Limit: "Limit", Leaving: "Leaving",
+		NotRun: "Not-Run", Load: "Load", WarmupRemaining: "Cold", Limit: "Limit", Leaving: "Leaving",
 		ParseLoad: targetstatus.ParseLoad,
-		ParseCold: func(text string) (time.Duration, bool) {
+		ParseWarmup: func(text string) (time.Duration, bool) {
 			left, err := time.ParseDuration(text)
 			return left, err == nil
 		},
@@ -47,24 +47,24 @@
 	}{
 		"nothing":                {ok, nil, targetstatus.Status{}},
 		"load":                   {ok, map[string]string{"Load": "1, 2,3"}, targetstatus.Status{Load: targetstatus.Load{Running: 1, Waiting: 2, Slots: 3}, HasLoad: true}},
-		"load that is garbage":   {ok, map[string]string{"Load": "1,2"}, targetstatus.Status{Unread: []string{"Load"}}},
-		"cold":                   {ok, map[string]string{"Cold": "2s"}, targetstatus.Status{ColdLeft: 2 * time.Second}},
+		"load that is garbage":   {ok, map[string]string{"Load": "1,2"}, targetstatus.Status{Unparsed: []string{"Load"}}},
+		"cold":                   {ok, map[string]string{"Cold": "2s"}, targetstatus.Status{WarmupRemaining: 2 * time.Second}},
 		"cold, negative":         {ok, map[string]string{"Cold": "-2s"}, targetstatus.Status{}},
 		"limit":                  {ok, map[string]string{"Limit": "2.5"}, targetstatus.Status{Limit: 2.5, HasLimit: true}},
-		"limit that is garbage":  {ok, map[string]string{"Limit": "many"}, targetstatus.Status{Unread: []string{"Limit"}}},
+		"limit that is garbage":  {ok, map[string]string{"Limit": "many"}, targetstatus.Status{Unparsed: []string{"Limit"}}},
 		"leaving":                {ok, map[string]string{"Leaving": "1"}, targetstatus.Status{Leaving: true}},
 		"not leaving":            {ok, map[string]string{"Leaving": "0"}, targetstatus.Status{}},
-		"leaving, garbage":       {ok, map[string]string{"Leaving": "soon"}, targetstatus.Status{Unread: []string{"Leaving"}}},
+		"leaving, garbage":       {ok, map[string]string{"Leaving": "soon"}, targetstatus.Status{Unparsed: []string{"Leaving"}}},
 		"leaving, and rejected":  {unavailable, map[string]string{"Leaving": "1", "Not-Run": "1"}, targetstatus.Status{Leaving: true, NotRun: true}},
 		"of another target":      {http.StatusMisdirectedRequest, map[string]string{"Load": "1,2,3", "Limit": "1", "Leaving": "1", "Retry-After": "3"}, targetstatus.Status{NotRun: true}},
 		"back-off":               {unavailable, map[string]string{"Retry-After": "3"}, targetstatus.Status{BackOff: 3 * time.Second}},
 		"back-off, not run":      {unavailable, map[string]string{"Retry-After": "3", "Not-Run": "1"}, targetstatus.Status{BackOff: 3 * time.Second, NotRun: true}},
 		"back-off, fraction":     {unavailable, map[string]string{"Retry-After": " 0.25 "}, targetstatus.Status{BackOff: 250 * time.Millisecond}},
 		"back-off of nothing":    {unavailable, map[string]string{"Retry-After": "0"}, targetstatus.Status{}},
-		"back-off, negative":     {unavailable, map[string]string{"Retry-After": "-1"}, targetstatus.Status{Unread: []string{"Retry-After"}}},
-		"back-off, garbage":      {unavailable, map[string]string{"Retry-After": "later"}, targetstatus.Status{Unread: []string{"Retry-After"}}},
-		"back-off, no number":    {unavailable, map[string]string{"Retry-After": "NaN"}, targetstatus.Status{Unread: []string{"Retry-After"}}},
-		"back-off, endless":      {unavailable, map[string]string{"Retry-After": "Inf"}, targetstatus.Status{Unread: []string{"Retry-After"}}},
+		"back-off, negative":     {unavailable, map[string]string{"Retry-After": "-1"}, targetstatus.Status{Unparsed: []string{"Retry-After"}}},
+		"back-off, garbage":      {unavailable, map[string]string{"Retry-After": "later"}, targetstatus.Status{Unparsed: []string{"Retry-After"}}},
+		"back-off, no number":    {unavailable, map[string]string{"Retry-After": "NaN"}, targetstatus.Status{Unparsed: []string{"Retry-After"}}},
+		"back-off, endless":      {unavailable, map[string]string{"Retry-After": "Inf"}, targetstatus.Status{Unparsed: []string{"Retry-After"}}},
 		"back-off of a day":      {unavailable, map[string]string{"Retry-After": "86400"}, targetstatus.Status{BackOff: 24 * time.Hour}},
 		"back-off, very long":    {unavailable, map[string]string{"Retry-After": "1e300"}, targetstatus.Status{BackOff: 100 * 365 * 24 * time.Hour}},
 		"back-off by date":       {unavailable, map[string]string{"Retry-After": "Thu, 03 Dec 2026 10:00:07 GMT"}, targetstatus.Status{BackOff: 7 * time.Second}},
