--- a/pkg/targetstatus/backoff.go
+++ b/pkg/targetstatus/backoff.go
@@ -3,72 +3,75 @@
 import "time"
 
 const (
-	// backOffJitter is the part of a back-off by which it is prolonged at most, and
-	// longestJitter bounds that. Boxes that a target told at one moment return apart.
+	// backOffJitter is the fraction by which a back-off is extended at most, and maxJitter an
+	// absolute bound on the extension. Boxes that a target told to back off at the same moment
+	// return at different times.
 	backOffJitter = 0.1
-	longestJitter = time.Second
-	// firstRecovering is how many requests at once a target gets after a back-off, doubled
-	// with each one that it runs.
-	firstRecovering = 1
+	maxJitter     = time.Second
+	// initialRecoveryLimit is how many concurrent requests a target gets after a back-off.
+	// The number doubles with each request that it runs.
+	initialRecoveryLimit = 1
 )
 
-// Jitter returns by how much a back-off is prolonged; turn is between 0 and 1.
+// Jitter returns by how much to extend a back-off; turn is between 0 and 1.
 func Jitter(wait time.Duration, turn float64) time.Duration {
-	most := min(time.Duration(backOffJitter*float64(wait)), longestJitter)
-	return time.Duration(turn * float64(most))
+	maxExtension := min(time.Duration(backOffJitter*float64(wait)), maxJitter)
+	return time.Duration(turn * float64(maxExtension))
 }
 
-// BackOff is what became of a target's requests that this box send it nothing for a time.
-// Of several the one that ends last counts, in whatever order they come; an answer of
-// another kind ends none. The zero value is that of a target that asked for none.
+// BackOff is the state of a target's requests that this box pause sending. Of several
+// requests the one that ends last counts, in whatever order they arrive; a response of
+// another kind ends none. The zero value means that the target asked for no back-off.
 type BackOff struct {
-	until      time.Time
-	recovering int
+	until         time.Time
+	recoveryLimit int
 }
 
-// With returns what holds once the target asked for a back-off until a time.
+// With returns the state after the target asked for a back-off until a time.
 func (b BackOff) With(until time.Time) BackOff {
 	if until.After(b.until) {
 		b.until = until
 	}
-	b.recovering = firstRecovering
+	b.recoveryLimit = initialRecoveryLimit
 	return b
 }
 
-// WithRun returns what holds once the target ran a request, of as many at once as it has
-// slots.
+// WithRun returns the state after the target ran a request; slots is how many it runs
+// concurrently.
 func (b BackOff) WithRun(now time.Time, slots int) BackOff {
-	if b.recovering == 0 || b.IsActive(now) {
+	if b.recoveryLimit == 0 || b.IsActive(now) {
 		return b
 	}
-	b.recovering *= 2
-	if b.recovering > slots {
-		b.recovering = 0
+	b.recoveryLimit *= 2
+	if b.recoveryLimit > slots {
+		b.recoveryLimit = 0
 	}
 	return b
 }
 
-// IsActive reports whether the target is to get nothing.
+// IsActive reports whether the target must get no requests.
 func (b BackOff) IsActive(now time.Time) bool { return now.Before(b.until) }
 
-// IsRecovering reports whether the target gets less than it has slots for, after a back-off.
-func (b BackOff) IsRecovering() bool { return b.recovering > 0 }
+// IsRecovering reports whether the target gets fewer requests than it has slots, after a
+// back-off.
+func (b BackOff) IsRecovering() bool { return b.recoveryLimit > 0 }
 
-// Remaining returns how much longer the target is to get nothing.
+// Remaining returns how much longer the target must get no requests.
 func (b BackOff) Remaining(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
 
-// Allows reports whether the target may get one more request beside a number in flight.
+// Allows reports whether the target may get one more request in addition to those in
+// flight.
 func (b BackOff) Allows(now time.Time, inFlight int) bool {
-	return !b.IsActive(now) && (b.recovering == 0 || inFlight < b.recovering)
+	return !b.IsActive(now) && (b.recoveryLimit == 0 || inFlight < b.recoveryLimit)
 }
 
-// Limit returns how many of a number of requests the target may have in flight.
+// Limit returns how many requests the target may have in flight, at most slots.
 func (b BackOff) Limit(now time.Time, slots int) int {
 	switch {
 	case b.IsActive(now):
 		return 0
-	case b.recovering > 0:
-		return min(slots, b.recovering)
+	case b.recoveryLimit > 0:
+		return min(slots, b.recoveryLimit)
 	}
 	return slots
 }
--- a/pkg/targetstatus/message.go
+++ b/pkg/targetstatus/message.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// relaySlack is how much earlier than told a relayed update may have been sent: it
-	// waited on its way, which its ages don't count.
-	relaySlack = 300 * time.Millisecond
-	// longestAge bounds the ages that are told. It is longer than any request is in flight.
-	longestAge = time.Hour
+	// maxRelayDelay is how much earlier than reported a relayed update may have been sent:
+	// its ages don't include the time that the message was in transit.
+	maxRelayDelay = 300 * time.Millisecond
+	// maxAge bounds the ages in messages. It is longer than any request is in flight.
+	maxAge = time.Hour
 )
 
-// Message returns an update as it is told to another process.
+// Message converts an update to a message for another process.
 func (u Update) Message(now time.Time) *wire.TargetLimit {
 	m := &wire.TargetLimit{
 		Life: u.Incarnation, Limited: u.HasLimit(), Leaving: u.Leaving,
@@ -27,13 +27,13 @@
 }
 
 func ageMilli(now, at time.Time) int64 {
-	if at.Before(now.Add(-longestAge)) {
-		return longestAge.Milliseconds()
+	if at.Before(now.Add(-maxAge)) {
+		return maxAge.Milliseconds()
 	}
 	return now.Sub(at).Milliseconds()
 }
 
-// Messages returns updates as they are told to another process.
+// Messages converts updates to messages for another process.
 func Messages(now time.Time, updates []Update) []*wire.TargetLimit {
 	out := make([]*wire.TargetLimit, 0, len(updates))
 	for _, u := range updates {
@@ -42,11 +42,11 @@
 	return out
 }
 
-// UpdateOf returns an update that another process told.
+// UpdateOf converts a message of another process to an update.
 func UpdateOf(now time.Time, m *wire.TargetLimit) Update {
 	u := Update{
 		Incarnation: m.GetLife(), Limit: NoLimit, Leaving: m.GetLeaving(),
-		Sent:     now.Add(-time.Duration(max(m.GetSentAgoMilli(), 0))*time.Millisecond - relaySlack),
+		Sent:     now.Add(-time.Duration(max(m.GetSentAgoMilli(), 0))*time.Millisecond - maxRelayDelay),
 		Received: now.Add(-time.Duration(max(m.GetHeardAgoMilli(), 0)) * time.Millisecond),
 	}
 	if m.GetLimited() {
--- a/pkg/targetstatus/parse.go
+++ b/pkg/targetstatus/parse.go
@@ -10,22 +10,22 @@
 
 const (
 	retryAfter = "Retry-After"
-	// longestBackOff keeps the sum of a time and a back-off within what time.Time holds.
-	longestBackOff = 100 * 365 * 24 * time.Hour
+	// maxBackOff keeps the sum of a time and a back-off within the range of time.Time.
+	maxBackOff = 100 * 365 * 24 * time.Hour
 )
 
-// ParseRetryAfter reads the Retry-After of an answer: seconds, fractions too, or a date. A
-// time that is over is zero.
+// ParseRetryAfter parses the Retry-After header of a response: seconds, with or without a
+// fraction, or a date. A date in the past gives zero.
 func ParseRetryAfter(header http.Header, timeOfDay func() time.Time) (wait time.Duration, ok bool) {
 	return parseRetryAfter(header.Get(retryAfter), header.Get("Date"), timeOfDay)
 }
 
-// parseRetryAfter takes a date as relative to the answer's own date, as the clocks of the
-// target and the box may differ.
+// parseRetryAfter interprets a date relative to the Date of the response, because the
+// clocks of the target and the box may differ.
 func parseRetryAfter(text, date string, timeOfDay func() time.Time) (wait time.Duration, ok bool) {
 	text = strings.TrimSpace(text)
 	if seconds, err := strconv.ParseFloat(text, 64); err == nil {
-		return backOffOf(seconds)
+		return backOffFromSeconds(seconds)
 	}
 	until, err := http.ParseTime(text)
 	if err != nil {
@@ -35,29 +35,29 @@
 	if err != nil {
 		answered = timeOfDay()
 	}
-	return min(max(until.Sub(answered), 0), longestBackOff), true
+	return min(max(until.Sub(answered), 0), maxBackOff), true
 }
 
-func backOffOf(seconds float64) (wait time.Duration, ok bool) {
+func backOffFromSeconds(seconds float64) (wait time.Duration, ok bool) {
 	if math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
 		return 0, false
 	}
-	if seconds >= longestBackOff.Seconds() {
-		return longestBackOff, true
+	if seconds >= maxBackOff.Seconds() {
+		return maxBackOff, true
 	}
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
-// ParseLimit reads the limit that a target names: requests a second, a decimal number.
+// ParseLimit parses the limit of a target: requests per second, a decimal number.
 func ParseLimit(text string) (perSecond float64, ok bool) {
 	n, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	return n, err == nil && n >= 0 && !math.IsInf(n, 0)
 }
 
-// loadFields are requests running, requests waiting and slots.
+// loadFields is the number of fields of a load: requests running, requests waiting, slots.
 const loadFields = 3
 
-// ParseLoad reads a load: requests running, requests waiting and slots, separated by
+// ParseLoad parses a load: requests running, requests waiting and slots, separated by
 // commas.
 func ParseLoad(text string) (Load, bool) {
 	parts := strings.Split(text, ",")
--- a/pkg/targetstatus/registry.go
+++ b/pkg/targetstatus/registry.go
@@ -2,46 +2,47 @@
 
 import "time"
 
-// Registry is what a process knows of targets from their answers, to itself and to others.
-// It is not safe for concurrent use.
+// Registry stores what targets reported about themselves, in responses to this process
+// and to others. It is not safe for concurrent use.
 type Registry struct {
 	known map[string]entry
 	// changes counts the changes.
 	changes uint64
 }
 
-// entry is what is known of one target.
+// entry is the state of one target.
 type entry struct {
 	SharedState
-	// active is the limit that is used: the one that holds, or one that is lower by less
-	// than leastRaise.
+	// active is the limit in use: the current one, or a lower one from which the current one
+	// differs by less than minRaise.
 	active float64
-	// change is the number of the change that led to it, and at when the last update had
-	// come.
-	change uint64
-	at     time.Time
+	// lastChange is the number of the last change of this entry, and receivedAt the time at
+	// which the last update was received.
+	lastChange uint64
+	receivedAt time.Time
 }
 
-// leastRaise is the part by which a limit must rise to count as changed. A target that
-// computes its limit anew for each answer would have each told to all boxes.
-const leastRaise = 0.1
+// minRaise is the fraction by which a limit must rise to count as changed. Otherwise a
+// target that recalculates its limit for each response would have each value sent to all
+// boxes.
+const minRaise = 0.1
 
-// NewRegistry returns a registry of no target.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{known: make(map[string]entry)} }
 
-// Change is a limit that was named, changed or taken back, or a target that leaves.
+// Change is a new, changed or withdrawn limit, or a target that is leaving.
 type Change struct {
 	Incarnation string
 	Before      float64
 	After       float64
-	// Leaving tells that it became known that the target leaves.
+	// Leaving is true if it became known that the target is leaving.
 	Leaving bool
 }
 
 // LimitChanged reports whether the limit changed.
 func (c Change) LimitChanged() bool { return c.Before != c.After }
 
-// Apply takes an update and reports whether it changed what is known.
+// Apply applies an update and reports whether it changed anything.
 func (r *Registry) Apply(u Update) (c Change, changed bool) {
 	before, known := r.known[u.Incarnation]
 	if !known {
@@ -53,38 +54,38 @@
 	next := before
 	next.SharedState = before.With(u)
 	next.active = activeLimit(before.active, next.Limit())
-	if u.Received.After(next.at) {
-		next.at = u.Received
+	if u.Received.After(next.receivedAt) {
+		next.receivedAt = u.Received
 	}
 	c = Change{u.Incarnation, before.active, next.active, next.Leaving && !before.Leaving}
 	changed = c.LimitChanged() || c.Leaving
 	if changed {
 		r.changes++
-		next.change = r.changes
+		next.lastChange = r.changes
 	}
 	r.known[u.Incarnation] = next
 	return c, changed
 }
 
-// updates returns updates that lead another process to what is known.
+// updates returns updates that bring another process to the same state.
 func (e entry) updates() []Update {
 	out := e.Updates()
 	for i := range out {
 		if !out[i].HasLimit() {
-			out[i].Received = e.at
+			out[i].Received = e.receivedAt
 		}
 	}
 	return out
 }
 
-func activeLimit(active, holds float64) float64 {
-	if holds > active && holds <= active*(1+leastRaise) {
+func activeLimit(active, current float64) float64 {
+	if current > active && current <= active*(1+minRaise) {
 		return active
 	}
-	return holds
+	return current
 }
 
-// Limit returns the limit of a target, NoLimit for none.
+// Limit returns the limit of a target, or NoLimit.
 func (r *Registry) Limit(incarnation string) float64 {
 	if e, ok := r.known[incarnation]; ok {
 		return e.active
@@ -92,17 +93,17 @@
 	return NoLimit
 }
 
-// HasLimit reports whether a target names a limit.
+// HasLimit reports whether a target has a limit.
 func (r *Registry) HasLimit(incarnation string) bool { return r.Limit(incarnation) < NoLimit }
 
-// IsLeaving reports whether a target reported that it leaves.
+// IsLeaving reports whether a target reported that it is leaving.
 func (r *Registry) IsLeaving(incarnation string) bool { return r.known[incarnation].Leaving }
 
-// ReceivedAt returns when the last update on a target had come; zero for none.
-func (r *Registry) ReceivedAt(incarnation string) time.Time { return r.known[incarnation].at }
+// ReceivedAt returns when the last update about a target was received; zero for none.
+func (r *Registry) ReceivedAt(incarnation string) time.Time { return r.known[incarnation].receivedAt }
 
-// Updates returns updates that lead another process to what is known of a target; one
-// without a limit for a target that has reported nothing.
+// Updates returns updates that bring another process to the same state of a target. For a
+// target that reported nothing it is one update without a limit.
 func (r *Registry) Updates(incarnation string) []Update {
 	if e, ok := r.known[incarnation]; ok {
 		return e.updates()
@@ -110,7 +111,7 @@
 	return []Update{{Incarnation: incarnation, Limit: NoLimit}}
 }
 
-// LimitedCount returns how many targets name limits.
+// LimitedCount returns the number of targets with limits.
 func (r *Registry) LimitedCount() (n int) {
 	for _, e := range r.known {
 		if e.active < NoLimit {
@@ -120,7 +121,7 @@
 	return n
 }
 
-// LeavingCount returns how many targets reported that they leave.
+// LeavingCount returns the number of targets that reported that they are leaving.
 func (r *Registry) LeavingCount() (n int) {
 	for _, e := range r.known {
 		if e.Leaving {
@@ -130,14 +131,14 @@
 	return n
 }
 
-// ChangedSince returns updates on the targets of which something changed after a change, and the
-// number of the last one.
+// ChangedSince returns updates about the targets that changed after the change with the
+// given number, and the number of the last change.
 func (r *Registry) ChangedSince(change uint64) (updates []Update, last uint64) {
 	if change >= r.changes {
 		return nil, r.changes
 	}
 	for _, e := range r.known {
-		if e.change > change {
+		if e.lastChange > change {
 			updates = append(updates, e.updates()...)
 		}
 	}
@@ -145,21 +146,22 @@
 }
 
 const (
-	// registrationTime is within how long a target that another box has met is registered
-	// here too.
-	registrationTime = 10 * time.Second
-	// takenBackMemory is longer than any request is in flight.
-	takenBackMemory = 10 * time.Minute
+	// registrationDelay is the time within which a target that another box has used is
+	// registered here as well.
+	registrationDelay = 10 * time.Second
+	// withdrawnRetention is how long a withdrawn limit is remembered. It is longer than any
+	// request is in flight.
+	withdrawnRetention = 10 * time.Minute
 )
 
-// Prune forgets targets that are not registered any more, and limits that were taken back so
-// long ago that no answer of before is in flight.
+// Prune removes targets that are no longer registered, and limits that were withdrawn so
+// long ago that no earlier response can still arrive.
 func (r *Registry) Prune(now time.Time, isRegistered func(incarnation string) bool) {
 	for incarnation, e := range r.known {
-		ago := now.Sub(e.at)
-		gone := !isRegistered(incarnation) && ago > registrationTime
-		takenBack := e.active == NoLimit && !e.Leaving && ago > takenBackMemory
-		if gone || takenBack {
+		age := now.Sub(e.receivedAt)
+		gone := !isRegistered(incarnation) && age > registrationDelay
+		withdrawn := e.active == NoLimit && !e.Leaving && age > withdrawnRetention
+		if gone || withdrawn {
 			delete(r.known, incarnation)
 		}
 	}
--- a/pkg/targetstatus/shared.go
+++ b/pkg/targetstatus/shared.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// NoLimit is the limit of a target that names none.
+// NoLimit is the limit of a target that reports none.
 var NoLimit = math.Inf(1)
 
-// Update is what one answer of one incarnation of a target says to all boxes. The target
-// sent it after Sent, when the request that it answered was sent, and before Received, when
-// the answer had come.
+// Update is what one response of an incarnation of a target tells all boxes. The target
+// sent it after Sent, the time at which the request was sent, and before Received, the
+// time at which the response had arrived.
 type Update struct {
 	Incarnation string
-	// Limit is in requests a second, all boxes together.
+	// Limit is in requests per second, for all boxes together.
 	Limit float64
-	// Leaving tells that the target leaves.
+	// Leaving is true if the target is leaving.
 	Leaving  bool
 	Sent     time.Time
 	Received time.Time
 }
 
-// Update returns what an answer of an incarnation says to all boxes.
+// Update returns what a response of an incarnation tells all boxes.
 func (s Status) Update(incarnation string, sent, received time.Time) Update {
 	u := Update{Incarnation: incarnation, Limit: NoLimit, Leaving: s.Leaving, Sent: sent, Received: received}
 	if s.HasLimit {
@@ -35,18 +35,18 @@
 	return u
 }
 
-// HasLimit reports whether the target named a limit.
+// HasLimit reports whether the target reported a limit.
 func (u Update) HasLimit() bool { return u.Limit < NoLimit }
 
-// WithoutLimit returns the update with nothing on the limit, neither one nor that there is
-// none: an update that is older than all others takes none of them back.
+// WithoutLimit returns the update without any statement on the limit, neither a value nor
+// that there is none: an update that is older than all others withdraws none of them.
 func (u Update) WithoutLimit() Update {
 	u.Limit = NoLimit
 	u.Sent = time.Time{}
 	return u
 }
 
-// candidateLimit is a limit and when the last answer that named it had come.
+// candidateLimit is a limit and the time at which the last response with it arrived.
 type candidateLimit struct {
 	perSecond float64
 	received  time.Time
@@ -55,24 +55,25 @@
 // maxCandidates bounds the limits of one target of which each may be the latest.
 const maxCandidates = 8
 
-// SharedState is what the updates of one incarnation lead to, in whatever order they come and
-// however often. It is a join of them: associative, commutative and idempotent.
+// SharedState is the merged result of the updates of one incarnation. The merge is
+// associative, commutative and idempotent, so that the result does not depend on the order
+// of the updates or on duplicates.
 //
-// An update is superseded by another one whose request was sent after its answer had come.
-// Of those that are not superseded each may be the latest one; the lowest limit of them
-// holds.
+// An update is superseded by another one whose request was sent after the response with
+// the first had arrived. Each of those that are not superseded may be the latest one; the
+// lowest of their limits applies.
 type SharedState struct {
 	Incarnation string
 	Leaving     bool
-	// sent is the latest time at which a request was sent whose answer speaks of the limit:
-	// what had come by then is superseded.
+	// sent is the latest time at which a request was sent whose response states the limit.
+	// Responses that had arrived by then are superseded.
 	sent time.Time
-	// limits have come after sent. They rise, and so do their times: a limit that is
-	// superseded sooner than a lower one never holds.
+	// limits were received after sent. They are sorted by value and by time, both ascending:
+	// a limit that is superseded sooner than a lower one never applies.
 	limits []candidateLimit
 }
 
-// With returns what is known once a further update has come.
+// With returns the state with an update merged into it.
 func (s SharedState) With(u Update) SharedState {
 	s.Leaving = s.Leaving || u.Leaving
 	if u.Sent.After(s.sent) {
@@ -80,23 +81,24 @@
 	}
 	candidates := slices.Clone(s.limits)
 	if u.HasLimit() {
-		candidates = append(candidates, candidateLimit{u.Limit, u.received()})
+		candidates = append(candidates, candidateLimit{u.Limit, u.receivedAfterSent()})
 	}
 	candidates = slices.DeleteFunc(candidates, func(l candidateLimit) bool { return !l.received.After(s.sent) })
-	s.limits = rising(candidates)
+	s.limits = dropDominated(candidates)
 	return s
 }
 
-// received is after Sent, also where the clock did not move between them.
-func (u Update) received() time.Time {
+// receivedAfterSent returns Received, or a time just after Sent if the clock did not
+// advance between them.
+func (u Update) receivedAfterSent() time.Time {
 	if u.Received.After(u.Sent) {
 		return u.Received
 	}
 	return u.Sent.Add(1)
 }
 
-// rising sorts limits and drops those that never hold.
-func rising(candidates []candidateLimit) []candidateLimit {
+// dropDominated sorts limits and drops those that never apply.
+func dropDominated(candidates []candidateLimit) []candidateLimit {
 	slices.SortFunc(candidates, func(a, b candidateLimit) int {
 		if c := cmp.Compare(a.perSecond, b.perSecond); c != 0 {
 			return c
@@ -109,14 +111,14 @@
 			out = append(out, l)
 		}
 	}
-	if len(out) > maxCandidates { // the lower limit then holds for longer than it must
+	if len(out) > maxCandidates { // the lower limit then applies for longer than necessary
 		out[maxCandidates-1].received = out[len(out)-1].received
 		out = out[:maxCandidates]
 	}
 	return out
 }
 
-// Limit returns the limit that holds, NoLimit for none.
+// Limit returns the limit that applies, or NoLimit.
 func (s SharedState) Limit() float64 {
 	if len(s.limits) == 0 {
 		return NoLimit
@@ -124,7 +126,7 @@
 	return s.limits[0].perSecond
 }
 
-// Updates returns updates that lead to the same: what another process is told.
+// Updates returns updates that bring another process to the same state.
 func (s SharedState) Updates() []Update {
 	if len(s.limits) == 0 {
 		return []Update{{Incarnation: s.Incarnation, Limit: NoLimit, Leaving: s.Leaving, Sent: s.sent, Received: s.sent}}
--- a/pkg/targetstatus/shared_test.go
+++ b/pkg/targetstatus/shared_test.go
@@ -8,175 +8,176 @@
 	"pgregory.net/rapid"
 )
 
-const oneTarget = "t"
+const testTarget = "t"
 
-// said is an update of the target of these tests.
-func said(perSecond float64, sent, heard time.Duration) Update {
-	return Update{Incarnation: oneTarget, Limit: perSecond, Sent: time.Time{}.Add(sent), Received: time.Time{}.Add(heard)}
+// report returns an update of the test target.
+func report(perSecond float64, sent, received time.Duration) Update {
+	return Update{Incarnation: testTarget, Limit: perSecond, Sent: time.Time{}.Add(sent), Received: time.Time{}.Add(received)}
 }
 
-// activeAfter returns the limit that is used once updates have come in an order.
+// activeAfter returns the limit in use after updates have been applied in the given order.
 func activeAfter(updates ...Update) float64 {
 	r := NewRegistry()
 	for _, u := range updates {
 		r.Apply(u)
 	}
-	return r.Limit(oneTarget)
+	return r.Limit(testTarget)
 }
 
-// Guards against answers out of order that raise a limit, or take it back, unduly or never.
-func TestAnswersOutOfOrder(t *testing.T) {
-	known := said(5, 10, 20)
+// Guards against responses out of order that raise or withdraw a limit when they must not,
+// or fail to do so when they must.
+func TestResponsesOutOfOrder(t *testing.T) {
+	known := report(5, 10, 20)
 	cases := map[string]struct {
 		update Update
 		want   float64
 	}{
-		"later, raised":          {said(8, 20, 30), 8},
-		"later, taken back":      {said(NoLimit, 25, 30), NoLimit},
-		"later, hardly raised":   {said(5.4, 20, 30), 5},
-		"later, hardly lowered":  {said(4.9, 20, 30), 4.9},
-		"earlier, none yet":      {said(NoLimit, 1, 10), 5},
-		"beside it, none":        {said(NoLimit, 15, 40), 5},
-		"beside it, raised":      {said(8, 5, 40), 5},
-		"beside it, lowered":     {said(2, 5, 15), 2},
-		"long under way, lower":  {said(2, 1, 60), 2},
-		"later, the same limit":  {said(5, 30, 40), 5},
-		"beside it, still valid": {said(5, 15, 40), 5},
+		"later, raised":            {report(8, 20, 30), 8},
+		"later, withdrawn":         {report(NoLimit, 25, 30), NoLimit},
+		"later, hardly raised":     {report(5.4, 20, 30), 5},
+		"later, hardly lowered":    {report(4.9, 20, 30), 4.9},
+		"earlier, none yet":        {report(NoLimit, 1, 10), 5},
+		"overlapping, none":        {report(NoLimit, 15, 40), 5},
+		"overlapping, raised":      {report(8, 5, 40), 5},
+		"overlapping, lowered":     {report(2, 5, 15), 2},
+		"long in flight, lower":    {report(2, 1, 60), 2},
+		"later, the same limit":    {report(5, 30, 40), 5},
+		"overlapping, still valid": {report(5, 15, 40), 5},
 	}
 	for name, c := range cases {
 		if got := activeAfter(known, c.update); got != c.want {
-			t.Errorf("%s: %v a second, want %v", name, got, c.want)
+			t.Errorf("%s: limit %v per second, want %v", name, got, c.want)
 		}
 	}
 }
 
-// Guards against a limit that ends with an answer which one that named it may have come
-// after: two answers beside each other named it, a third beside the second does not.
-func TestLimitHoldsWhileAnyAnswerThatNamedItMayBeTheLast(t *testing.T) {
-	if got := activeAfter(said(5, 10, 20), said(5, 15, 40), said(NoLimit, 25, 50)); got != 5 {
-		t.Errorf("%v a second is known", got)
+// Guards against a limit that ends with a response that may have been sent before one with
+// the limit: two overlapping responses state it, a third that overlaps the second does not.
+func TestLimitHoldsWhileItsResponseMayBeLatest(t *testing.T) {
+	if got := activeAfter(report(5, 10, 20), report(5, 15, 40), report(NoLimit, 25, 50)); got != 5 {
+		t.Errorf("limit is %v per second", got)
 	}
 }
 
-// Guards against a relayed update that takes a limit back though it was said before: it
-// waited on its way, which its ages don't count.
+// Guards against a relayed update that withdraws a limit although it was sent before: its
+// ages don't include the time that the message was in transit.
 func TestRelayedUpdateMayBeOlderThanItsAges(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	named := Update{Incarnation: oneTarget, Limit: 5, Sent: now.Add(-20 * time.Millisecond), Received: now}
-	message := Update{Incarnation: oneTarget, Limit: NoLimit, Sent: now.Add(-150 * time.Millisecond), Received: now.Add(-120 * time.Millisecond)}.Message(now)
+	named := Update{Incarnation: testTarget, Limit: 5, Sent: now.Add(-20 * time.Millisecond), Received: now}
+	message := Update{Incarnation: testTarget, Limit: NoLimit, Sent: now.Add(-150 * time.Millisecond), Received: now.Add(-120 * time.Millisecond)}.Message(now)
 	arrived := now.Add(200 * time.Millisecond)
 	if got := activeAfter(named, UpdateOf(arrived, message)); got != 5 {
-		t.Errorf("%v a second is known", got)
+		t.Errorf("limit is %v per second", got)
 	}
 	now = now.Add(2 * time.Second)
-	message = Update{Incarnation: oneTarget, Limit: NoLimit, Sent: now.Add(-time.Second), Received: now}.Message(now)
+	message = Update{Incarnation: testTarget, Limit: NoLimit, Sent: now.Add(-time.Second), Received: now}.Message(now)
 	if got := activeAfter(named, UpdateOf(now, message)); got != NoLimit {
-		t.Errorf("%v a second is known", got)
+		t.Errorf("limit is %v per second", got)
 	}
 }
 
-// Guards against a target that computes its limit anew for each answer and has each told to
-// all boxes; one that names a little more each time has its limit raised in the end.
-func TestNoiseIsNoNews(t *testing.T) {
-	book := NewRegistry()
+// Guards against a target that recalculates its limit for each response and has each value
+// sent to all boxes. A limit that rises a little each time must still be raised eventually.
+func TestSmallLimitChangesAreNotPropagated(t *testing.T) {
+	registry := NewRegistry()
 	changes := 0
-	take := func(at time.Duration, perSecond float64) {
-		if _, changed := book.Apply(said(perSecond, at, at+1)); changed {
+	apply := func(at time.Duration, perSecond float64) {
+		if _, changed := registry.Apply(report(perSecond, at, at+1)); changed {
 			changes++
 		}
 	}
 	for i := range 1000 {
-		take(time.Duration(2*i), 10+float64(i*7%10)/20)
+		apply(time.Duration(2*i), 10+float64(i*7%10)/20)
 	}
-	if changes > 3 || book.Limit(oneTarget) != 10 {
-		t.Errorf("%d changes, %v a second", changes, book.Limit(oneTarget))
+	if changes > 3 || registry.Limit(testTarget) != 10 {
+		t.Errorf("%d changes, limit %v per second", changes, registry.Limit(testTarget))
 	}
 	for i := range 100 {
-		take(time.Duration(3000+2*i), 10+float64(i)/5)
+		apply(time.Duration(3000+2*i), 10+float64(i)/5)
 	}
-	if got := book.Limit(oneTarget); got < 27 {
-		t.Errorf("a limit that rose to 29.8 is known as %v", got)
+	if got := registry.Limit(testTarget); got < 27 {
+		t.Errorf("limit rose to 29.8, registry has %v", got)
 	}
 }
 
-// Guards against a limit above what the target said last, by updates in any order, with
-// answers that ran beside each other.
+// Guards against a limit above the latest one of the target, for updates in any order with
+// overlapping responses.
 func TestLimitIsNeverAboveWhatWasSaidLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type answer struct {
+		type response struct {
 			Update
 			at time.Duration
 		}
-		var answers []answer
+		var responses []response
 		limits := []float64{NoLimit, 1, 2, 3}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 12).Draw(t, "answers") {
 			now += time.Duration(rapid.IntRange(1, 20).Draw(t, "pause"))
 			sent := now - time.Duration(rapid.IntRange(0, 30).Draw(t, "service"))
-			heard := now + time.Duration(rapid.IntRange(0, 30).Draw(t, "way"))
-			answers = append(answers, answer{said(rapid.SampledFrom(limits).Draw(t, "limit"), sent, heard), now})
+			received := now + time.Duration(rapid.IntRange(0, 30).Draw(t, "way"))
+			responses = append(responses, response{report(rapid.SampledFrom(limits).Draw(t, "limit"), sent, received), now})
 		}
-		last := answers[len(answers)-1]
-		order := rapid.Permutation(answers).Draw(t, "order")
-		book := NewRegistry()
+		last := responses[len(responses)-1]
+		order := rapid.Permutation(responses).Draw(t, "order")
+		registry := NewRegistry()
 		for _, a := range order {
-			book.Apply(a.Update)
+			registry.Apply(a.Update)
 		}
-		if got := book.Limit(oneTarget); got > last.Limit {
-			t.Fatalf("%v a second is known, the target said %v last", got, last.Limit)
+		if got := registry.Limit(testTarget); got > last.Limit {
+			t.Fatalf("limit is %v per second, the target last reported %v", got, last.Limit)
 		}
 	})
 }
 
-// Guards against a limit that is taken back too soon or kept for good: it ends with an answer
-// whose request was sent after the last answer that named it.
-func TestLimitThatIsTakenBackIsForgotten(t *testing.T) {
-	book := NewRegistry()
-	book.Apply(said(5, 10, 20))
-	if _, changed := book.Apply(said(NoLimit, 15, 30)); changed {
-		t.Error("taken back by an answer that ran beside")
+// Guards against a limit that is withdrawn too soon or kept forever: it ends with a
+// response whose request was sent after the last response with the limit had arrived.
+func TestWithdrawnLimitIsRemoved(t *testing.T) {
+	registry := NewRegistry()
+	registry.Apply(report(5, 10, 20))
+	if _, changed := registry.Apply(report(NoLimit, 15, 30)); changed {
+		t.Error("withdrawn by an overlapping response")
 	}
-	c, changed := book.Apply(said(NoLimit, 20, 40))
-	if !changed || c.Before != 5 || c.After != NoLimit || book.LimitedCount() != 0 {
+	c, changed := registry.Apply(report(NoLimit, 20, 40))
+	if !changed || c.Before != 5 || c.After != NoLimit || registry.LimitedCount() != 0 {
 		t.Errorf("got %+v, changed %v", c, changed)
 	}
-	if _, changed := book.Apply(said(5, 1, 19)); changed {
-		t.Error("named again by an answer of before")
+	if _, changed := registry.Apply(report(5, 1, 19)); changed {
+		t.Error("limit set again by an earlier response")
 	}
-	words, last := book.ChangedSince(0)
-	if len(words) != 1 || words[0].HasLimit() || last != 2 {
-		t.Errorf("subscribers are told %+v, %d", words, last)
+	updates, last := registry.ChangedSince(0)
+	if len(updates) != 1 || updates[0].HasLimit() || last != 2 {
+		t.Errorf("subscribers get %+v, %d", updates, last)
 	}
-	book.Prune(time.Time{}.Add(time.Hour), func(string) bool { return true })
-	if words, _ := book.ChangedSince(0); len(words) != 0 {
-		t.Errorf("still known after an hour: %+v", words)
+	registry.Prune(time.Time{}.Add(time.Hour), func(string) bool { return true })
+	if updates, _ := registry.ChangedSince(0); len(updates) != 0 {
+		t.Errorf("still stored after an hour: %+v", updates)
 	}
 }
 
-// Guards against a merge that loses an update that may have been said last: limit 2, said
-// between 2 and 5, behind a higher one that is superseded sooner.
-func TestLimitIsNotLostBehindOneThatIsSuperseded(t *testing.T) {
-	if got := activeAfter(said(1, 3, 3), said(2, 2, 5), said(NoLimit, 4, 4)); got != 2 {
-		t.Errorf("%v a second is known", got)
+// Guards against a merge that loses an update that may be the latest: limit 2, sent
+// between 2 and 5, while a lower one that is superseded sooner applies.
+func TestSupersededLimitDoesNotHideHigherOne(t *testing.T) {
+	if got := activeAfter(report(1, 3, 3), report(2, 2, 5), report(NoLimit, 4, 4)); got != 2 {
+		t.Errorf("limit is %v per second", got)
 	}
 }
 
-// drawnUpdates are updates whose answers ran beside each other.
-func drawnUpdates(t *rapid.T) (out []Update) {
+// drawUpdates draws updates with overlapping responses.
+func drawUpdates(t *rapid.T) (out []Update) {
 	for range rapid.IntRange(1, 7).Draw(t, "updates") {
 		sent := rapid.IntRange(0, 20).Draw(t, "sent")
-		u := said(rapid.SampledFrom([]float64{NoLimit, 1, 2, 3, 4}).Draw(t, "limit"), time.Duration(sent), time.Duration(sent+rapid.IntRange(0, 10).Draw(t, "took")))
+		u := report(rapid.SampledFrom([]float64{NoLimit, 1, 2, 3, 4}).Draw(t, "limit"), time.Duration(sent), time.Duration(sent+rapid.IntRange(0, 10).Draw(t, "took")))
 		u.Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
 		out = append(out, u)
 	}
 	return out
 }
 
-// lowestCandidate returns the lowest limit of the updates that no other one supersedes.
+// lowestCandidate returns the lowest limit among the updates that are not superseded.
 func lowestCandidate(updates []Update) float64 {
 	lowest := NoLimit
 	for _, u := range updates {
-		superseded := slices.ContainsFunc(updates, func(other Update) bool { return !other.Sent.Before(u.received()) })
+		superseded := slices.ContainsFunc(updates, func(other Update) bool { return !other.Sent.Before(u.receivedAfterSent()) })
 		if !superseded {
 			lowest = min(lowest, u.Limit)
 		}
@@ -184,12 +185,11 @@
 	return lowest
 }
 
-// Guards against a merge that depends on the order of updates, on how often they come, or on
-// the way that they take: all lead to the lowest limit that may have been said last, no
-// lower one and no higher.
-func TestUpdatesAreJoined(t *testing.T) {
+// Guards against a merge that depends on the order of updates, on duplicates or on the
+// path that they take: the result is always the lowest limit that may be the latest.
+func TestUpdatesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		updates := drawnUpdates(t)
+		updates := drawUpdates(t)
 		var once, often, relayed SharedState
 		for _, u := range updates {
 			once = once.With(u)
@@ -220,39 +220,39 @@
 	})
 }
 
-// Guards against a bound on what is remembered that raises a limit.
+// Guards against a bound on the stored limits that raises the limit that applies.
 func TestManyLimitsAtOnceAreBounded(t *testing.T) {
 	var s SharedState
 	for i := range 100 {
-		s = s.With(said(float64(1+i), 0, time.Duration(10+i)))
+		s = s.With(report(float64(1+i), 0, time.Duration(10+i)))
 	}
 	if len(s.limits) > maxCandidates {
-		t.Errorf("%d limits are remembered", len(s.limits))
+		t.Errorf("%d limits are stored", len(s.limits))
 	}
 	for at := range time.Duration(99) {
-		s = s.With(said(NoLimit, 9+at, 200))
-		if got, most := s.Limit(), float64(1+at); got > most {
-			t.Fatalf("limit %v at %d, the target may have said %v last", got, at, most)
+		s = s.With(report(NoLimit, 9+at, 200))
+		if got, maxLimit := s.Limit(), float64(1+at); got > maxLimit {
+			t.Fatalf("limit %v at %d, the target may last have reported %v", got, at, maxLimit)
 		}
 	}
 }
 
-// Guards against a target that is revived by an answer or a message of before.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+// Guards against an earlier response or message that cancels that a target is leaving.
+func TestLeavingIsPermanent(t *testing.T) {
 	r := NewRegistry()
-	if c, changed := r.Apply(Update{Incarnation: oneTarget, Leaving: true}.WithoutLimit()); !changed || !c.Leaving || c.LimitChanged() {
+	if c, changed := r.Apply(Update{Incarnation: testTarget, Leaving: true}.WithoutLimit()); !changed || !c.Leaving || c.LimitChanged() {
 		t.Errorf("got %+v, %v", c, changed)
 	}
-	if _, changed := r.Apply(said(NoLimit, 50, 60)); changed || !r.IsLeaving(oneTarget) {
-		t.Error("an answer without it takes it back")
+	if _, changed := r.Apply(report(NoLimit, 50, 60)); changed || !r.IsLeaving(testTarget) {
+		t.Error("cancelled by a response without the header")
 	}
 	updates, _ := r.ChangedSince(0)
 	relayed := NewRegistry()
-	relayed.Apply(said(5, 1, 2))
+	relayed.Apply(report(5, 1, 2))
 	for _, u := range updates {
 		relayed.Apply(UpdateOf(time.Time{}.Add(time.Hour), u.Message(time.Time{}.Add(time.Hour))))
 	}
-	if !relayed.IsLeaving(oneTarget) || relayed.Limit(oneTarget) != 5 {
-		t.Errorf("relayed: %v, limit %v", relayed.IsLeaving(oneTarget), relayed.Limit(oneTarget))
+	if !relayed.IsLeaving(testTarget) || relayed.Limit(testTarget) != 5 {
+		t.Errorf("relayed: %v, limit %v", relayed.IsLeaving(testTarget), relayed.Limit(testTarget))
 	}
 }
--- a/pkg/targetstatus/status.go
+++ b/pkg/targetstatus/status.go
@@ -1,9 +1,9 @@
-// Package targetstatus has what a target says of itself in the head of an answer: one
-// value, decoded in one place, for each kind of entry box and each interface.
+// Package targetstatus decodes what a target reports about itself in the headers of a
+// response, into one value for each kind of entry box and each header format.
 //
-// Every field has a scope. A field about this box (load, back-off) stays with the box that
-// got the answer; a field about all boxes (limit, leaving) is passed on to the others. All
-// of them are bound to one incarnation of the target and end with it.
+// Every field has a scope. A field about this box (load, back-off) stays at the box that
+// received the response; a field about all boxes (limit, leaving) is forwarded to the
+// others. All fields belong to one incarnation of the target and end with it.
 package targetstatus
 
 import (
@@ -13,45 +13,48 @@
 	"time"
 )
 
-// Load is how busy a target is, all boxes together.
+// Load is how busy a target is with the requests of all boxes.
 type Load struct {
-	// Running and Waiting are requests, Slots how many it runs at once.
+	// Running and Waiting count requests, Slots how many the target runs concurrently.
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// Status is what one answer says of its target.
+// Status is what one response reports about its target.
 type Status struct {
-	// NotRun tells that the target did not run the request. It is about this request.
+	// NotRun is true if the target did not run the request. It concerns this request only.
 	NotRun bool
-	// Load holds if HasLoad. It is about all boxes and fades within seconds.
+	// Load is valid if HasLoad. It covers all boxes and becomes outdated within seconds.
 	Load    Load
 	HasLoad bool
-	// WarmupRemaining is how much longer the target is cold; zero if it does not say so.
+	// WarmupRemaining is how much longer the target is warming up; zero if it does not
+	// report that.
 	WarmupRemaining time.Duration
-	// Limit is how many requests a second the target takes from all boxes together, if
-	// HasLimit. It ends with an answer that has none.
+	// Limit is how many requests per second the target accepts from all boxes together, if
+	// HasLimit. It ends with a response that has none.
 	Limit    float64
 	HasLimit bool
-	// Leaving tells all boxes that the target leaves. It ends with the incarnation.
+	// Leaving tells all boxes that the target is about to shut down. It ends with the
+	// incarnation.
 	Leaving bool
-	// BackOff is for how long this box is to send the target nothing, counted from the
-	// answer; zero for no such request. A later, shorter one does not end it sooner.
+	// BackOff is how long this box must not send requests to the target, starting at the
+	// response; zero for no back-off. A later, shorter one does not end it sooner.
 	BackOff time.Duration
-	// limitUnreadable tells that a limit was named that could not be read.
-	limitUnreadable bool
-	// Unparsed are the names of headers that could not be read. Their fields are empty.
+	// limitUnparsed is true if there was a limit that could not be parsed.
+	limitUnparsed bool
+	// Unparsed lists the headers that could not be parsed. Their fields are empty.
 	Unparsed []string
 }
 
-// ReportsLimit reports whether the answer tells what the limit is, none included. A rejection
-// without a limit does not take an earlier one back, nor does a limit that can't be read.
+// ReportsLimit reports whether the response states the limit or that there is none. A
+// rejection without a limit does not withdraw an earlier one, nor does a limit that can't
+// be parsed.
 func (s Status) ReportsLimit() bool {
-	return s.HasLimit || !s.NotRun && !s.limitUnreadable && s.BackOff == 0
+	return s.HasLimit || !s.NotRun && !s.limitUnparsed && s.BackOff == 0
 }
 
-// ReportedLoad returns the load, nil if the answer tells none.
+// ReportedLoad returns the load, or nil if the response reports none.
 func (s Status) ReportedLoad() *Load {
 	if !s.HasLoad {
 		return nil
@@ -59,8 +62,8 @@
 	return &s.Load
 }
 
-// Headers names the headers in which targets say these things, and reads those that have a
-// format of their own; ok is false if they can't be read.
+// Headers holds the names of the headers that targets use, and the parsers of those with
+// a format of their own. A parser returns false for a value that it can't parse.
 type Headers struct {
 	NotRun          string
 	Load            string
@@ -72,12 +75,12 @@
 	ParseWarmup func(text string) (left time.Duration, ok bool)
 }
 
-// Decode returns what an answer with a status code says of its target. The time of day is
-// that at which the answer came; a Retry-After that is a date counts from it unless the
-// answer has a date of its own.
+// Decode returns what a response with a status code reports about its target. timeOfDay
+// returns the time at which the response arrived; a Retry-After date is relative to it
+// unless the response has a Date of its own.
 //
-// An answer with status 421 comes from another target than the request was meant for: it
-// says that the request did not run, and nothing of the target.
+// A response with status 421 comes from another target than the request was meant for: it
+// means that the request did not run, and says nothing about the target.
 func (h Headers) Decode(code int, header http.Header, timeOfDay func() time.Time) Status {
 	if code == http.StatusMisdirectedRequest {
 		return Status{NotRun: true}
@@ -85,32 +88,32 @@
 	s := Status{NotRun: header.Get(h.NotRun) != ""}
 	if text := header.Get(h.Load); text != "" {
 		s.Load, s.HasLoad = h.ParseLoad(text)
-		s.logUnread(h.Load, s.HasLoad)
+		s.recordUnparsed(h.Load, s.HasLoad)
 	}
 	if text := header.Get(h.WarmupRemaining); text != "" {
 		left, ok := h.ParseWarmup(text)
 		s.WarmupRemaining = max(left, 0)
-		s.logUnread(h.WarmupRemaining, ok)
+		s.recordUnparsed(h.WarmupRemaining, ok)
 	}
 	if text := header.Get(h.Limit); text != "" {
 		s.Limit, s.HasLimit = ParseLimit(text)
-		s.limitUnreadable = !s.HasLimit
-		s.logUnread(h.Limit, s.HasLimit)
+		s.limitUnparsed = !s.HasLimit
+		s.recordUnparsed(h.Limit, s.HasLimit)
 	}
 	if text := header.Get(h.Leaving); text != "" {
 		leaving, err := strconv.ParseBool(strings.TrimSpace(text))
 		s.Leaving = leaving
-		s.logUnread(h.Leaving, err == nil)
+		s.recordUnparsed(h.Leaving, err == nil)
 	}
 	if text := header.Get(retryAfter); text != "" && code == http.StatusServiceUnavailable {
 		backOff, ok := parseRetryAfter(text, header.Get("Date"), timeOfDay)
 		s.BackOff = backOff
-		s.logUnread(retryAfter, ok)
+		s.recordUnparsed(retryAfter, ok)
 	}
 	return s
 }
 
-func (s *Status) logUnread(header string, ok bool) {
+func (s *Status) recordUnparsed(header string, ok bool) {
 	if !ok {
 		s.Unparsed = append(s.Unparsed, header)
 	}
