--- a/pkg/shift/example_test.go
+++ b/pkg/shift/example_test.go
@@ -37,8 +37,8 @@
 	p := shift.NewPlanner(now)
 	for _, west := range []float64{95, 20} { // slots in use; too full at first
 		now = now.Add(10 * time.Second)
-		p.Observe(shift.Reading{Service: "web", Region: "east", Capacity: 100, Carried: 60, At: now})
-		p.Observe(shift.Reading{Service: "web", Region: "west", Capacity: 100, Carried: west, At: now})
+		p.Observe(shift.Measurement{Service: "web", Region: "east", Capacity: 100, InUse: 60, At: now})
+		p.Observe(shift.Measurement{Service: "web", Region: "west", Capacity: 100, InUse: west, At: now})
 		for _, d := range p.Plan(now, s) {
 			if d.Command == nil {
 				fmt.Println("waits:", d.Reason)
--- a/pkg/shift/planner.go
+++ b/pkg/shift/planner.go
@@ -25,13 +25,13 @@
 	lostAfterLags = 10
 )
 
-// Reading is what a region carries of a service.
-type Reading struct {
+// Measurement is what a region carries of a service.
+type Measurement struct {
 	Service string
 	Region  string
 	// Capacity is the slots in service; Carried the slots in use.
 	Capacity float64
-	Carried  float64
+	InUse    float64
 	At       time.Time
 }
 
@@ -39,21 +39,21 @@
 
 // Planner remembers recent readings.
 type Planner struct {
-	readings map[place][]Reading
+	readings map[place][]Measurement
 	first    time.Time
 }
 
 // NewPlanner returns a planner without readings. It aborts no shift for want
 // of readings until it has had time to get some.
 func NewPlanner(now time.Time) *Planner {
-	return &Planner{readings: make(map[place][]Reading), first: now}
+	return &Planner{readings: make(map[place][]Measurement), first: now}
 }
 
 // maxReadings bounds the readings kept of one place.
 const maxReadings = 64
 
 // Observe takes a reading.
-func (p *Planner) Observe(r Reading) {
+func (p *Planner) Observe(r Measurement) {
 	k := place{r.Service, r.Region}
 	list := p.readings[k]
 	if len(list) > 0 && !r.At.After(list[len(list)-1].At) {
@@ -68,8 +68,8 @@
 
 // worst returns the newest time, the lowest capacity and the highest load of
 // the readings within the window; ok is false if there is none.
-func (p *Planner) worst(now time.Time, k place, window time.Duration) (Reading, bool) {
-	var out Reading
+func (p *Planner) worst(now time.Time, k place, window time.Duration) (Measurement, bool) {
+	var out Measurement
 	found := false
 	for _, r := range p.readings[k] {
 		if now.Sub(r.At) > window {
@@ -81,7 +81,7 @@
 		}
 		out.At = r.At
 		out.Capacity = min(out.Capacity, r.Capacity)
-		out.Carried = max(out.Carried, r.Carried)
+		out.InUse = max(out.InUse, r.InUse)
 	}
 	return out, found
 }
@@ -108,7 +108,7 @@
 
 func (p *Planner) decide(now time.Time, s steering.State, h *wire.Shift) Decision {
 	v := s.Tree().Values(settings.Path{Region: h.To, Service: h.Service})
-	outstanding := Outstanding(now, s, h.Service, h.Home)
+	outstanding := UnsettledPoints(now, s, h.Service, h.Home)
 	if h.Moved >= h.Points {
 		if outstanding > 0 {
 			return Decision{ID: h.Id, Reason: "waits until callers have let go of old answers"}
@@ -160,10 +160,10 @@
 		return fmt.Sprintf("no measurement of %s within %s", h.From, v.MeasurementLag)
 	}
 	moving := inbound(now, s, h.Service, h.To) + points
-	extra := from.Carried * unevenness * float64(moving) / float64(max(pointsAt(s, h.Service, h.From), 1))
+	extra := from.InUse * unevenness * float64(moving) / float64(max(pointsAt(s, h.Service, h.From), 1))
 	room := to.Capacity * float64(percent-v.ReserveShare) / percent
-	if to.Carried+extra > room {
-		return fmt.Sprintf("%s carries %.1f of %.1f slots, %.1f more may come", h.To, to.Carried, room, extra)
+	if to.InUse+extra > room {
+		return fmt.Sprintf("%s carries %.1f of %.1f slots, %.1f more may come", h.To, to.InUse, room, extra)
 	}
 	return ""
 }
@@ -177,11 +177,11 @@
 	return n
 }
 
-// Outstanding returns the points of a home region that are on the move: those
+// UnsettledPoints returns the points of a home region that are on the move: those
 // of steps whose old answers callers may still hold or which measurements may
 // not yet show. A step from the future, recorded by a leader with a fast
 // clock, counts too.
-func Outstanding(now time.Time, s steering.State, service, home string) uint32 {
+func UnsettledPoints(now time.Time, s steering.State, service, home string) uint32 {
 	return outstanding(now, s, func(h *wire.Shift) bool { return h.Service == service && h.Home == home })
 }
 
--- a/pkg/shift/planner_test.go
+++ b/pkg/shift/planner_test.go
@@ -35,8 +35,8 @@
 }
 
 func readings(p *Planner, now time.Time, east, west, capacity float64) {
-	p.Observe(Reading{Service: "web", Region: "east", Capacity: 100, Carried: east, At: now})
-	p.Observe(Reading{Service: "web", Region: "west", Capacity: capacity, Carried: west, At: now})
+	p.Observe(Measurement{Service: "web", Region: "east", Capacity: 100, InUse: east, At: now})
+	p.Observe(Measurement{Service: "web", Region: "west", Capacity: capacity, InUse: west, At: now})
 }
 
 // TestCapAndHeadroom lets leaders come and go, readings stop and lie low, and
@@ -85,7 +85,7 @@
 					t.Fatalf("a step was carried out twice: %v", again.Shifts())
 				}
 			}
-			if n := Outstanding(now, s, "web", "east"); n > 2000 {
+			if n := UnsettledPoints(now, s, "web", "east"); n > 2000 {
 				t.Fatalf("%d points are on the move, the cap is 2000", n)
 			}
 			h := s.Shifts()[0]
@@ -127,7 +127,7 @@
 	ends := 0
 	for range 200 {
 		now = now.Add(250 * time.Millisecond)
-		p.Observe(Reading{Service: "web", Region: "east", Capacity: 100, Carried: 20, At: now})
+		p.Observe(Measurement{Service: "web", Region: "east", Capacity: 100, InUse: 20, At: now})
 		for _, d := range p.Plan(now, s) {
 			if d.Command == nil {
 				continue
