--- a/pkg/shift/example_test.go
+++ b/pkg/shift/example_test.go
@@ -9,7 +9,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// running returns a state with a shift of a tenth of the callers of east.
+// running returns a state with a running shift of a tenth of the callers of east.
 func running() (steering.State, error) {
 	s, result := steering.State{}.Apply(&wire.Command{Change: &wire.Change{Id: "tree", Edits: []*wire.Edit{
 		{Path: "/", Key: "shiftStepShare", Value: "8"},
--- a/pkg/shift/planner.go
+++ b/pkg/shift/planner.go
@@ -1,7 +1,7 @@
-// Package shift decides the steps of shifts of traffic between regions. A
-// Planner is a state machine without I/O: the control leader tells it the
-// steering state and what the regions carry, and records the commands that it
-// returns in the replicated log.
+// Package shift decides the steps of shifts of traffic between regions. A Planner is a
+// state machine without I/O: the control leader passes it the steering state and the
+// measured load of the regions, and records the commands that it returns in the replicated
+// log.
 package shift
 
 import (
@@ -17,61 +17,61 @@
 
 const (
 	percent = 100
-	// unevenness is how much more traffic than the mean the callers of a step
-	// are taken to have.
-	unevenness = 1.5
-	// lostAfterLags is after how many measurement lags without a reading a
+	// loadSkew is how much more traffic than the average the callers of a step are assumed
+	// to have.
+	loadSkew = 1.5
+	// lostAfterLags is the number of measurement lags without a measurement after which a
 	// destination counts as lost.
 	lostAfterLags = 10
 )
 
-// Measurement is what a region carries of a service.
+// Measurement is the measured load of a service in a region.
 type Measurement struct {
 	Service string
 	Region  string
-	// Capacity is the slots in service; Carried the slots in use.
+	// Capacity is the number of slots in service, InUse the number of slots in use.
 	Capacity float64
 	InUse    float64
 	At       time.Time
 }
 
-type place struct{ service, region string }
+type serviceRegion struct{ service, region string }
 
-// Planner remembers recent readings.
+// Planner plans shifts from recent measurements.
 type Planner struct {
-	readings map[place][]Measurement
-	first    time.Time
+	measurements map[serviceRegion][]Measurement
+	startedAt    time.Time
 }
 
-// NewPlanner returns a planner without readings. It aborts no shift for want
-// of readings until it has had time to get some.
+// NewPlanner returns a planner without measurements. It aborts no shift for lack of
+// measurements until it has had time to receive some.
 func NewPlanner(now time.Time) *Planner {
-	return &Planner{readings: make(map[place][]Measurement), first: now}
+	return &Planner{measurements: make(map[serviceRegion][]Measurement), startedAt: now}
 }
 
-// maxReadings bounds the readings kept of one place.
-const maxReadings = 64
+// maxMeasurements bounds the measurements kept per service and region.
+const maxMeasurements = 64
 
-// Observe takes a reading.
+// Observe adds a measurement.
 func (p *Planner) Observe(r Measurement) {
-	k := place{r.Service, r.Region}
-	list := p.readings[k]
+	k := serviceRegion{r.Service, r.Region}
+	list := p.measurements[k]
 	if len(list) > 0 && !r.At.After(list[len(list)-1].At) {
 		return
 	}
 	list = append(list, r)
-	if len(list) > maxReadings {
-		list = slices.Delete(list, 0, len(list)-maxReadings)
+	if len(list) > maxMeasurements {
+		list = slices.Delete(list, 0, len(list)-maxMeasurements)
 	}
-	p.readings[k] = list
+	p.measurements[k] = list
 }
 
-// worst returns the newest time, the lowest capacity and the highest load of
-// the readings within the window; ok is false if there is none.
-func (p *Planner) worst(now time.Time, k place, window time.Duration) (Measurement, bool) {
+// worstCase returns the newest time, the lowest capacity and the highest load of the
+// measurements within the window; ok is false if there are none.
+func (p *Planner) worstCase(now time.Time, k serviceRegion, window time.Duration) (Measurement, bool) {
 	var out Measurement
 	found := false
-	for _, r := range p.readings[k] {
+	for _, r := range p.measurements[k] {
 		if now.Sub(r.At) > window {
 			continue
 		}
@@ -86,89 +86,89 @@
 	return out, found
 }
 
-// Decision is what the planner makes of one running shift.
+// Decision is the planner's decision on one running shift.
 type Decision struct {
 	ID string
-	// Command is to be recorded; nil to wait.
+	// Command must be recorded in the log; nil means to wait.
 	Command *wire.ShiftCommand
-	// Reason says why the shift waits or ends.
+	// Reason explains why the shift waits or ends.
 	Reason string
 }
 
 // Plan returns a decision for each running shift.
 func (p *Planner) Plan(now time.Time, s steering.State) []Decision {
 	var out []Decision
-	for _, h := range s.Shifts() {
-		if h.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING {
-			out = append(out, p.decide(now, s, h))
+	for _, sh := range s.Shifts() {
+		if sh.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING {
+			out = append(out, p.decide(now, s, sh))
 		}
 	}
 	return out
 }
 
-func (p *Planner) decide(now time.Time, s steering.State, h *wire.Shift) Decision {
-	v := s.Tree().Values(settings.Path{Region: h.To, Service: h.Service})
-	outstanding := UnsettledPoints(now, s, h.Service, h.Home)
-	if h.Moved >= h.Points {
-		if outstanding > 0 {
-			return Decision{ID: h.Id, Reason: "waits until callers have let go of old answers"}
+func (p *Planner) decide(now time.Time, s steering.State, sh *wire.Shift) Decision {
+	v := s.Tree().Values(settings.Path{Region: sh.To, Service: sh.Service})
+	unsettled := UnsettledPoints(now, s, sh.Service, sh.Home)
+	if sh.Moved >= sh.Points {
+		if unsettled > 0 {
+			return Decision{ID: sh.Id, Reason: "waits until callers have let go of old answers"}
 		}
-		return command(h, wire.ShiftCommand_ACTION_FINISH, nil, "")
+		return commandDecision(sh, wire.ShiftCommand_ACTION_FINISH, nil, "")
 	}
-	if reason := p.lost(now, h, v); reason != "" {
-		return command(h, wire.ShiftCommand_ACTION_ABORT, nil, reason)
+	if reason := p.destinationLost(now, sh, v); reason != "" {
+		return commandDecision(sh, wire.ShiftCommand_ACTION_ABORT, nil, reason)
 	}
 	limit := uint32(v.ShiftCapShare) * lookup.Points / percent
-	if outstanding >= limit {
-		return Decision{ID: h.Id, Reason: fmt.Sprintf("%d points are on the move and the cap is %d", outstanding, limit)}
+	if unsettled >= limit {
+		return Decision{ID: sh.Id, Reason: fmt.Sprintf("%d points are on the move and the cap is %d", unsettled, limit)}
 	}
-	points := min(uint32(v.ShiftStepShare)*lookup.Points/percent, h.Points-h.Moved, limit-outstanding)
-	if reason := p.lacksHeadroom(now, s, h, v, points); reason != "" {
-		return Decision{ID: h.Id, Reason: reason}
+	points := min(uint32(v.ShiftStepShare)*lookup.Points/percent, sh.Points-sh.Moved, limit-unsettled)
+	if reason := p.insufficientHeadroom(now, s, sh, v, points); reason != "" {
+		return Decision{ID: sh.Id, Reason: reason}
 	}
-	step := &wire.ShiftStep{Number: uint32(len(h.Steps)) + 1, Points: points, TimeUnixMilli: now.UnixMilli()}
-	return command(h, wire.ShiftCommand_ACTION_STEP, step, "")
+	step := &wire.ShiftStep{Number: uint32(len(sh.Steps)) + 1, Points: points, TimeUnixMilli: now.UnixMilli()}
+	return commandDecision(sh, wire.ShiftCommand_ACTION_STEP, step, "")
 }
 
-func command(h *wire.Shift, a wire.ShiftCommand_Action, step *wire.ShiftStep, reason string) Decision {
-	c := &wire.ShiftCommand{Action: a, Shift: &wire.Shift{Id: h.Id}, Step: step, Reason: reason}
-	return Decision{ID: h.Id, Command: c, Reason: reason}
+func commandDecision(sh *wire.Shift, a wire.ShiftCommand_Action, step *wire.ShiftStep, reason string) Decision {
+	c := &wire.ShiftCommand{Action: a, Shift: &wire.Shift{Id: sh.Id}, Step: step, Reason: reason}
+	return Decision{ID: sh.Id, Command: c, Reason: reason}
 }
 
-// lost says why a destination counts as lost.
-func (p *Planner) lost(now time.Time, h *wire.Shift, v settings.Values) string {
+// destinationLost returns why the destination counts as lost, or an empty string.
+func (p *Planner) destinationLost(now time.Time, sh *wire.Shift, v settings.Values) string {
 	limit := lostAfterLags * v.MeasurementLag
-	if now.Sub(p.first) < limit {
+	if now.Sub(p.startedAt) < limit {
 		return ""
 	}
-	if _, ok := p.worst(now, place{h.Service, h.To}, limit); !ok {
-		return fmt.Sprintf("no measurement of %s for %s", h.To, limit)
+	if _, ok := p.worstCase(now, serviceRegion{sh.Service, sh.To}, limit); !ok {
+		return fmt.Sprintf("no measurement of %s for %s", sh.To, limit)
 	}
 	return ""
 }
 
-// lacksHeadroom says why the destination can't take a step: its measurements
-// are old, or its worst recent load with all that is still on its way and the
-// step would exceed its capacity less the reserve.
-func (p *Planner) lacksHeadroom(now time.Time, s steering.State, h *wire.Shift, v settings.Values, points uint32) string {
-	to, ok := p.worst(now, place{h.Service, h.To}, v.MeasurementLag)
+// insufficientHeadroom returns why the destination can't take a step, or an empty string.
+// Either a measurement is too old, or the worst recent load, together with all unsettled
+// points and the step, would exceed the capacity less the reserve.
+func (p *Planner) insufficientHeadroom(now time.Time, s steering.State, sh *wire.Shift, v settings.Values, points uint32) string {
+	to, ok := p.worstCase(now, serviceRegion{sh.Service, sh.To}, v.MeasurementLag)
 	if !ok {
-		return fmt.Sprintf("no measurement of %s within %s", h.To, v.MeasurementLag)
+		return fmt.Sprintf("no measurement of %s within %s", sh.To, v.MeasurementLag)
 	}
-	from, ok := p.worst(now, place{h.Service, h.From}, v.MeasurementLag)
+	from, ok := p.worstCase(now, serviceRegion{sh.Service, sh.From}, v.MeasurementLag)
 	if !ok {
-		return fmt.Sprintf("no measurement of %s within %s", h.From, v.MeasurementLag)
+		return fmt.Sprintf("no measurement of %s within %s", sh.From, v.MeasurementLag)
 	}
-	moving := inbound(now, s, h.Service, h.To) + points
-	extra := from.InUse * unevenness * float64(moving) / float64(max(pointsAt(s, h.Service, h.From), 1))
-	room := to.Capacity * float64(percent-v.ReserveShare) / percent
-	if to.InUse+extra > room {
-		return fmt.Sprintf("%s carries %.1f of %.1f slots, %.1f more may come", h.To, to.InUse, room, extra)
+	moving := unsettledInbound(now, s, sh.Service, sh.To) + points
+	extra := from.InUse * loadSkew * float64(moving) / float64(max(pointsAt(s, sh.Service, sh.From), 1))
+	available := to.Capacity * float64(percent-v.ReserveShare) / percent
+	if to.InUse+extra > available {
+		return fmt.Sprintf("%s carries %.1f of %.1f slots, %.1f more may come", sh.To, to.InUse, available, extra)
 	}
 	return ""
 }
 
-// pointsAt returns the points of all home regions that a region has.
+// pointsAt returns the points of all home regions that are assigned to a region.
 func pointsAt(s steering.State, service, region string) uint32 {
 	n := uint32(0)
 	for _, home := range s.Tree().Regions() {
@@ -177,26 +177,25 @@
 	return n
 }
 
-// UnsettledPoints returns the points of a home region that are on the move: those
-// of steps whose old answers callers may still hold or which measurements may
-// not yet show. A step from the future, recorded by a leader with a fast
-// clock, counts too.
+// UnsettledPoints returns the points of a home region that are moving: those of steps whose
+// old answers callers may still cache, or which measurements may not reflect yet. A step
+// with a time in the future, recorded by a leader with a fast clock, counts too.
 func UnsettledPoints(now time.Time, s steering.State, service, home string) uint32 {
-	return outstanding(now, s, func(h *wire.Shift) bool { return h.Service == service && h.Home == home })
+	return sumUnsettled(now, s, func(sh *wire.Shift) bool { return sh.Service == service && sh.Home == home })
 }
 
-func inbound(now time.Time, s steering.State, service, to string) uint32 {
-	return outstanding(now, s, func(h *wire.Shift) bool { return h.Service == service && h.To == to })
+func unsettledInbound(now time.Time, s steering.State, service, to string) uint32 {
+	return sumUnsettled(now, s, func(sh *wire.Shift) bool { return sh.Service == service && sh.To == to })
 }
 
-func outstanding(now time.Time, s steering.State, counts func(*wire.Shift) bool) uint32 {
+func sumUnsettled(now time.Time, s steering.State, counts func(*wire.Shift) bool) uint32 {
 	n := uint32(0)
-	for _, h := range s.Shifts() {
-		if !counts(h) {
+	for _, sh := range s.Shifts() {
+		if !counts(sh) {
 			continue
 		}
-		settled := now.Add(-settleTime(s.Tree(), h)).UnixMilli()
-		for _, step := range h.Steps {
+		settled := now.Add(-settleTime(s.Tree(), sh)).UnixMilli()
+		for _, step := range sh.Steps {
 			if step.TimeUnixMilli > settled {
 				n += step.Points
 			}
@@ -205,10 +204,10 @@
 	return n
 }
 
-// settleTime is how long a step is on the move: until the old answers have run
-// out and the measurements show the new load.
-func settleTime(t settings.Tree, h *wire.Shift) time.Duration {
-	from := t.Values(settings.Path{Region: h.From, Service: h.Service})
-	to := t.Values(settings.Path{Region: h.To, Service: h.Service})
+// settleTime is how long the points of a step are unsettled: until the old answers have
+// expired and the measurements reflect the new load.
+func settleTime(t settings.Tree, sh *wire.Shift) time.Duration {
+	from := t.Values(settings.Path{Region: sh.From, Service: sh.Service})
+	to := t.Values(settings.Path{Region: sh.To, Service: sh.Service})
 	return max(from.AnswerTTL, to.AnswerTTL) + max(from.MeasurementLag, to.MeasurementLag)
 }
--- a/pkg/shift/planner_test.go
+++ b/pkg/shift/planner_test.go
@@ -11,7 +11,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-func state(t fataler) steering.State {
+func newState(t fataler) steering.State {
 	edit := func(path, key, value string) *wire.Edit { return &wire.Edit{Path: path, Key: key, Value: value} }
 	s, result := steering.State{}.Apply(&wire.Command{Change: &wire.Change{Id: "tree", Edits: []*wire.Edit{
 		edit("/", "shiftCapShare", "20"), edit("/", "shiftStepShare", "8"), edit("/", "reserveShare", "10"),
@@ -23,7 +23,7 @@
 	return s
 }
 
-func begin(t fataler, s steering.State, points uint32) steering.State {
+func startShift(t fataler, s steering.State, points uint32) steering.State {
 	s, result := s.Apply(&wire.Command{Shift: &wire.ShiftCommand{
 		Action: wire.ShiftCommand_ACTION_START,
 		Shift:  &wire.Shift{Id: "s", Service: "web", Home: "east", From: "east", To: "west", Points: points},
@@ -34,45 +34,45 @@
 	return s
 }
 
-func readings(p *Planner, now time.Time, east, west, capacity float64) {
+func observe(p *Planner, now time.Time, east, west, capacity float64) {
 	p.Observe(Measurement{Service: "web", Region: "east", Capacity: 100, InUse: east, At: now})
 	p.Observe(Measurement{Service: "web", Region: "west", Capacity: capacity, InUse: west, At: now})
 }
 
-// TestCapAndHeadroom lets leaders come and go, readings stop and lie low, and
-// checks that no more than the cap is on the move and that no step is begun
-// that the worst recent reading has no room for.
+// Checks, while leaders change and measurements stop or report low load, that no more points
+// than the cap are unsettled, and that no step begins for which the destination lacks
+// headroom according to the worst recent measurement.
 func TestCapAndHeadroom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
-		s := begin(t, state(t), uint32(rapid.IntRange(1, lookup.Points).Draw(t, "points")))
+		s := startShift(t, newState(t), uint32(rapid.IntRange(1, lookup.Points).Draw(t, "points")))
 		p := NewPlanner(now)
 		silent := false
-		lastReading := now.Add(-time.Hour)
+		lastMeasurement := now.Add(-time.Hour)
 		for range 300 {
 			now = now.Add(250 * time.Millisecond)
 			if rapid.IntRange(0, 30).Draw(t, "leader") == 0 {
 				p = NewPlanner(now)
-				lastReading = now.Add(-time.Hour)
+				lastMeasurement = now.Add(-time.Hour)
 			}
 			if rapid.IntRange(0, 20).Draw(t, "silence") == 0 {
 				silent = !silent
 			}
 			west := float64(rapid.IntRange(0, 100).Draw(t, "west"))
 			if !silent {
-				readings(p, now, 60, west, 100)
-				lastReading = now
+				observe(p, now, 60, west, 100)
+				lastMeasurement = now
 			}
 			for _, d := range p.Plan(now, s) {
 				if d.Command == nil {
 					continue
 				}
 				if d.Command.Step != nil {
-					if now.Sub(lastReading) > 2*time.Second {
-						t.Fatal("a step on old readings")
+					if now.Sub(lastMeasurement) > 2*time.Second {
+						t.Fatal("a step on old measurements")
 					}
 					if !silent && west > 90 {
-						t.Fatalf("a step to a region that carries %.0f of 90 slots", west)
+						t.Fatalf("a step to a region that uses %.0f of 90 slots", west)
 					}
 				}
 				next, result := s.Apply(&wire.Command{Shift: d.Command})
@@ -80,30 +80,30 @@
 					t.Fatal(result.Err)
 				}
 				s = next
-				// A second leader records the same step: it must not count.
+				// A second leader records the same step, which must not count twice.
 				if again, result := s.Apply(&wire.Command{Shift: d.Command}); d.Command.Step != nil && result.Changed {
 					t.Fatalf("a step was carried out twice: %v", again.Shifts())
 				}
 			}
 			if n := UnsettledPoints(now, s, "web", "east"); n > 2000 {
-				t.Fatalf("%d points are on the move, the cap is 2000", n)
+				t.Fatalf("%d points are unsettled, the cap is 2000", n)
 			}
-			h := s.Shifts()[0]
-			if got := s.Assignment("web", "east").Share("west"); got != h.Moved {
-				t.Fatalf("the shift says %d, the assignment %d", h.Moved, got)
+			sh := s.Shifts()[0]
+			if got := s.Assignment("web", "east").Share("west"); got != sh.Moved {
+				t.Fatalf("the shift has moved %d points, the assignment has %d", sh.Moved, got)
 			}
 		}
 	})
 }
 
-func TestFinishesWhenSettled(t *testing.T) {
+func TestShiftFinishesWhenSettled(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	s := begin(t, state(t), 1000)
+	s := startShift(t, newState(t), 1000)
 	p := NewPlanner(now)
 	steps := 0
 	for range 200 {
 		now = now.Add(250 * time.Millisecond)
-		readings(p, now, 20, 10, 100)
+		observe(p, now, 20, 10, 100)
 		for _, d := range p.Plan(now, s) {
 			if d.Command == nil {
 				continue
@@ -114,17 +114,17 @@
 			s, _ = s.Apply(&wire.Command{Shift: d.Command})
 		}
 	}
-	h := s.Shifts()[0]
-	if h.Phase != wire.ShiftPhase_SHIFT_PHASE_FINISHED || h.Moved != 1000 || steps != 2 {
-		t.Errorf("phase %s after %d points in %d steps", h.Phase, h.Moved, steps)
+	sh := s.Shifts()[0]
+	if sh.Phase != wire.ShiftPhase_SHIFT_PHASE_FINISHED || sh.Moved != 1000 || steps != 2 {
+		t.Errorf("phase %s after %d points in %d steps", sh.Phase, sh.Moved, steps)
 	}
 }
 
-func TestAbortsOnceWhenTheDestinationIsLost(t *testing.T) {
+func TestAbortsOnceWhenDestinationIsLost(t *testing.T) {
 	now := time.Unix(10_000, 0)
-	s := begin(t, state(t), 1000)
+	s := startShift(t, newState(t), 1000)
 	p := NewPlanner(now)
-	ends := 0
+	aborts := 0
 	for range 200 {
 		now = now.Add(250 * time.Millisecond)
 		p.Observe(Measurement{Service: "web", Region: "east", Capacity: 100, InUse: 20, At: now})
@@ -135,14 +135,14 @@
 			next, result := s.Apply(&wire.Command{Shift: d.Command})
 			s = next
 			if result.Changed && d.Command.Action == wire.ShiftCommand_ACTION_ABORT {
-				ends++
+				aborts++
 			}
 		}
 	}
-	if ends != 1 || s.Shifts()[0].Phase != wire.ShiftPhase_SHIFT_PHASE_ABORTED {
-		t.Errorf("aborted %d times, phase %s", ends, s.Shifts()[0].Phase)
+	if aborts != 1 || s.Shifts()[0].Phase != wire.ShiftPhase_SHIFT_PHASE_ABORTED {
+		t.Errorf("aborted %d times, phase %s", aborts, s.Shifts()[0].Phase)
 	}
 }
 
-// fataler is what tests and properties share.
+// fataler is the part that tests and properties have in common.
 type fataler interface{ Fatal(args ...any) }
