--- a/pkg/admission/ratelimit.go
+++ b/pkg/admission/ratelimit.go
@@ -27,14 +27,14 @@
 // it grants at most limit * (grantShare+healthCheckShare) * (T+burstInterval) + 2 requests and
 // health checks. A new lease holder starts with an empty bucket when the target reports its limit.
 type rateLimiter struct {
-	shared     targetstatus.Shared
+	shared     targetstatus.SharedState
 	tokens     float64
 	refilledAt time.Time
 	checkedAt  time.Time
 }
 
 func newRateLimiter(target string) rateLimiter {
-	return rateLimiter{shared: targetstatus.Shared{Incarnation: target}}
+	return rateLimiter{shared: targetstatus.SharedState{Incarnation: target}}
 }
 
 // apply applies an update of the target.
--- a/pkg/balance/ratelimit.go
+++ b/pkg/balance/ratelimit.go
@@ -82,7 +82,7 @@
 		wait, reason = max(t.throttledUntil.Sub(now), wait), ReasonLimited
 	}
 	if !t.backOff.Allows(now, t.inFlightOnTime()) {
-		wait, reason = max(t.backOff.Left(now), wait), ReasonBackedOff
+		wait, reason = max(t.backOff.Remaining(now), wait), ReasonBackedOff
 	}
 	return wait, reason
 }
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-// In every span of the window's length the retries are at most the share of
-// the requests of that span and the one before, and the extra ones.
+// Checks that in every span of the window's length the retries are at most the share of
+// the requests of that span and the one before, plus the extra retries.
 func TestWindowBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const length, extra = 10 * time.Second, 5.0
-		w := NewWindow(0.2, length)
+		w := NewWindowBudget(0.2, length)
 		var firsts, retries []time.Duration
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			at += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond
 			if rapid.Bool().Draw(t, "first") {
-				w.First(at)
+				w.RecordFirst(at)
 				firsts = append(firsts, at)
 				continue
 			}
@@ -44,8 +44,8 @@
 	})
 }
 
-func TestWindowWithoutRequestsGivesTheExtraOnes(t *testing.T) {
-	w := NewWindow(0.2, 10*time.Second)
+func TestIdleWindowAllowsExtraRetries(t *testing.T) {
+	w := NewWindowBudget(0.2, 10*time.Second)
 	taken := 0
 	for range 20 {
 		if w.Take(time.Second, 5) {
@@ -57,20 +57,20 @@
 	}
 }
 
-// Asking whether there is a retry takes none.
-func TestWindowAllowsTakesNothing(t *testing.T) {
-	w := NewWindow(0, time.Second)
+// Allows must not consume a retry.
+func TestAllowsConsumesNothing(t *testing.T) {
+	w := NewWindowBudget(0, time.Second)
 	for range 3 {
 		if !w.Allows(0, 1.5) {
-			t.Fatal("the one retry was taken by asking")
+			t.Fatal("Allows consumed the only retry")
 		}
 	}
 	if !w.Take(0, 1.5) || w.Allows(0, 1.5) || w.Take(0, 1.5) {
-		t.Fatal("not one retry")
+		t.Fatal("want exactly one retry")
 	}
 }
 
-// Guards against more repeats than the share allows where callers move from one box to
+// Guards against more retries than the share allows when callers move from one box to
 // another.
 func TestWindowsOfTwoBoxesBoundRetriesWhenCallersMove(t *testing.T) {
 	const (
@@ -79,7 +79,7 @@
 		tenth        = length / 100
 		moved        = 150 // tenths after the start
 	)
-	boxes := []*Window{NewWindow(share, length), NewWindow(share, length)}
+	boxes := []*WindowBudget{NewWindowBudget(share, length), NewWindowBudget(share, length)}
 	rates := func(i int) []int {
 		if i < moved {
 			return []int{10, 10}
@@ -91,10 +91,10 @@
 		at := time.Duration(i) * tenth
 		for b, rate := range rates(i) {
 			for range rate {
-				boxes[b].First(at)
+				boxes[b].RecordFirst(at)
 			}
 			if i < moved {
-				continue // targets turn nothing away yet
+				continue // targets do not reject requests yet
 			}
 			firsts += rate
 			for range 2 * rate {
--- a/pkg/shift/example_test.go
+++ b/pkg/shift/example_test.go
@@ -9,7 +9,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// running returns a state with a shift of a tenth of the callers of east.
+// running returns a state with a running shift of a tenth of the callers of east.
 func running() (steering.State, error) {
 	s, result := steering.State{}.Apply(&wire.Command{Change: &wire.Change{Id: "tree", Edits: []*wire.Edit{
 		{Path: "/", Key: "shiftStepShare", Value: "8"},
@@ -37,8 +37,8 @@
 	p := shift.NewPlanner(now)
 	for _, west := range []float64{95, 20} { // slots in use; too full at first
 		now = now.Add(10 * time.Second)
-		p.Observe(shift.Reading{Service: "web", Region: "east", Capacity: 100, Carried: 60, At: now})
-		p.Observe(shift.Reading{Service: "web", Region: "west", Capacity: 100, Carried: west, At: now})
+		p.Observe(shift.Measurement{Service: "web", Region: "east", Capacity: 100, InUse: 60, At: now})
+		p.Observe(shift.Measurement{Service: "web", Region: "west", Capacity: 100, InUse: west, At: now})
 		for _, d := range p.Plan(now, s) {
 			if d.Command == nil {
 				fmt.Println("waits:", d.Reason)
