--- a/pkg/consensus/cluster_test.go
+++ b/pkg/consensus/cluster_test.go
@@ -53,7 +53,7 @@
 
 func (c *cluster) start(m *member) {
 	c.seed++
-	r, err := New(c.now, Config{ID: m.id, ElectionTimeout: 200 * time.Millisecond, Seed: c.seed, Trailing: 4, MaxBatch: 4}, m.stored)
+	r, err := New(c.now, Config{ID: m.id, ElectionTimeout: 200 * time.Millisecond, Seed: c.seed, TrailingEntries: 4, MaxBatch: 4}, m.stored)
 	if err != nil {
 		c.err = err
 		return
--- a/pkg/consensus/election_test.go
+++ b/pkg/consensus/election_test.go
@@ -51,7 +51,7 @@
 				return now.Sub(began)
 			}
 			at := now.Add(oneWay)
-			if out.Durable() {
+			if out.NeedsSync() {
 				at = at.Add(diskSync)
 			}
 			for _, message := range out.Messages {
--- a/pkg/consensus/event.go
+++ b/pkg/consensus/event.go
@@ -23,10 +23,10 @@
 	Data  []byte
 }
 
-// ProposeAll asks for commands to be appended one after the other. They travel
+// ProposeBatch asks for commands to be appended one after the other. They travel
 // together: eight other replicas get one message for up to Config.MaxBatch
 // commands, and send one answer, instead of one for each.
-type ProposeAll struct{ Proposals []Propose }
+type ProposeBatch struct{ Proposals []Propose }
 
 // Read asks for an index that is safe to read at. Token comes back in
 // Output.Reads.
@@ -44,13 +44,13 @@
 type Transfer struct{ To string }
 
 // Compact tells that the host has stored a snapshot; log entries up to its
-// index, less Config.Trailing, are let go.
+// index, less Config.TrailingEntries, are dropped.
 type Compact struct{ Snapshot *wire.Snapshot }
 
 func (Tick) event()             {}
 func (Receive) event()          {}
 func (Propose) event()          {}
-func (ProposeAll) event()       {}
+func (ProposeBatch) event()     {}
 func (Read) event()             {}
 func (ChangeMembership) event() {}
 func (Transfer) event()         {}
@@ -66,8 +66,8 @@
 	Err   error
 }
 
-// ReadReady answers a Read: state applied up to Index or later is current.
-type ReadReady struct {
+// ReadResult answers a Read: state applied up to Index or later is current.
+type ReadResult struct {
 	Token uint64
 	Index uint64
 	Err   error
@@ -94,12 +94,12 @@
 	Messages  []*wire.ConsensusMessage
 	Committed []*wire.Entry
 	Proposals []Proposal
-	Reads     []ReadReady
+	Reads     []ReadResult
 	Notices   []Notice
 }
 
-// Durable reports whether the output holds something to be synced.
-func (o Output) Durable() bool {
+// NeedsSync reports whether the output holds something to be synced.
+func (o Output) NeedsSync() bool {
 	return o.HardState != nil || o.Snapshot != nil || len(o.Entries) > 0
 }
 
--- a/pkg/consensus/repair.go
+++ b/pkg/consensus/repair.go
@@ -15,12 +15,12 @@
 // The steps by which a replica on a new disk takes the place of the one that
 // was at its address. Each is one change of the membership.
 const (
-	// RepairLearn: the replica is to be added as a learner.
-	RepairLearn RepairStep = "learn"
+	// RepairAddLearner: the replica is to be added as a learner.
+	RepairAddLearner RepairStep = "learn"
 	// RepairCatchUp: it does not yet hold all that is committed.
 	RepairCatchUp RepairStep = "catchUp"
-	// RepairRemove: the replica of the lost disk is to be removed.
-	RepairRemove RepairStep = "remove"
+	// RepairRemoveVoter: the replica of the lost disk is to be removed.
+	RepairRemoveVoter RepairStep = "remove"
 	// RepairPromote: the learner is to vote.
 	RepairPromote RepairStep = "promote"
 	// RepairFinished: the replica votes and holds all that is committed, so
@@ -46,14 +46,14 @@
 	}
 	if !contains(m.Learners, joining.Id) {
 		next.Learners = append(withoutAddress(next.Learners, joining.Address), joining)
-		return RepairLearn, next
+		return RepairAddLearner, next
 	}
 	if !caughtUp {
 		return RepairCatchUp, nil
 	}
 	if kept := withoutAddress(m.Voters, joining.Address); len(kept) < len(m.Voters) {
 		next.Voters = kept
-		return RepairRemove, next
+		return RepairRemoveVoter, next
 	}
 	next.Learners = withoutAddress(next.Learners, joining.Address)
 	next.Voters = append(next.Voters, joining)
@@ -84,7 +84,7 @@
 	}
 	next = proto.CloneOf(m)
 	next.Voters = without(m.Voters, lost)
-	return RepairRemove, next
+	return RepairRemoveVoter, next
 }
 
 // NextRemoval returns the membership without a voter that is lost for good, or
--- a/pkg/consensus/repair_test.go
+++ b/pkg/consensus/repair_test.go
@@ -39,7 +39,7 @@
 	m := members([]string{"a", "b", "c"}, []string{"n"})
 	joining := m.Learners[0]
 	step, next := NextReplacement(m, statusOf(m, 2*time.Second, "b"), joining)
-	if step != RepairRemove || len(next.Voters) != 2 || contains(next.Voters, "b") {
+	if step != RepairRemoveVoter || len(next.Voters) != 2 || contains(next.Voters, "b") {
 		t.Fatalf("got %s, %v", step, next)
 	}
 	step, next = NextReplacement(next, statusOf(next, 0), joining)
--- a/pkg/consensus/replica.go
+++ b/pkg/consensus/replica.go
@@ -39,8 +39,8 @@
 	HeartbeatInterval time.Duration
 	// MaxBatch bounds the entries of one message, beside their bytes. Default 64.
 	MaxBatch int
-	// Trailing is how many entries below a snapshot are kept. Default 256.
-	Trailing uint64
+	// TrailingEntries is how many entries below a snapshot are kept. Default 256.
+	TrailingEntries uint64
 	// Seed of the election timeouts.
 	Seed uint64
 }
@@ -77,8 +77,8 @@
 	if c.MaxBatch == 0 {
 		c.MaxBatch = defaultMaxBatch
 	}
-	if c.Trailing == 0 {
-		c.Trailing = defaultTrailing
+	if c.TrailingEntries == 0 {
+		c.TrailingEntries = defaultTrailing
 	}
 	return c
 }
@@ -174,7 +174,7 @@
 		r.receive(e.Message)
 	case Propose:
 		r.propose(e)
-	case ProposeAll:
+	case ProposeBatch:
 		r.propose(e.Proposals...)
 	case Read:
 		r.read(e)
@@ -183,7 +183,7 @@
 	case Transfer:
 		r.transfer(e.To)
 	case Compact:
-		r.log.compact(e.Snapshot, r.config.Trailing)
+		r.log.compact(e.Snapshot, r.config.TrailingEntries)
 	}
 	out := r.out
 	r.out = Output{}
--- a/pkg/consensus/replication.go
+++ b/pkg/consensus/replication.go
@@ -353,7 +353,7 @@
 
 func (r *Replica) read(e Read) {
 	if r.role != Leader {
-		r.out.Reads = append(r.out.Reads, ReadReady{Token: e.Token, Err: &NotLeaderError{Leader: r.leader}})
+		r.out.Reads = append(r.out.Reads, ReadResult{Token: e.Token, Err: &NotLeaderError{Leader: r.leader}})
 		return
 	}
 	r.round++
@@ -377,7 +377,7 @@
 			kept = append(kept, p)
 			continue
 		}
-		r.out.Reads = append(r.out.Reads, ReadReady{Token: p.token, Index: r.commit})
+		r.out.Reads = append(r.out.Reads, ReadResult{Token: p.token, Index: r.commit})
 	}
 	r.reads = kept
 }
@@ -394,7 +394,7 @@
 
 func (r *Replica) failReads() {
 	for _, p := range r.reads {
-		r.out.Reads = append(r.out.Reads, ReadReady{Token: p.token, Err: &NotLeaderError{}})
+		r.out.Reads = append(r.out.Reads, ReadResult{Token: p.token, Err: &NotLeaderError{}})
 	}
 	r.reads = nil
 }
--- a/pkg/consensus/together_test.go
+++ b/pkg/consensus/together_test.go
@@ -14,7 +14,7 @@
 	for range 10 {
 		c.round()
 	}
-	var all ProposeAll
+	var all ProposeBatch
 	for i := range commands {
 		all.Proposals = append(all.Proposals, Propose{Token: uint64(i + 1), Data: fmt.Append(nil, i)})
 	}
@@ -41,7 +41,7 @@
 		if m == leader {
 			continue
 		}
-		out := m.replica.Handle(c.now, ProposeAll{[]Propose{{Token: 1}, {Token: 2}}})
+		out := m.replica.Handle(c.now, ProposeBatch{[]Propose{{Token: 1}, {Token: 2}}})
 		if len(out.Proposals) != 2 || out.Proposals[0].Err == nil || out.Proposals[1].Err == nil {
 			t.Fatalf("%+v", out.Proposals)
 		}
