--- a/pkg/consensus/together_test.go
+++ b/pkg/consensus/batch_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Commands that are proposed together cost the leader a message to each replica for
-// each full batch, not one for each command, and are committed in their order.
+// TestCommandsProposedTogetherTravelTogether checks that a batch of commands costs one
+// message per replica and full batch, not one per command, and keeps its order.
 func TestCommandsProposedTogetherTravelTogether(t *testing.T) {
 	const commands = 150
 	c := newCluster(9, 1)
-	leader := c.elect(t)
+	leader := c.awaitLeader(t)
 	for range 10 {
-		c.round()
+		c.advance()
 	}
 	var all ProposeBatch
 	for i := range commands {
@@ -25,7 +25,7 @@
 		t.Errorf("%d messages, want at most %d", len(out.Messages), most)
 	}
 	if len(out.Entries) != commands || len(out.Proposals) != commands {
-		t.Fatalf("%d entries to store and %d proposals taken, want %d", len(out.Entries), len(out.Proposals), commands)
+		t.Fatalf("%d entries to store and %d proposals, want %d of each", len(out.Entries), len(out.Proposals), commands)
 	}
 	for i, p := range out.Proposals {
 		if p.Err != nil || p.Token != uint64(i+1) || p.Index != before+uint64(i)+1 {
@@ -34,9 +34,9 @@
 	}
 }
 
-func TestCommandsProposedTogetherAreAllRefusedByAFollower(t *testing.T) {
+func TestFollowerRefusesEveryProposalOfABatch(t *testing.T) {
 	c := newCluster(3, 1)
-	leader := c.elect(t)
+	leader := c.awaitLeader(t)
 	for _, m := range c.members {
 		if m == leader {
 			continue
--- a/pkg/consensus/doc.go
+++ b/pkg/consensus/doc.go
@@ -4,16 +4,16 @@
 // what must be made durable, then what may be sent, applied and answered. It
 // starts no goroutine, reads no clock, opens no file or socket and draws its
 // randomness from a seed, so the same events give the same outputs in a
-// daemon, in a test and in any other program that embeds it.
+// daemon, in a test and in any other program that embeds the package.
 //
 // The protocol is Raft as published by Ongaro and Ousterhout ("In Search of an
 // Understandable Consensus Algorithm", 2014) with the extensions of Ongaro's
 // thesis: pre-vote, a leader that steps down without a quorum, learners,
-// changes of one voter at a time, leadership transfer and reads confirmed by a
-// round of heartbeats.
+// single-voter membership changes, leadership transfer and linearizable reads
+// confirmed by a round of heartbeats.
 //
-// A host must follow one rule: everything in an Output that is to be stored
-// (HardState, Snapshot, Entries) is synced before any of its Messages is sent,
+// A host must follow one rule: everything in an Output that must be durable
+// (HardState, Snapshot, Entries) is synced to disk before any of its Messages is sent,
 // its Committed entries are applied or its Reads are answered. If the sync
 // fails, the host must stop the replica.
 package consensus
--- a/pkg/consensus/election.go
+++ b/pkg/consensus/election.go
@@ -4,34 +4,34 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-func (r *Replica) campaignPreVote() {
+func (r *Replica) startPreVote() {
 	r.role = PreCandidate
 	r.leader = ""
 	r.votes = map[string]bool{r.config.ID: true}
-	r.resetElection()
-	r.notice("no word from a leader")
+	r.resetElectionTimer()
+	r.addNotice("no word from a leader")
 	if r.wonVotes() {
-		r.campaign(false)
+		r.startElection(false)
 		return
 	}
-	r.askVotes(wire.MessageKind_MESSAGE_KIND_PRE_VOTE, r.term+1, false)
+	r.requestVotes(wire.MessageKind_MESSAGE_KIND_PRE_VOTE, r.term+1, false)
 }
 
-func (r *Replica) campaign(transfer bool) {
+func (r *Replica) startElection(transfer bool) {
 	r.role = Candidate
 	r.leader = ""
 	r.setHardState(r.term+1, r.config.ID)
 	r.votes = map[string]bool{r.config.ID: true}
-	r.resetElection()
-	r.notice("stands for election")
+	r.resetElectionTimer()
+	r.addNotice("stands for election")
 	if r.wonVotes() {
 		r.becomeLeader()
 		return
 	}
-	r.askVotes(wire.MessageKind_MESSAGE_KIND_VOTE, r.term, transfer)
+	r.requestVotes(wire.MessageKind_MESSAGE_KIND_VOTE, r.term, transfer)
 }
 
-func (r *Replica) askVotes(kind wire.MessageKind, term uint64, transfer bool) {
+func (r *Replica) requestVotes(kind wire.MessageKind, term uint64, transfer bool) {
 	for _, v := range r.voters() {
 		if v.Id == r.config.ID {
 			continue
@@ -57,17 +57,18 @@
 	return granted >= r.quorum()
 }
 
-// hearsLeader reports whether a leader wrote within the election timeout, so
-// that a replica that was cut off can't depose it.
-func (r *Replica) hearsLeader() bool {
+// hasLeaderContact reports whether a leader sent a message within the election
+// timeout. Such a replica grants no votes, so that a replica that returns from a
+// network partition can't depose a working leader.
+func (r *Replica) hasLeaderContact() bool {
 	if r.role == Leader {
 		return true
 	}
-	return r.leader != "" && r.now.Before(r.leaderContact.Add(r.config.ElectionTimeout))
+	return r.leader != "" && r.now.Before(r.lastLeaderContact.Add(r.config.ElectionTimeout))
 }
 
 func (r *Replica) receivePreVote(m *wire.ConsensusMessage) {
-	granted := m.Term > r.term && !r.hearsLeader() && r.log.upToDate(m.LogIndex, m.LogTerm) && r.mayVote()
+	granted := m.Term > r.term && !r.hasLeaderContact() && r.log.isUpToDate(m.LogIndex, m.LogTerm) && r.mayVote()
 	term := r.term
 	if granted {
 		term = m.Term
@@ -82,10 +83,10 @@
 
 func (r *Replica) receiveVote(m *wire.ConsensusMessage) {
 	free := r.vote == "" || r.vote == m.From
-	granted := m.Term == r.term && free && r.role == Follower && r.log.upToDate(m.LogIndex, m.LogTerm) && r.mayVote()
+	granted := m.Term == r.term && free && r.role == Follower && r.log.isUpToDate(m.LogIndex, m.LogTerm) && r.mayVote()
 	if granted {
 		r.setHardState(r.term, m.From)
-		r.resetElection()
+		r.resetElectionTimer()
 	}
 	r.send(&wire.ConsensusMessage{
 		Kind:   wire.MessageKind_MESSAGE_KIND_VOTE_ANSWER,
@@ -94,8 +95,9 @@
 	})
 }
 
-// mayVote is false for a replica that no membership it knows lets vote, above
-// all one that came back with an empty disk.
+// mayVote reports whether this replica is a voter of the membership it knows. A
+// replica that restarts with an empty disk knows no membership and must not vote:
+// it has lost the votes and entries that it acknowledged.
 func (r *Replica) mayVote() bool { return r.isVoter(r.config.ID) }
 
 func (r *Replica) receivePreVoteAnswer(m *wire.ConsensusMessage) {
@@ -104,7 +106,7 @@
 	}
 	r.votes[m.From] = true
 	if r.wonVotes() {
-		r.campaign(false)
+		r.startElection(false)
 	}
 }
 
@@ -121,18 +123,18 @@
 func (r *Replica) becomeLeader() {
 	r.role = Leader
 	r.leader = r.config.ID
-	r.metLeader = true
+	r.seenLeader = true
 	r.votes = nil
 	r.transferTo = ""
 	r.progress = make(map[string]*progress)
 	r.syncProgress()
-	r.heartbeatAt = r.now
-	r.quorumCheckAt = r.now.Add(r.config.ElectionTimeout)
-	r.notice("won the election")
-	r.appendOwn(wire.EntryKind_ENTRY_KIND_EMPTY, nil)
+	r.heartbeatDue = r.now
+	r.quorumCheckDue = r.now.Add(r.config.ElectionTimeout)
+	r.addNotice("won the election")
+	r.appendAndReplicate(wire.EntryKind_ENTRY_KIND_EMPTY, nil)
 }
 
-// receive dispatches a message after comparing its term with the present one.
+// receive compares the term of a message with the current one, then dispatches it.
 func (r *Replica) receive(m *wire.ConsensusMessage) {
 	if m.To != r.config.ID {
 		return
@@ -146,13 +148,13 @@
 		return
 	}
 	if m.Term > r.term {
-		if m.Kind == wire.MessageKind_MESSAGE_KIND_VOTE && !m.Transfer && r.hearsLeader() {
+		if m.Kind == wire.MessageKind_MESSAGE_KIND_VOTE && !m.Transfer && r.hasLeaderContact() {
 			return
 		}
 		r.becomeFollower(m.Term, "", "saw a higher term")
 	}
 	if m.Term < r.term {
-		r.answerOldTerm(m)
+		r.rejectStaleTerm(m)
 		return
 	}
 	switch m.Kind {
@@ -171,8 +173,9 @@
 	}
 }
 
-// answerOldTerm tells a deposed leader or a late candidate the present term.
-func (r *Replica) answerOldTerm(m *wire.ConsensusMessage) {
+// rejectStaleTerm tells a deposed leader or a candidate of an old term the current
+// term.
+func (r *Replica) rejectStaleTerm(m *wire.ConsensusMessage) {
 	switch m.Kind {
 	case wire.MessageKind_MESSAGE_KIND_APPEND, wire.MessageKind_MESSAGE_KIND_SNAPSHOT:
 		r.send(&wire.ConsensusMessage{Kind: wire.MessageKind_MESSAGE_KIND_APPEND_ANSWER, To: m.From, Reject: true})
@@ -185,5 +188,5 @@
 	if r.role != Follower || m.From != r.leader || !r.isVoter(r.config.ID) {
 		return
 	}
-	r.campaign(true)
+	r.startElection(true)
 }
--- a/pkg/consensus/election_test.go
+++ b/pkg/consensus/election_test.go
@@ -10,28 +10,29 @@
 
 // The delays of a deployment over three regions, and of its disks.
 const (
-	oneWay   = 12 * time.Millisecond
-	diskSync = 5 * time.Millisecond
-	timeout  = 800 * time.Millisecond
+	// Delays of a deployment over three regions and of its disks.
+	oneWayDelay  = 12 * time.Millisecond
+	syncDuration = 5 * time.Millisecond
+	timeout      = 800 * time.Millisecond
 )
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at      time.Time
 	message *wire.ConsensusMessage
 }
 
-// restart starts n replicas that stood in one membership within a spread of
-// 20 ms and returns how long it takes until one leads. Messages take time, and
-// what must be durable first is sent a sync later.
-func restart(n int, seed uint64) time.Duration {
+// timeToLeader starts n replicas of an existing membership within 20 ms of each other
+// and returns the time until one of them leads. Messages take oneWayDelay; the messages
+// of an output that needs a sync are sent syncDuration later.
+func timeToLeader(n int, seed uint64) time.Duration {
 	began := time.Unix(1000, 0)
 	c := newCluster(n, seed)
 	startAt := make(map[string]time.Time)
 	for i, m := range c.members {
 		startAt[m.id] = began.Add(time.Duration(i*20/n) * time.Millisecond)
 		config := Config{ID: m.id, ElectionTimeout: timeout, Seed: seed*100 + uint64(i)}
-		m.replica, _ = New(startAt[m.id], config, m.stored) // the same as newCluster has opened
+		m.replica, _ = New(startAt[m.id], config, m.stored) // newCluster has created one from the same state without an error
 	}
 	var way []delivery
 	for now := began; now.Before(began.Add(10 * timeout)); now = now.Add(time.Millisecond) {
@@ -50,9 +51,9 @@
 			if m.replica.Status(now).Role == Leader {
 				return now.Sub(began)
 			}
-			at := now.Add(oneWay)
+			at := now.Add(oneWayDelay)
 			if out.NeedsSync() {
-				at = at.Add(diskSync)
+				at = at.Add(syncDuration)
 			}
 			for _, message := range out.Messages {
 				way = append(way, delivery{at, message})
@@ -67,21 +68,22 @@
 	return 10 * timeout
 }
 
-// Where all replicas have started at once nothing is served until one leads.
+// TestFirstElectionIsQuick bounds the time to the first leader after all replicas start
+// at once, since nothing is served until there is one.
 func TestFirstElectionIsQuick(t *testing.T) {
 	for _, n := range []int{3, 5, 6} {
 		var took []time.Duration
 		sum := time.Duration(0)
 		for seed := range uint64(400) {
-			d := restart(n, seed+1)
+			d := timeToLeader(n, seed+1)
 			took = append(took, d)
 			sum += d
 		}
 		slices.Sort(took)
 		mean, most := sum/400, took[399]
 		if mean > 200*time.Millisecond || most > timeout {
-			t.Errorf("%d replicas have a leader after %v in the mean, %v in the middle, %v at the longest", n, mean, took[200], most)
+			t.Errorf("%d replicas have a leader after a mean of %v, a median of %v and a maximum of %v", n, mean, took[200], most)
 		}
-		t.Logf("%d replicas: mean %v, middle %v, 0.95 %v, longest %v", n, mean, took[200], took[380], most)
+		t.Logf("%d replicas: mean %v, median %v, 95th percentile %v, maximum %v", n, mean, took[200], took[380], most)
 	}
 }
--- a/pkg/consensus/event.go
+++ b/pkg/consensus/event.go
@@ -6,45 +6,46 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Event is one input of a Replica: Tick, Receive, Propose, ProposeAll, Read,
+// Event is an input of a Replica: Tick, Receive, Propose, ProposeBatch, Read,
 // ChangeMembership, Transfer or Compact.
 type Event interface{ event() }
 
-// Tick lets time pass. A host delivers it at least every heartbeat interval.
+// Tick advances the replica's clock and runs the timers that are due. A host
+// delivers it at least every heartbeat interval.
 type Tick struct{}
 
 // Receive delivers a message from another replica.
 type Receive struct{ Message *wire.ConsensusMessage }
 
-// Propose asks for Data to be appended as a command. Token comes back in
+// Propose appends Data to the log as a command. Token identifies the result in
 // Output.Proposals.
 type Propose struct {
 	Token uint64
 	Data  []byte
 }
 
-// ProposeBatch asks for commands to be appended one after the other. They travel
-// together: eight other replicas get one message for up to Config.MaxBatch
-// commands, and send one answer, instead of one for each.
+// ProposeBatch appends several commands in order. Each of the other replicas, eight in
+// a cluster of nine, gets one message for up to Config.MaxBatch commands and sends one
+// answer to it, instead of one for each command.
 type ProposeBatch struct{ Proposals []Propose }
 
-// Read asks for an index that is safe to read at. Token comes back in
-// Output.Reads.
+// Read requests an index at which a read is linearizable. Token identifies the
+// result in Output.Reads.
 type Read struct{ Token uint64 }
 
-// ChangeMembership asks for a new membership that differs from the present one
-// by one voter or any number of learners.
+// ChangeMembership proposes a membership that differs from the current one by at
+// most one voter and any number of learners.
 type ChangeMembership struct {
 	Token      uint64
 	Membership *wire.Membership
 }
 
-// Transfer asks the leader to hand its leadership to replica To, or to the
-// voter that is furthest along if To is empty.
+// Transfer asks the leader to transfer leadership to replica To, or to the voter
+// with the most up-to-date log if To is empty.
 type Transfer struct{ To string }
 
-// Compact tells that the host has stored a snapshot; log entries up to its
-// index, less Config.TrailingEntries, are dropped.
+// Compact reports that the host has stored a snapshot. The replica drops the log
+// entries up to the snapshot's index except the last Config.TrailingEntries.
 type Compact struct{ Snapshot *wire.Snapshot }
 
 func (Tick) event()             {}
@@ -56,9 +57,9 @@
 func (Transfer) event()         {}
 func (Compact) event()          {}
 
-// Proposal says where a proposed entry stands in the log, or why it was not
-// taken. An entry that was taken may still be lost: it is accepted only once
-// an entry with the same index and term is committed.
+// Proposal reports the log position of a proposed entry, or why the entry was not
+// appended. An appended entry may still be lost: it is final only once an entry
+// with the same index and term is committed.
 type Proposal struct {
 	Token uint64
 	Index uint64
@@ -66,14 +67,16 @@
 	Err   error
 }
 
-// ReadResult answers a Read: state applied up to Index or later is current.
+// ReadResult answers a Read: a read of state applied up to Index or later is
+// linearizable.
 type ReadResult struct {
 	Token uint64
 	Index uint64
 	Err   error
 }
 
-// Notice is a change of a replica's role.
+// Notice reports a change of a replica's role or leader, or an entry that it could
+// not decode.
 type Notice struct {
 	Role   Role
 	Term   uint64
@@ -81,15 +84,15 @@
 	Reason string
 }
 
-// Output is what a host must carry out after an event, in this order: store
+// Output lists what a host must do after an event, in this order: store
 // and sync HardState, Snapshot and Entries; then Restore, apply Committed,
 // send Messages and answer Proposals and Reads.
 type Output struct {
 	HardState *wire.HardState
 	// Snapshot was received from the leader and replaces the whole log.
 	Snapshot *wire.Snapshot
-	// Entries are to be appended; one whose index is already stored cuts off
-	// the stored entries from that index on.
+	// Entries are appended to the stored log. An entry whose index is already
+	// stored replaces the stored entries from that index on.
 	Entries   []*wire.Entry
 	Messages  []*wire.ConsensusMessage
 	Committed []*wire.Entry
@@ -98,13 +101,13 @@
 	Notices   []Notice
 }
 
-// NeedsSync reports whether the output holds something to be synced.
+// NeedsSync reports whether the output contains data that must be durable.
 func (o Output) NeedsSync() bool {
 	return o.HardState != nil || o.Snapshot != nil || len(o.Entries) > 0
 }
 
-// Merge returns o followed by next, so that a host can sync once for several
-// events.
+// Merge combines o with the output of a later event, so that a host can sync once
+// for several events.
 func (o Output) Merge(next Output) Output {
 	if next.HardState != nil {
 		o.HardState = next.HardState
@@ -123,9 +126,9 @@
 	return o
 }
 
-// NotLeaderError says that only the leader can do what was asked.
+// NotLeaderError is returned for a request that only the leader can serve.
 type NotLeaderError struct {
-	// Leader is the id of the leader as far as known, or empty.
+	// Leader is the ID of the leader, or empty if it is unknown.
 	Leader string
 }
 
@@ -137,13 +140,14 @@
 	return fmt.Sprintf("not the leader; the leader is %s", e.Leader)
 }
 
-// MembershipError says why a change of the membership was not begun.
+// MembershipError is returned for a membership change that was not proposed.
 type MembershipError struct{ Reason string }
 
 // Error implements error.
 func (e *MembershipError) Error() string { return "membership change: " + e.Reason }
 
-// TransferringError says that the leader is handing over and takes no proposals.
+// TransferringError is returned for a proposal while leadership is being
+// transferred.
 type TransferringError struct{ To string }
 
 // Error implements error.
--- a/pkg/consensus/membership.go
+++ b/pkg/consensus/membership.go
@@ -10,13 +10,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// membershipAt is the membership that took force with the entry at index.
+// membershipAt is the membership that took effect with the entry at index.
 type membershipAt struct {
 	index      uint64
 	membership *wire.Membership
 }
 
-// Membership returns the membership in force, which the caller must not change.
+// Membership returns the latest membership in the log, committed or not. The
+// caller must not modify it.
 func (r *Replica) Membership() *wire.Membership {
 	if len(r.memberships) == 0 {
 		return &wire.Membership{}
@@ -35,7 +36,7 @@
 	return m
 }
 
-func (r *Replica) cutMemberships(index uint64) {
+func (r *Replica) truncateMemberships(index uint64) {
 	for len(r.memberships) > 0 && r.memberships[len(r.memberships)-1].index >= index {
 		r.memberships = r.memberships[:len(r.memberships)-1]
 	}
@@ -47,7 +48,7 @@
 
 func (r *Replica) isVoter(id string) bool { return contains(r.voters(), id) }
 
-// others returns the ids of all replicas but this one, voters first.
+// others returns the IDs of all other replicas, voters first.
 func (r *Replica) others() []string {
 	ids := make([]string, 0, len(r.progress))
 	m := r.Membership()
@@ -59,15 +60,15 @@
 	return ids
 }
 
-// syncProgress gives every replica of the membership a progress record and
-// drops those of removed replicas.
+// syncProgress adds a progress record for every new replica of the membership and
+// drops the records of removed replicas.
 func (r *Replica) syncProgress() {
 	kept := make(map[string]*progress, len(r.progress))
 	for _, id := range r.others() {
 		p := r.progress[id]
 		if p == nil {
-			p = &progress{heard: r.now}
-			p.setBack(r.log.lastIndex() + 1)
+			p = &progress{lastAnswer: r.now}
+			p.resendFrom(r.log.lastIndex() + 1)
 		}
 		kept[id] = p
 	}
@@ -84,15 +85,15 @@
 		r.out.Proposals = append(r.out.Proposals, Proposal{Token: e.Token, Err: fmt.Errorf("encoding membership: %w", err)})
 		return
 	}
-	index := r.appendOwn(wire.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
+	index := r.appendAndReplicate(wire.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
 	r.out.Proposals = append(r.out.Proposals, Proposal{Token: e.Token, Index: index, Term: r.term})
 }
 
-// checkMembership allows one change of the voters at a time, begun by a leader
-// that has committed an entry of its own term, and lets only a learner that
-// holds everything committed become a voter.
+// checkMembership returns an error unless next is a safe change: the previous change
+// is committed, the leader has committed an entry of its own term, at most one voter
+// changes, and a new voter was a learner that holds all committed entries.
 func (r *Replica) checkMembership(next *wire.Membership) error {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkCanPropose(); err != nil {
 		return err
 	}
 	if term, held := r.log.term(r.commit); !held || term != r.term {
@@ -104,8 +105,8 @@
 	if len(next.Voters) == 0 {
 		return &MembershipError{Reason: "no voter would be left"}
 	}
-	added := missing(next.Voters, r.voters())
-	removed := missing(r.voters(), next.Voters)
+	added := subtract(next.Voters, r.voters())
+	removed := subtract(r.voters(), next.Voters)
 	if len(added)+len(removed) > 1 {
 		return &MembershipError{Reason: "more than one voter would change"}
 	}
@@ -121,25 +122,25 @@
 	return nil
 }
 
-func (r *Replica) transfer(to string) {
+func (r *Replica) startTransfer(to string) {
 	if r.role != Leader {
 		return
 	}
 	if to == "" {
-		to = r.furthestVoter()
+		to = r.mostUpToDateVoter()
 	}
 	if to == "" || to == r.config.ID || !r.isVoter(to) {
 		return
 	}
 	r.transferTo = to
-	r.transferUntil = r.now.Add(r.config.ElectionTimeout)
-	r.continueTransfer(to, r.progress[to])
+	r.transferDeadline = r.now.Add(r.config.ElectionTimeout)
+	r.maybeSendTimeoutNow(to, r.progress[to])
 }
 
-func (r *Replica) furthestVoter() string {
+func (r *Replica) mostUpToDateVoter() string {
 	best := ""
 	for _, v := range r.voters() {
-		if v.Id == r.config.ID || r.now.Sub(r.progress[v.Id].heard) > r.config.ElectionTimeout {
+		if v.Id == r.config.ID || r.now.Sub(r.progress[v.Id].lastAnswer) > r.config.ElectionTimeout {
 			continue
 		}
 		if best == "" || r.progress[v.Id].match > r.progress[best].match {
@@ -149,7 +150,7 @@
 	return best
 }
 
-func (r *Replica) continueTransfer(id string, p *progress) {
+func (r *Replica) maybeSendTimeoutNow(id string, p *progress) {
 	if r.transferTo != id || p.match != r.log.lastIndex() {
 		return
 	}
@@ -160,8 +161,8 @@
 	return slices.ContainsFunc(replicas, func(v *wire.Replica) bool { return v.Id == id })
 }
 
-// missing returns the replicas of a that are not in b.
-func missing(a, b []*wire.Replica) []*wire.Replica {
+// subtract returns the replicas of a that are not in b.
+func subtract(a, b []*wire.Replica) []*wire.Replica {
 	var out []*wire.Replica
 	for _, v := range a {
 		if !contains(b, v.Id) {
@@ -171,12 +172,12 @@
 	return out
 }
 
-// Peer is what a leader knows of another replica.
+// Peer is a leader's view of another replica.
 type Peer struct {
 	ID string
-	// Match is the highest index the replica is known to hold durably.
+	// Match is the highest index that the replica has acknowledged as durable.
 	Match uint64
-	// Silence is how long ago the replica last answered.
+	// Silence is the time since the replica last answered.
 	Silence time.Duration
 }
 
@@ -188,15 +189,16 @@
 	Leader    string
 	Commit    uint64
 	LastIndex uint64
-	// LeaderSilence is how long ago a leader last wrote; zero on the leader.
+	// LeaderSilence is the time since a leader last sent a message; zero on the
+	// leader.
 	LeaderSilence time.Duration
-	// CutOff tells that the replica is neither leader nor in touch with one.
+	// CutOff is true if the replica is not the leader and has lost contact with it.
 	CutOff bool
-	// Peers is filled on the leader only.
+	// Peers is set only on the leader.
 	Peers []Peer
 }
 
-// Status returns the replica's view at now.
+// Status returns the replica's status at now.
 func (r *Replica) Status(now time.Time) Status {
 	s := Status{
 		ID:        r.config.ID,
@@ -207,13 +209,13 @@
 		LastIndex: r.log.lastIndex(),
 	}
 	if r.role != Leader {
-		s.LeaderSilence = now.Sub(r.leaderContact)
+		s.LeaderSilence = now.Sub(r.lastLeaderContact)
 		s.CutOff = r.leader == "" || s.LeaderSilence > 2*r.config.ElectionTimeout
 		return s
 	}
 	for _, id := range r.others() {
 		p := r.progress[id]
-		s.Peers = append(s.Peers, Peer{ID: id, Match: p.match, Silence: now.Sub(p.heard)})
+		s.Peers = append(s.Peers, Peer{ID: id, Match: p.match, Silence: now.Sub(p.lastAnswer)})
 	}
 	return s
 }
--- a/pkg/consensus/repair.go
+++ b/pkg/consensus/repair.go
@@ -9,27 +9,27 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// RepairStep says how far the admission of a new replica has come.
+// RepairStep is a step of replacing a voter by a new replica.
 type RepairStep string
 
-// The steps by which a replica on a new disk takes the place of the one that
-// was at its address. Each is one change of the membership.
+// The steps by which a replica on a new disk replaces the one at the same address.
+// Each change of the membership is a step of its own.
 const (
-	// RepairAddLearner: the replica is to be added as a learner.
+	// RepairAddLearner adds the new replica as a learner.
 	RepairAddLearner RepairStep = "learn"
-	// RepairCatchUp: it does not yet hold all that is committed.
+	// RepairCatchUp waits until the new replica holds all committed entries.
 	RepairCatchUp RepairStep = "catchUp"
-	// RepairRemoveVoter: the replica of the lost disk is to be removed.
+	// RepairRemoveVoter removes the replica whose disk was lost.
 	RepairRemoveVoter RepairStep = "remove"
-	// RepairPromote: the learner is to vote.
+	// RepairPromote makes the learner a voter.
 	RepairPromote RepairStep = "promote"
-	// RepairFinished: the replica votes and holds all that is committed, so
-	// the next loss is survived.
+	// RepairFinished means that the new replica is a voter and holds all committed
+	// entries, so the cluster can bear the next loss.
 	RepairFinished RepairStep = "finished"
 )
 
-// NextRepair returns the next step of taking a joining replica in, and the
-// membership to ask for, which is nil when there is only to wait.
+// NextRepair returns the next step for a joining replica and the membership to
+// propose for it, which is nil if there is nothing to propose.
 func NextRepair(m *wire.Membership, s Status, joining *wire.Replica) (RepairStep, *wire.Membership) {
 	caughtUp := false
 	for _, p := range s.Peers {
@@ -45,67 +45,67 @@
 		return RepairCatchUp, nil
 	}
 	if !contains(m.Learners, joining.Id) {
-		next.Learners = append(withoutAddress(next.Learners, joining.Address), joining)
+		next.Learners = append(removeAddress(next.Learners, joining.Address), joining)
 		return RepairAddLearner, next
 	}
 	if !caughtUp {
 		return RepairCatchUp, nil
 	}
-	if kept := withoutAddress(m.Voters, joining.Address); len(kept) < len(m.Voters) {
+	if kept := removeAddress(m.Voters, joining.Address); len(kept) < len(m.Voters) {
 		next.Voters = kept
 		return RepairRemoveVoter, next
 	}
-	next.Learners = withoutAddress(next.Learners, joining.Address)
+	next.Learners = removeAddress(next.Learners, joining.Address)
 	next.Voters = append(next.Voters, joining)
 	return RepairPromote, next
 }
 
-// Silences after which a voter counts as lost. Source: a leader writes to every
-// replica each 200 ms, and a process that was killed is back within a second
-// or two; the contact time of the users' deployments is 3 to 4 s.
+// Silences after which a voter counts as lost. A leader sends to every replica each
+// 200 ms, and a process that was killed is back within 1 to 2 s. The users'
+// deployments allow 3 to 4 s for regaining contact.
 const (
-	// replaceAfter is for a voter whose place another replica waits for.
-	replaceAfter = 1500 * time.Millisecond
-	// removeAfter is for a voter that nobody is there to replace.
-	removeAfter = 10 * time.Second
+	// replaceVoterAfter applies while another replica waits to replace the voter.
+	replaceVoterAfter = 1500 * time.Millisecond
+	// removeVoterAfter applies while no replica is available to replace the voter.
+	removeVoterAfter = 10 * time.Second
 )
 
-// NextReplacement is NextRepair for a membership without fixed addresses: a
-// joining replica takes the place of the one at its address or, if there is
-// none, of a voter that is lost; if no voter is lost it becomes one more.
+// NextReplacement is NextRepair for a membership without fixed addresses: a joining
+// replica replaces the one at its address or, if there is none, a lost voter. If no
+// voter is lost, it becomes an additional voter.
 func NextReplacement(m *wire.Membership, s Status, joining *wire.Replica) (RepairStep, *wire.Membership) {
 	step, next := NextRepair(m, s, joining)
 	if step != RepairPromote {
 		return step, next
 	}
-	lost := longestSilent(m, s, replaceAfter)
+	lost := longestSilentVoter(m, s, replaceVoterAfter)
 	if lost == "" {
 		return step, next
 	}
 	next = proto.CloneOf(m)
-	next.Voters = without(m.Voters, lost)
+	next.Voters = removeID(m.Voters, lost)
 	return RepairRemoveVoter, next
 }
 
-// NextRemoval returns the membership without a voter that is lost for good, or
-// nil. It keeps as many voters as bear the loss of spare disks next to that of
-// one more replica, and lets one go only while all the others answer.
+// NextRemoval returns the membership without a voter that is lost for good, or nil if
+// no voter can be removed. It keeps enough voters to bear the loss of spare disks and
+// of one more replica, and removes a voter only while all the others answer.
 func NextRemoval(m *wire.Membership, s Status, spare int) *wire.Membership {
-	lost := longestSilent(m, s, removeAfter)
+	lost := longestSilentVoter(m, s, removeVoterAfter)
 	if lost == "" || len(m.Voters) <= 2*spare+3 {
 		return nil
 	}
 	next := proto.CloneOf(m)
-	next.Voters = without(m.Voters, lost)
-	if longestSilent(next, s, replaceAfter) != "" {
+	next.Voters = removeID(m.Voters, lost)
+	if longestSilentVoter(next, s, replaceVoterAfter) != "" {
 		return nil
 	}
 	return next
 }
 
-// longestSilent returns the voter that has been silent for longest, if that is
-// longer than after.
-func longestSilent(m *wire.Membership, s Status, after time.Duration) string {
+// longestSilentVoter returns the ID of the voter that has been silent longest, or
+// "" if none has been silent for longer than after.
+func longestSilentVoter(m *wire.Membership, s Status, after time.Duration) string {
 	lost := ""
 	longest := after
 	for _, p := range s.Peers {
@@ -117,11 +117,11 @@
 	return lost
 }
 
-func without(list []*wire.Replica, id string) []*wire.Replica {
+func removeID(list []*wire.Replica, id string) []*wire.Replica {
 	return slices.DeleteFunc(slices.Clone(list), func(r *wire.Replica) bool { return r.Id == id })
 }
 
-func withoutAddress(list []*wire.Replica, address string) []*wire.Replica {
+func removeAddress(list []*wire.Replica, address string) []*wire.Replica {
 	var out []*wire.Replica
 	for _, v := range list {
 		if v.Address != address {
--- a/pkg/consensus/repair_test.go
+++ b/pkg/consensus/repair_test.go
@@ -7,7 +7,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-func members(voters, learners []string) *wire.Membership {
+func membershipOf(voters, learners []string) *wire.Membership {
 	m := &wire.Membership{}
 	for _, id := range voters {
 		m.Voters = append(m.Voters, &wire.Replica{Id: id, Address: "at-" + id})
@@ -18,8 +18,8 @@
 	return m
 }
 
-// statusOf is a leader's view in which the named replicas are silent.
-func statusOf(m *wire.Membership, silence time.Duration, silent ...string) Status {
+// statusWithSilent returns a leader's status in which the given replicas are silent.
+func statusWithSilent(m *wire.Membership, silence time.Duration, silent ...string) Status {
 	s := Status{Commit: 10}
 	for _, list := range [][]*wire.Replica{m.Voters, m.Learners} {
 		for _, r := range list {
@@ -36,29 +36,29 @@
 }
 
 func TestReplacementTakesTheLostVotersPlace(t *testing.T) {
-	m := members([]string{"a", "b", "c"}, []string{"n"})
+	m := membershipOf([]string{"a", "b", "c"}, []string{"n"})
 	joining := m.Learners[0]
-	step, next := NextReplacement(m, statusOf(m, 2*time.Second, "b"), joining)
+	step, next := NextReplacement(m, statusWithSilent(m, 2*time.Second, "b"), joining)
 	if step != RepairRemoveVoter || len(next.Voters) != 2 || contains(next.Voters, "b") {
 		t.Fatalf("got %s, %v", step, next)
 	}
-	step, next = NextReplacement(next, statusOf(next, 0), joining)
+	step, next = NextReplacement(next, statusWithSilent(next, 0), joining)
 	if step != RepairPromote || !contains(next.Voters, "n") {
 		t.Fatalf("got %s, %v", step, next)
 	}
 }
 
-func TestReplacementWithoutALostVoterIsOneMore(t *testing.T) {
-	m := members([]string{"a", "b", "c"}, []string{"n"})
-	step, next := NextReplacement(m, statusOf(m, time.Second, "b"), m.Learners[0])
+func TestReplacementWithoutLostVoterAddsVoter(t *testing.T) {
+	m := membershipOf([]string{"a", "b", "c"}, []string{"n"})
+	step, next := NextReplacement(m, statusWithSilent(m, time.Second, "b"), m.Learners[0])
 	if step != RepairPromote || len(next.Voters) != 4 {
 		t.Fatalf("got %s, %v", step, next)
 	}
 }
 
 func TestReplacementMustCatchUp(t *testing.T) {
-	m := members([]string{"a", "b", "c"}, []string{"n"})
-	s := statusOf(m, 2*time.Second, "b")
+	m := membershipOf([]string{"a", "b", "c"}, []string{"n"})
+	s := statusWithSilent(m, 2*time.Second, "b")
 	s.Commit = 11
 	if step, next := NextReplacement(m, s, m.Learners[0]); step != RepairCatchUp || next != nil {
 		t.Fatalf("got %s, %v", step, next)
@@ -66,18 +66,18 @@
 }
 
 func TestRemovalKeepsEnoughVoters(t *testing.T) {
-	six := members([]string{"a", "b", "c", "d", "e", "f"}, nil)
-	if next := NextRemoval(six, statusOf(six, 11*time.Second, "b"), 1); next == nil || contains(next.Voters, "b") {
+	six := membershipOf([]string{"a", "b", "c", "d", "e", "f"}, nil)
+	if next := NextRemoval(six, statusWithSilent(six, 11*time.Second, "b"), 1); next == nil || contains(next.Voters, "b") {
 		t.Fatalf("got %v", next)
 	}
-	if next := NextRemoval(six, statusOf(six, 9*time.Second, "b"), 1); next != nil {
-		t.Fatal("let a replica go too soon")
+	if next := NextRemoval(six, statusWithSilent(six, 9*time.Second, "b"), 1); next != nil {
+		t.Fatal("a voter was removed after 9 s of silence")
 	}
-	if next := NextRemoval(six, statusOf(six, 11*time.Second, "b", "c"), 1); next != nil {
-		t.Fatal("let a replica go while another is silent")
+	if next := NextRemoval(six, statusWithSilent(six, 11*time.Second, "b", "c"), 1); next != nil {
+		t.Fatal("a voter was removed while another one is silent")
 	}
-	five := members([]string{"a", "b", "c", "d", "e"}, nil)
-	if next := NextRemoval(five, statusOf(five, 11*time.Second, "b"), 1); next != nil {
-		t.Fatal("too few voters are left to bear a lost disk")
+	five := membershipOf([]string{"a", "b", "c", "d", "e"}, nil)
+	if next := NextRemoval(five, statusWithSilent(five, 11*time.Second, "b"), 1); next != nil {
+		t.Fatal("a voter was removed, which leaves too few to survive a lost disk")
 	}
 }
--- a/pkg/consensus/replica.go
+++ b/pkg/consensus/replica.go
@@ -10,7 +10,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Role is what a replica does in the present term.
+// Role is the role of a replica in the current term.
 type Role int
 
 // The roles of a replica.
@@ -26,45 +26,48 @@
 	return [...]string{"follower", "preCandidate", "candidate", "leader"}[r]
 }
 
-// Config is what a replica is told at its start. The zero value of a duration
-// or size takes its default.
+// Config configures a replica. A duration or size of zero selects the default.
 type Config struct {
-	// ID identifies the replica; it must be new for every new disk.
+	// ID identifies the replica. Every new disk needs a new ID, since a replica
+	// that has lost its disk has also lost its votes.
 	ID string
-	// ElectionTimeout is how long a follower waits for a leader, at least; it
-	// waits up to twice as long. Default 1 s.
+	// ElectionTimeout is the minimum time for which a follower waits for a leader.
+	// The actual time is random, up to twice as long. Default 1 s.
 	ElectionTimeout time.Duration
-	// HeartbeatInterval is how often a leader writes to each replica. Default
-	// a fifth of ElectionTimeout.
+	// HeartbeatInterval is the interval at which a leader sends to each replica.
+	// Default a fifth of ElectionTimeout.
 	HeartbeatInterval time.Duration
-	// MaxBatch bounds the entries of one message, beside their bytes. Default 64.
+	// MaxBatch limits the number of entries in a message; their bytes are limited
+	// separately. Default 64.
 	MaxBatch int
-	// TrailingEntries is how many entries below a snapshot are kept. Default 256.
+	// TrailingEntries is the number of entries before a snapshot's index that are
+	// kept. Default 256.
 	TrailingEntries uint64
-	// Seed of the election timeouts.
+	// Seed seeds the random election timeouts.
 	Seed uint64
 }
 
 const (
-	defaultElectionTimeout = time.Second
-	defaultMaxBatch        = 64
-	defaultTrailing        = 256
-	heartbeatsPerElection  = 5
-	// A replica that has not heard of any leader since its start asks for
-	// votes after firstElectionPart of the election timeout, and again after
-	// retryElectionPart while nobody leads; both are spread over
-	// firstSpreadPart more. Where a leader leads, the others refuse the
-	// pre-vote and no term changes; where all replicas have started at once,
-	// nothing is served until one is elected. With round trips of 24 ms and
-	// syncs of 5 ms five replicas have a leader after 0.13 s in the mean and 0.4 s
-	// at the longest of 400 starts; with a first wait of 0.2 s spread over 0.8 s
-	// it was 0.40 s and 0.86 s (TestFirstElectionIsQuick).
-	firstElectionPart = 20
-	retryElectionPart = 10
-	firstSpreadPart   = 5
-	// nextElectionPart is the part that a candidate waits for votes: an
-	// election takes two round trips and a sync.
-	nextElectionPart = 2
+	defaultElectionTimeout       = time.Second
+	defaultMaxBatch              = 64
+	defaultTrailingEntries       = 256
+	heartbeatsPerElectionTimeout = 5
+	// A replica that has not seen a leader since its start requests pre-votes after
+	// ElectionTimeout/startupTimeoutDivisor, and again each
+	// ElectionTimeout/startupRetryDivisor until there is a leader. Both are extended by
+	// a random time of up to ElectionTimeout/startupJitterDivisor. The short timeout is
+	// safe: if there is a leader, the other replicas refuse the pre-vote and no term
+	// changes. It matters if all replicas start at once, since nothing is served until
+	// one is elected. With round trips of 24 ms and syncs of 5 ms, five replicas have a
+	// leader after 0.13 s on average and 0.4 s at most in 400 starts; with a first
+	// timeout of 0.2 s plus up to 0.8 s it was 0.40 s and 0.86 s
+	// (TestFirstElectionIsQuick).
+	startupTimeoutDivisor = 20
+	startupRetryDivisor   = 10
+	startupJitterDivisor  = 5
+	// A candidate waits at least ElectionTimeout/candidateTimeoutDivisor for votes:
+	// an election takes two round trips and a sync.
+	candidateTimeoutDivisor = 2
 )
 
 func (c Config) withDefaults() Config {
@@ -72,26 +75,25 @@
 		c.ElectionTimeout = defaultElectionTimeout
 	}
 	if c.HeartbeatInterval == 0 {
-		c.HeartbeatInterval = c.ElectionTimeout / heartbeatsPerElection
+		c.HeartbeatInterval = c.ElectionTimeout / heartbeatsPerElectionTimeout
 	}
 	if c.MaxBatch == 0 {
 		c.MaxBatch = defaultMaxBatch
 	}
 	if c.TrailingEntries == 0 {
-		c.TrailingEntries = defaultTrailing
+		c.TrailingEntries = defaultTrailingEntries
 	}
 	return c
 }
 
-// Stored is what a replica finds on its disk at its start.
+// Stored is the state that a replica finds on its disk at startup.
 type Stored struct {
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
 }
 
-// Replica is one member of the replicated log. It is not safe for concurrent
-// use: one loop owns it.
+// Replica is a member of the replicated log. It is not safe for concurrent use.
 type Replica struct {
 	config Config
 	random *rand.Rand
@@ -106,25 +108,26 @@
 
 	memberships []membershipAt
 
-	electionAt    time.Time
-	leaderContact time.Time
-	// metLeader tells that a leader was heard of since the start.
-	metLeader bool
-	votes     map[string]bool
+	electionDue       time.Time
+	lastLeaderContact time.Time
+	// seenLeader is true once the replica has led or received a message from a leader
+	// since its start.
+	seenLeader bool
+	votes      map[string]bool
 
-	progress      map[string]*progress
-	heartbeatAt   time.Time
-	quorumCheckAt time.Time
-	round         uint64
-	reads         []pendingRead
-	transferTo    string
-	transferUntil time.Time
+	progress         map[string]*progress
+	heartbeatDue     time.Time
+	quorumCheckDue   time.Time
+	round            uint64
+	reads            []pendingRead
+	transferTo       string
+	transferDeadline time.Time
 
 	out Output
 }
 
-// New returns a replica that goes on from what is stored. A replica without a
-// membership waits until a leader writes to it.
+// New returns a replica that continues from the stored state. A replica without a
+// membership stays passive until a leader contacts it.
 func New(now time.Time, config Config, stored Stored) (*Replica, error) {
 	r := &Replica{
 		config: config.withDefaults(),
@@ -154,15 +157,16 @@
 			return nil, err
 		}
 	}
-	r.electionAt = now.Add(r.firstWait(firstElectionPart))
+	r.electionDue = now.Add(r.startupTimeout(startupTimeoutDivisor))
 	return r, nil
 }
 
-// NextElection returns when the replica will ask for votes unless it hears of a
-// leader before; a Tick is due then.
-func (r *Replica) NextElection() time.Time { return r.electionAt }
+// NextElection returns when the replica will request votes unless a leader contacts
+// it first. The host should deliver a Tick at that time.
+func (r *Replica) NextElection() time.Time { return r.electionDue }
 
-// Handle lets time pass to now, takes one event and returns what to do.
+// Handle advances the clock to now, processes an event and returns what the host
+// must do.
 func (r *Replica) Handle(now time.Time, e Event) Output {
 	if now.After(r.now) {
 		r.now = now
@@ -181,7 +185,7 @@
 	case ChangeMembership:
 		r.changeMembership(e)
 	case Transfer:
-		r.transfer(e.To)
+		r.startTransfer(e.To)
 	case Compact:
 		r.log.compact(e.Snapshot, r.config.TrailingEntries)
 	}
@@ -195,14 +199,14 @@
 		r.tickLeader()
 		return
 	}
-	if r.now.Before(r.electionAt) {
+	if r.now.Before(r.electionDue) {
 		return
 	}
 	if !r.isVoter(r.config.ID) {
-		r.resetElection()
+		r.resetElectionTimer()
 		return
 	}
-	r.campaignPreVote()
+	r.startPreVote()
 }
 
 func (r *Replica) setHardState(term uint64, vote string) {
@@ -214,35 +218,36 @@
 	r.out.HardState = &wire.HardState{Term: term, Vote: vote}
 }
 
-func (r *Replica) notice(reason string) {
+func (r *Replica) addNotice(reason string) {
 	r.out.Notices = append(r.out.Notices, Notice{Role: r.role, Term: r.term, Leader: r.leader, Reason: reason})
 }
 
-func (r *Replica) resetElection() {
-	if !r.metLeader {
-		r.electionAt = r.now.Add(r.firstWait(retryElectionPart))
+func (r *Replica) resetElectionTimer() {
+	if !r.seenLeader {
+		r.electionDue = r.now.Add(r.startupTimeout(startupRetryDivisor))
 		return
 	}
 	least := r.config.ElectionTimeout
 	if r.role == PreCandidate || r.role == Candidate {
-		least /= nextElectionPart
+		least /= candidateTimeoutDivisor
 	}
-	r.electionAt = r.now.Add(r.spread(least))
+	r.electionDue = r.now.Add(r.randomTimeout(least))
 }
 
-// spread returns a time from least to an election timeout more, so that
-// replicas do not stand for election all at once.
-func (r *Replica) spread(least time.Duration) time.Duration {
+// randomTimeout returns a random time between least and least + ElectionTimeout, so
+// that replicas do not start elections simultaneously.
+func (r *Replica) randomTimeout(least time.Duration) time.Duration {
 	return least + time.Duration(r.random.Int64N(int64(r.config.ElectionTimeout)))
 }
 
-// firstWait returns a wait of a replica that has not heard of any leader.
-func (r *Replica) firstWait(part time.Duration) time.Duration {
-	spread := max(int64(r.config.ElectionTimeout/firstSpreadPart), 1)
+// startupTimeout returns the election timeout of a replica that has not seen a leader
+// since its start.
+func (r *Replica) startupTimeout(part time.Duration) time.Duration {
+	spread := max(int64(r.config.ElectionTimeout/startupJitterDivisor), 1)
 	return r.config.ElectionTimeout/part + time.Duration(r.random.Int64N(spread))
 }
 
-// becomeFollower enters term, forgetting the vote if the term is new.
+// becomeFollower switches to the follower role in term. A new term clears the vote.
 func (r *Replica) becomeFollower(term uint64, leader, reason string) {
 	wasLeader := r.role == Leader
 	changed := r.role != Follower || r.leader != leader
@@ -257,9 +262,9 @@
 		r.failReads()
 		r.progress = nil
 	}
-	r.resetElection()
+	r.resetElectionTimer()
 	if changed {
-		r.notice(reason)
+		r.addNotice(reason)
 	}
 }
 
@@ -271,8 +276,8 @@
 	r.out.Messages = append(r.out.Messages, m)
 }
 
-// appendEntry adds an entry to the log in memory and takes its membership into
-// force.
+// appendEntry adds an entry to the in-memory log. A membership entry takes effect at
+// once, before it is committed.
 func (r *Replica) appendEntry(e *wire.Entry) error {
 	r.log.append(e)
 	if e.Kind != wire.EntryKind_ENTRY_KIND_MEMBERSHIP {
@@ -286,23 +291,24 @@
 	return nil
 }
 
-// commitTo raises the commit index and hands out the entries it covers.
+// commitTo raises the commit index and outputs the newly committed entries.
 func (r *Replica) commitTo(index uint64) {
 	index = min(index, r.log.lastIndex())
 	if index <= r.commit {
 		return
 	}
-	r.out.Committed = append(r.out.Committed, r.log.between(r.commit, index)...)
+	r.out.Committed = append(r.out.Committed, r.log.entriesBetween(r.commit, index)...)
 	r.commit = index
 }
 
-// EntriesAfter returns the entries that are held after an index, for a host
-// that begins a new journal behind a snapshot.
+// EntriesAfter returns the entries after an index, for a host that starts a new
+// journal after storing a snapshot.
 func (r *Replica) EntriesAfter(index uint64) []*wire.Entry {
-	return r.log.between(index, r.log.lastIndex())
+	return r.log.entriesBetween(index, r.log.lastIndex())
 }
 
-// TermAt returns the term of a held entry, or zero.
+// TermAt returns the term of the entry at index, or zero if the log does not hold
+// it.
 func (r *Replica) TermAt(index uint64) uint64 {
 	term, _ := r.log.term(index)
 	return term
--- a/pkg/consensus/replication.go
+++ b/pkg/consensus/replication.go
@@ -7,28 +7,31 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// progress is what a leader knows of one replica's log.
+// progress is a leader's view of another replica's log: match is the highest index that
+// the replica has acknowledged, next the first index to send.
 type progress struct {
-	match uint64
-	next  uint64
-	heard time.Time
-	// queued is the first index that was queued since next was last set back, and
-	// since the round from which appends tell of what was queued then.
-	queued uint64
-	since  uint64
-	// sentAt is when something was last sent or acknowledged.
-	sentAt   time.Time
-	round    uint64
-	snapshot uint64
-	// told is the commit index that the replica was last told.
-	told uint64
+	match      uint64
+	next       uint64
+	lastAnswer time.Time
+	// windowStart is the first index sent since next was last reset. Rejections of
+	// rounds before minRejectRound concern appends from before that reset and are
+	// ignored.
+	windowStart    uint64
+	minRejectRound uint64
+	// lastActivity is when an entry or snapshot was last sent or an entry was last
+	// acknowledged.
+	lastActivity    time.Time
+	ackedRound      uint64
+	pendingSnapshot uint64
+	// sentCommit is the commit index last sent to the replica.
+	sentCommit uint64
 }
 
-// setBack has entries sent from next on.
-func (p *progress) setBack(next uint64) {
+// resendFrom resets the send window, so that entries from next on are sent again.
+func (p *progress) resendFrom(next uint64) {
 	p.next = next
-	p.queued = next
-	p.snapshot = 0
+	p.windowStart = next
+	p.pendingSnapshot = 0
 }
 
 type pendingRead struct {
@@ -38,33 +41,33 @@
 }
 
 func (r *Replica) tickLeader() {
-	if !r.now.Before(r.quorumCheckAt) {
-		r.quorumCheckAt = r.now.Add(r.config.ElectionTimeout)
-		if !r.hearsQuorum() {
+	if !r.now.Before(r.quorumCheckDue) {
+		r.quorumCheckDue = r.now.Add(r.config.ElectionTimeout)
+		if !r.hasQuorumContact() {
 			r.becomeFollower(r.term, "", "lost the quorum")
 			return
 		}
 	}
-	if r.transferTo != "" && !r.now.Before(r.transferUntil) {
+	if r.transferTo != "" && !r.now.Before(r.transferDeadline) {
 		r.transferTo = ""
 	}
-	if r.now.Before(r.heartbeatAt) {
+	if r.now.Before(r.heartbeatDue) {
 		return
 	}
-	r.heartbeatAt = r.now.Add(r.config.HeartbeatInterval)
+	r.heartbeatDue = r.now.Add(r.config.HeartbeatInterval)
 	r.round++
 	for _, id := range r.others() {
 		p := r.progress[id]
-		if p.next > p.match+1 && r.now.Sub(p.sentAt) >= r.resendAfter(p) {
-			p.setBack(p.match + 1)
+		if p.next > p.match+1 && r.now.Sub(p.lastActivity) >= r.resendTimeout(p) {
+			p.resendFrom(p.match + 1)
 		}
 		r.sendAppend(id)
 	}
 }
 
-// hearsQuorum reports whether a majority of the voters answered within the
+// hasQuorumContact reports whether a majority of the voters answered within the
 // election timeout.
-func (r *Replica) hearsQuorum() bool {
+func (r *Replica) hasQuorumContact() bool {
 	heard := 0
 	for _, v := range r.voters() {
 		if v.Id == r.config.ID {
@@ -72,7 +75,7 @@
 			continue
 		}
 		p := r.progress[v.Id]
-		if p != nil && r.now.Sub(p.heard) < r.config.ElectionTimeout {
+		if p != nil && r.now.Sub(p.lastAnswer) < r.config.ElectionTimeout {
 			heard++
 		}
 	}
@@ -80,20 +83,20 @@
 }
 
 func (r *Replica) propose(proposals ...Propose) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkCanPropose(); err != nil {
 		for _, e := range proposals {
 			r.out.Proposals = append(r.out.Proposals, Proposal{Token: e.Token, Err: err})
 		}
 		return
 	}
 	for _, e := range proposals {
-		index := r.addOwn(wire.EntryKind_ENTRY_KIND_COMMAND, e.Data)
+		index := r.appendAsLeader(wire.EntryKind_ENTRY_KIND_COMMAND, e.Data)
 		r.out.Proposals = append(r.out.Proposals, Proposal{Token: e.Token, Index: index, Term: r.term})
 	}
-	r.sendNew()
+	r.replicate()
 }
 
-func (r *Replica) mayPropose() error {
+func (r *Replica) checkCanPropose() error {
 	if r.role != Leader {
 		return &NotLeaderError{Leader: r.leader}
 	}
@@ -103,15 +106,17 @@
 	return nil
 }
 
-// appendOwn adds an entry of the leader's term and sends it to all.
-func (r *Replica) appendOwn(kind wire.EntryKind, data []byte) uint64 {
-	index := r.addOwn(kind, data)
-	r.sendNew()
+// appendAndReplicate appends an entry of the leader's term and sends it to all
+// replicas.
+func (r *Replica) appendAndReplicate(kind wire.EntryKind, data []byte) uint64 {
+	index := r.appendAsLeader(kind, data)
+	r.replicate()
 	return index
 }
 
-// addOwn adds an entry of the leader's term; sendNew must follow.
-func (r *Replica) addOwn(kind wire.EntryKind, data []byte) uint64 {
+// appendAsLeader appends an entry of the leader's term. The caller must call replicate
+// afterwards.
+func (r *Replica) appendAsLeader(kind wire.EntryKind, data []byte) uint64 {
 	e := &wire.Entry{Index: r.log.lastIndex() + 1, Term: r.term, Kind: kind, Data: data}
 	if err := r.appendEntry(e); err != nil {
 		panic(err) // the leader encoded the membership itself
@@ -120,27 +125,28 @@
 	return e.Index
 }
 
-// sendNew sends the entries that were added to all replicas that have room for them.
-func (r *Replica) sendNew() {
+// replicate sends new entries to all replicas whose send window is not full.
+func (r *Replica) replicate() {
 	r.syncProgress()
 	for _, id := range r.others() {
 		p := r.progress[id]
-		if r.isFull(p) {
+		if r.windowFull(p) {
 			continue
 		}
 		r.sendAppend(id)
-		for p.snapshot == 0 && p.next <= r.log.lastIndex() && !r.isFull(p) {
+		for p.pendingSnapshot == 0 && p.next <= r.log.lastIndex() && !r.windowFull(p) {
 			r.sendAppend(id)
 		}
 	}
 	r.advanceCommit()
 }
 
-// sendAppend sends what id lacks, or an empty heartbeat.
+// sendAppend sends replica id the next entries, a snapshot if the entries are gone or
+// larger, or a heartbeat if there is nothing to send.
 func (r *Replica) sendAppend(id string) {
 	p := r.progress[id]
 	before, held := r.log.term(p.next - 1)
-	if !held || p.snapshot == 0 && r.log.snapshotIsSmaller(p.next) {
+	if !held || p.pendingSnapshot == 0 && r.log.snapshotIsSmaller(p.next) {
 		r.sendSnapshot(id, p)
 		return
 	}
@@ -152,14 +158,14 @@
 		Commit:   r.commit,
 		Round:    r.round,
 	}
-	if p.snapshot == 0 {
+	if p.pendingSnapshot == 0 {
 		m.Entries = r.nextEntries(p)
 	}
 	if len(m.Entries) > 0 {
 		p.next += uint64(len(m.Entries))
-		p.sentAt = r.now
+		p.lastActivity = r.now
 	}
-	p.told = r.commit
+	p.sentCommit = r.commit
 	r.send(m)
 }
 
@@ -168,9 +174,9 @@
 	if s == nil {
 		return
 	}
-	p.setBack(s.Index + 1)
-	p.snapshot = s.Index
-	p.sentAt = r.now
+	p.resendFrom(s.Index + 1)
+	p.pendingSnapshot = s.Index
+	p.lastActivity = r.now
 	r.send(&wire.ConsensusMessage{
 		Kind:     wire.MessageKind_MESSAGE_KIND_SNAPSHOT,
 		To:       id,
@@ -180,27 +186,27 @@
 	})
 }
 
-func (r *Replica) acceptLeader(m *wire.ConsensusMessage) {
+func (r *Replica) followLeader(m *wire.ConsensusMessage) {
 	if r.role != Follower || r.leader != m.From {
 		r.becomeFollower(m.Term, m.From, "follows a leader")
 	}
-	r.leaderContact = r.now
-	r.metLeader = true
-	r.resetElection()
+	r.lastLeaderContact = r.now
+	r.seenLeader = true
+	r.resetElectionTimer()
 }
 
 func (r *Replica) receiveAppend(m *wire.ConsensusMessage) {
 	if r.role == Leader {
 		return
 	}
-	r.acceptLeader(m)
+	r.followLeader(m)
 	answer := &wire.ConsensusMessage{Kind: wire.MessageKind_MESSAGE_KIND_APPEND_ANSWER, To: m.From, Round: m.Round}
 	if m.LogIndex < r.commit {
-		// What is committed matches by definition; only newer entries matter.
+		// Committed entries match by definition; only later ones need a check.
 		answer.LogIndex = r.commit
 		if len(m.Entries) > 0 && m.Entries[len(m.Entries)-1].Index > r.commit {
 			skip := r.commit - m.LogIndex
-			if !r.storeEntries(m.Entries[skip:]) {
+			if !r.mergeEntries(m.Entries[skip:]) {
 				return
 			}
 			answer.LogIndex = m.Entries[len(m.Entries)-1].Index
@@ -217,7 +223,7 @@
 		r.send(answer)
 		return
 	}
-	if !r.storeEntries(m.Entries) {
+	if !r.mergeEntries(m.Entries) {
 		return
 	}
 	answer.LogIndex = m.LogIndex + uint64(len(m.Entries))
@@ -225,8 +231,8 @@
 	r.send(answer)
 }
 
-// conflictHint returns the highest index at which the logs may match, skipping
-// a whole conflicting term at a time.
+// conflictHint returns the highest index at which the logs may match. It skips a
+// whole conflicting term at a time, to save round trips.
 func (r *Replica) conflictHint(index uint64) uint64 {
 	if index > r.log.lastIndex() {
 		return r.log.lastIndex()
@@ -234,22 +240,22 @@
 	return max(r.log.firstOfTerm(index)-1, r.commit)
 }
 
-// storeEntries appends what is new, cutting off entries of another term. It
-// returns false if an entry can't be understood.
-func (r *Replica) storeEntries(entries []*wire.Entry) bool {
+// mergeEntries appends the entries that the log lacks and truncates the log at the
+// first conflicting one. It returns false if an entry can't be decoded.
+func (r *Replica) mergeEntries(entries []*wire.Entry) bool {
 	for i, e := range entries {
 		term, held := r.log.term(e.Index)
 		if held && term == e.Term {
 			continue
 		}
 		if held {
-			r.log.cut(e.Index)
-			r.cutMemberships(e.Index)
+			r.log.truncateFrom(e.Index)
+			r.truncateMemberships(e.Index)
 		}
 		for _, e := range entries[i:] {
 			if err := r.appendEntry(e); err != nil {
-				r.notice(err.Error())
-				r.log.cut(e.Index)
+				r.addNotice(err.Error())
+				r.log.truncateFrom(e.Index)
 				return false
 			}
 			r.out.Entries = append(r.out.Entries, e)
@@ -263,11 +269,13 @@
 	if r.role == Leader {
 		return
 	}
-	r.acceptLeader(m)
+	r.followLeader(m)
 	answer := &wire.ConsensusMessage{Kind: wire.MessageKind_MESSAGE_KIND_APPEND_ANSWER, To: m.From, Round: m.Round}
 	switch term, held := r.log.term(m.Snapshot.Index); {
 	case held && term == m.Snapshot.Term:
-		// What follows it here may have been acknowledged and committed with that.
+		// The log already contains the snapshot. Later entries must stay: this
+		// replica may have acknowledged them, and they may be committed on the
+		// strength of that.
 		r.commitTo(m.Snapshot.Index)
 	case m.Snapshot.Index > r.commit:
 		r.log.reset(m.Snapshot)
@@ -286,40 +294,40 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.heard = r.now
-	p.round = max(p.round, m.Round)
-	r.answerReads()
+	p.lastAnswer = r.now
+	p.ackedRound = max(p.ackedRound, m.Round)
+	r.answerConfirmedReads()
 	if m.Reject {
-		// Those of earlier rounds are about appends behind the same loss: each would
-		// send it all again.
-		if m.LogIndex > p.match && m.LogIndex < p.next && m.Round >= p.since {
+		// A rejection of an earlier round concerns an append sent after the same
+		// loss. Acting on each of them would resend everything each time.
+		if m.LogIndex > p.match && m.LogIndex < p.next && m.Round >= p.minRejectRound {
 			r.round++
-			p.since = r.round
-			p.setBack(max(min(m.Hint+1, m.LogIndex), p.match+1))
+			p.minRejectRound = r.round
+			p.resendFrom(max(min(m.Hint+1, m.LogIndex), p.match+1))
 			r.sendAppend(m.From)
 		}
 		return
 	}
 	if m.LogIndex > p.match {
 		p.match = m.LogIndex
-		p.sentAt = r.now
+		p.lastActivity = r.now
 		p.next = max(p.next, p.match+1)
 		r.advanceCommit()
 	}
-	if p.snapshot != 0 && p.match >= p.snapshot {
-		p.snapshot = 0
+	if p.pendingSnapshot != 0 && p.match >= p.pendingSnapshot {
+		p.pendingSnapshot = 0
 	}
 	if r.role != Leader {
 		return
 	}
-	if p.next <= r.log.lastIndex() && !r.isFull(p) || p.told < min(r.commit, p.match) {
+	if p.next <= r.log.lastIndex() && !r.windowFull(p) || p.sentCommit < min(r.commit, p.match) {
 		r.sendAppend(m.From)
 	}
-	r.continueTransfer(m.From, p)
+	r.maybeSendTimeoutNow(m.From, p)
 }
 
-// advanceCommit commits the highest entry of the leader's own term that a
-// majority holds.
+// advanceCommit commits the highest entry that a majority of the voters holds, if it
+// is of the leader's own term.
 func (r *Replica) advanceCommit() {
 	matches := make([]uint64, 0, len(r.voters()))
 	for _, v := range r.voters() {
@@ -339,13 +347,13 @@
 		return
 	}
 	r.commitTo(index)
-	r.answerReads()
+	r.answerConfirmedReads()
 	if !r.isVoter(r.config.ID) && r.memberships[len(r.memberships)-1].index <= r.commit {
 		r.becomeFollower(r.term, "", "removed from the membership")
 		return
 	}
 	for _, id := range r.others() {
-		if p := r.progress[id]; p.match == r.log.lastIndex() && p.told < r.commit {
+		if p := r.progress[id]; p.match == r.log.lastIndex() && p.sentCommit < r.commit {
 			r.sendAppend(id)
 		}
 	}
@@ -361,19 +369,20 @@
 	for _, id := range r.others() {
 		r.sendAppend(id)
 	}
-	r.answerReads()
+	r.answerConfirmedReads()
 }
 
-// answerReads answers the reads whose round a majority has confirmed, once an
-// entry of the leader's own term is committed.
-func (r *Replica) answerReads() {
+// answerConfirmedReads answers the reads whose round a majority has confirmed. It
+// answers none before an entry of the leader's own term is committed, since the
+// commit index may be stale until then.
+func (r *Replica) answerConfirmedReads() {
 	term, held := r.log.term(r.commit)
 	if len(r.reads) == 0 || !held || term != r.term {
 		return
 	}
 	kept := r.reads[:0]
 	for _, p := range r.reads {
-		if r.confirmed(p.round) < r.quorum() {
+		if r.countConfirmed(p.round) < r.quorum() {
 			kept = append(kept, p)
 			continue
 		}
@@ -382,10 +391,10 @@
 	r.reads = kept
 }
 
-func (r *Replica) confirmed(round uint64) int {
+func (r *Replica) countConfirmed(round uint64) int {
 	count := 0
 	for _, v := range r.voters() {
-		if v.Id == r.config.ID || r.progress[v.Id].round >= round {
+		if v.Id == r.config.ID || r.progress[v.Id].ackedRound >= round {
 			count++
 		}
 	}
--- a/pkg/consensus/start_test.go
+++ b/pkg/consensus/start_test.go
@@ -7,8 +7,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Replicas that start all at once elect a leader sooner than after the loss of
-// one: nothing is served until then.
+// TestStartedReplicaStandsSooner checks that a replica that has just started requests
+// votes sooner than one that has lost its leader: if all replicas start at once,
+// nothing is served until one is elected.
 func TestStartedReplicaStandsSooner(t *testing.T) {
 	const timeout = time.Second
 	m := &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}, {Id: "c"}}}
@@ -20,12 +21,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		least, most := timeout/firstElectionPart, timeout/firstElectionPart+timeout
+		least, most := timeout/startupTimeoutDivisor, timeout/startupTimeoutDivisor+timeout
 		if out := r.Handle(now.Add(least-time.Millisecond), Tick{}); len(out.Messages) > 0 {
-			t.Fatalf("seed %d: stood before %s", seed, least)
+			t.Fatalf("seed %d: requested votes before %s", seed, least)
 		}
 		if out := r.Handle(now.Add(most), Tick{}); len(out.Messages) == 0 {
-			t.Fatalf("seed %d: did not stand after %s", seed, most)
+			t.Fatalf("seed %d: did not request votes after %s", seed, most)
 		}
 	}
 }
