--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -76,7 +76,7 @@
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
-	if err := journal.MakeFolder(c.Folder); err != nil {
+	if err := journal.MakeDir(c.Folder); err != nil {
 		return nil, fmt.Errorf("making the data folder: %w", err)
 	}
 	events := c.Folder
@@ -122,8 +122,8 @@
 	r.clock, r.inbox.clock = d.clock, d.clock
 	d.replica = r
 	d.learning = lookup.NewLearning(len(r.machine.Membership().GetVoters()) > 0)
-	if found.CutBytes > 0 {
-		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.CutBytes)
+	if found.TruncatedBytes > 0 {
+		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
 	d.publishing = relay.NewPublishing(r.state, d.age, d.process.Clock.Stamp)
--- a/pkg/journal/files.go
+++ b/pkg/journal/files.go
@@ -20,11 +20,11 @@
 // Files is the disk as the journal uses it.
 type Files struct {
 	// Open opens a file for appending and creates it if it is missing.
-	Open       func(path string) (File, error)
-	ReadFile   func(path string) ([]byte, error)
-	Rename     func(from, to string) error
-	Remove     func(path string) error
-	SyncFolder func(path string) error
+	Open     func(path string) (File, error)
+	ReadFile func(path string) ([]byte, error)
+	Rename   func(from, to string) error
+	Remove   func(path string) error
+	SyncDir  func(path string) error
 	// Lock takes the folder for this process until the returned function runs.
 	Lock func(path string) (unlock func() error, err error)
 }
@@ -37,12 +37,12 @@
 // OSFiles returns the operating system's files.
 func OSFiles() Files {
 	return Files{
-		Open:       openOS,
-		ReadFile:   os.ReadFile,
-		Rename:     os.Rename,
-		Remove:     os.Remove,
-		SyncFolder: syncFolder,
-		Lock:       lockFile,
+		Open:     openOS,
+		ReadFile: os.ReadFile,
+		Rename:   os.Rename,
+		Remove:   os.Remove,
+		SyncDir:  syncFolder,
+		Lock:     lockFile,
 	}
 }
 
@@ -73,8 +73,8 @@
 	return f.Close, nil
 }
 
-// MakeFolder creates a data folder if it is missing.
-func MakeFolder(path string) error {
+// MakeDir creates a data folder if it is missing.
+func MakeDir(path string) error {
 	return os.MkdirAll(path, folderPermissions)
 }
 
--- a/pkg/journal/journal.go
+++ b/pkg/journal/journal.go
@@ -45,8 +45,8 @@
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// CutBytes is the length of the torn tail that was cut off.
-	CutBytes int64
+	// TruncatedBytes is the length of the torn tail that was cut off.
+	TruncatedBytes int64
 }
 
 // Journal is an open data folder. It is not safe for concurrent use.
@@ -94,10 +94,10 @@
 	if j.file, err = j.files.Open(j.path(journalName)); err != nil {
 		return nil, fmt.Errorf("opening the journal: %w", err)
 	}
-	if err := j.files.SyncFolder(j.folder); err != nil {
+	if err := j.files.SyncDir(j.folder); err != nil {
 		return nil, fmt.Errorf("syncing the data folder: %w", err)
 	}
-	if out.CutBytes == 0 {
+	if out.TruncatedBytes == 0 {
 		return out, nil
 	}
 	if err := j.file.Truncate(j.size); err != nil {
@@ -145,7 +145,7 @@
 			if laterFrame(data[offset:]) {
 				return &DamageError{File: path, Offset: int64(offset), Reason: reason}
 			}
-			out.CutBytes = int64(len(data) - offset)
+			out.TruncatedBytes = int64(len(data) - offset)
 			break
 		}
 		if j.sequence != 0 && sequence != j.sequence+1 {
@@ -243,7 +243,7 @@
 	if err := j.files.Rename(path+temporary, path); err != nil {
 		return fmt.Errorf("renaming %s: %w", name, err)
 	}
-	if err := j.files.SyncFolder(j.folder); err != nil {
+	if err := j.files.SyncDir(j.folder); err != nil {
 		return fmt.Errorf("syncing the data folder: %w", err)
 	}
 	return nil
--- a/pkg/journal/journal_test.go
+++ b/pkg/journal/journal_test.go
@@ -77,8 +77,8 @@
 			t.Fatal(err)
 		}
 		j, found := mustOpen(t, folder)
-		if len(found.Entries) != 2 || found.CutBytes != cut-sizes[1] || found.HardState.Term != 2 {
-			t.Fatalf("cut at %d: got %d entries, cut %d bytes", cut, len(found.Entries), found.CutBytes)
+		if len(found.Entries) != 2 || found.TruncatedBytes != cut-sizes[1] || found.HardState.Term != 2 {
+			t.Fatalf("cut at %d: got %d entries, cut %d bytes", cut, len(found.Entries), found.TruncatedBytes)
 		}
 		if err := j.Append(nil, []*wire.Entry{entry(3, 9, "new")}); err != nil {
 			t.Fatal(err)
@@ -195,14 +195,14 @@
 func TestNewJournalIsInTheFolder(t *testing.T) {
 	files := OSFiles()
 	made, synced := false, false
-	open, sync := files.Open, files.SyncFolder
+	open, sync := files.Open, files.SyncDir
 	files.Open = func(path string) (File, error) {
 		if filepath.Base(path) == journalName {
 			made, synced = true, false
 		}
 		return open(path)
 	}
-	files.SyncFolder = func(path string) error {
+	files.SyncDir = func(path string) error {
 		synced = true
 		return sync(path)
 	}
@@ -240,7 +240,7 @@
 		}
 		j, again := mustOpen(t, folder)
 		defer j.Close()
-		again.CutBytes = found.CutBytes
+		again.TruncatedBytes = found.TruncatedBytes
 		if diff := cmp.Diff(found, again, protocmp.Transform()); diff != "" {
 			t.Errorf("opened twice: %s", diff)
 		}
