--- a/pkg/consensus/election_test.go
+++ b/pkg/consensus/election_test.go
@@ -8,9 +8,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// The delays of a deployment over three regions, and of its disks.
+// Delays of a deployment over three regions and of its disks.
 const (
-	// Delays of a deployment over three regions and of its disks.
 	oneWayDelay  = 12 * time.Millisecond
 	syncDuration = 5 * time.Millisecond
 	timeout      = 800 * time.Millisecond
--- a/pkg/journal/example_test.go
+++ b/pkg/journal/example_test.go
@@ -9,9 +9,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// store keeps an entry as a replica does before it acknowledges it.
-func store(folder string) error {
-	j, _, err := journal.Open(folder, "replica", journal.OSFiles())
+// store appends an entry, as a replica does before it acknowledges the entry.
+func store(dir string) error {
+	j, _, err := journal.Open(dir, "replica", journal.OSFiles())
 	if err != nil {
 		return err
 	}
@@ -19,21 +19,21 @@
 	return errors.Join(err, j.Close())
 }
 
-// ExampleOpen finds what was stored before.
+// ExampleOpen recovers what was stored before.
 func ExampleOpen() {
-	folder, err := os.MkdirTemp("", "journal")
+	dir, err := os.MkdirTemp("", "journal")
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer os.RemoveAll(folder)
-	if err := store(folder); err != nil {
+	defer os.RemoveAll(dir)
+	if err := store(dir); err != nil {
 		fmt.Println(err)
 		return
 	}
-	j, found, err := journal.Open(folder, "replica", journal.OSFiles())
+	j, found, err := journal.Open(dir, "replica", journal.OSFiles())
 	if err != nil {
-		fmt.Println(err) // a DamageError if the disk has changed what was stored
+		fmt.Println(err) // a DamageError if the stored data is damaged
 		return
 	}
 	fmt.Println("fresh", found.Fresh, "term", found.HardState.Term, "data", string(found.Entries[0].Data))
--- a/pkg/journal/files.go
+++ b/pkg/journal/files.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// File is an open file as the journal uses it. Each function field is a seam
-// at which a test can make the disk fail.
+// File is an open file as the journal uses it. Its functions are fields, so that tests
+// can inject disk failures.
 type File struct {
 	Write    func(data []byte) (int, error)
 	Sync     func() error
@@ -17,36 +17,36 @@
 	Close    func() error
 }
 
-// Files is the disk as the journal uses it.
+// Files is the file system as the journal uses it.
 type Files struct {
-	// Open opens a file for appending and creates it if it is missing.
+	// Open opens a file for appending and creates it if it does not exist.
 	Open     func(path string) (File, error)
 	ReadFile func(path string) ([]byte, error)
 	Rename   func(from, to string) error
 	Remove   func(path string) error
 	SyncDir  func(path string) error
-	// Lock takes the folder for this process until the returned function runs.
+	// Lock locks a file for this process until unlock is called.
 	Lock func(path string) (unlock func() error, err error)
 }
 
 const (
-	filePermissions   = 0o600
-	folderPermissions = 0o700
+	filePermissions = 0o600
+	dirPermissions  = 0o700
 )
 
-// OSFiles returns the operating system's files.
+// OSFiles returns the files of the operating system.
 func OSFiles() Files {
 	return Files{
-		Open:     openOS,
+		Open:     openFile,
 		ReadFile: os.ReadFile,
 		Rename:   os.Rename,
 		Remove:   os.Remove,
-		SyncDir:  syncFolder,
+		SyncDir:  syncDir,
 		Lock:     lockFile,
 	}
 }
 
-func openOS(path string) (File, error) {
+func openFile(path string) (File, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_APPEND, filePermissions)
 	if err != nil {
 		return File{}, err
@@ -54,7 +54,7 @@
 	return File{Write: f.Write, Sync: f.Sync, Truncate: f.Truncate, Close: f.Close}, nil
 }
 
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -73,9 +73,9 @@
 	return f.Close, nil
 }
 
-// MakeDir creates a data folder if it is missing.
+// MakeDir creates a data directory if it does not exist.
 func MakeDir(path string) error {
-	return os.MkdirAll(path, folderPermissions)
+	return os.MkdirAll(path, dirPermissions)
 }
 
 func isMissing(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/pkg/journal/frame.go
+++ b/pkg/journal/frame.go
@@ -6,18 +6,19 @@
 	"hash/crc32"
 )
 
-// A frame is magic, length of the payload, checksum, sequence number and
-// payload; the checksum covers all that follows it and the length.
+// A frame consists of a magic number, the length of the payload, a checksum, a
+// sequence number and the payload. The checksum covers the length and everything after
+// the checksum.
 const (
-	frameMagic    = 0x4c53_4a31
-	frameHeader   = 20
-	maxFrameBytes = 64 << 20
+	frameMagic       = 0x4c53_4a31
+	frameHeaderBytes = 20
+	maxFrameBytes    = 64 << 20
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// DamageError says that a file of the data folder is damaged at a place where
-// no crash can have left it so.
+// DamageError is returned if a file in the data directory is damaged in a way that a
+// crash can't cause.
 type DamageError struct {
 	File   string
 	Offset int64
@@ -41,14 +42,14 @@
 }
 
 func frameChecksum(frame []byte) uint32 {
-	sum := crc32.Update(0, checksums, frame[4:8])
-	return crc32.Update(sum, checksums, frame[12:])
+	sum := crc32.Update(0, crcTable, frame[4:8])
+	return crc32.Update(sum, crcTable, frame[12:])
 }
 
-// readFrame reads the frame at the start of data; size is its whole length,
-// and reason says why there is none.
-func readFrame(data []byte) (sequence uint64, payload []byte, size int, reason string) {
-	if len(data) < frameHeader {
+// parseFrame parses the frame at the start of data. size is the length of the whole
+// frame; reason is empty, or says why there is no valid frame.
+func parseFrame(data []byte) (sequence uint64, payload []byte, size int, reason string) {
+	if len(data) < frameHeaderBytes {
 		return 0, nil, 0, "the header is cut short"
 	}
 	if binary.BigEndian.Uint32(data) != frameMagic {
@@ -58,23 +59,24 @@
 	if length > maxFrameBytes {
 		return 0, nil, 0, fmt.Sprintf("a length of %d bytes is not possible", length)
 	}
-	size = frameHeader + int(length)
+	size = frameHeaderBytes + int(length)
 	if len(data) < size {
 		return 0, nil, 0, "the payload is cut short"
 	}
 	if binary.BigEndian.Uint32(data[8:]) != frameChecksum(data[:size]) {
 		return 0, nil, 0, "the checksum does not match"
 	}
-	return binary.BigEndian.Uint64(data[12:]), data[frameHeader:size], size, ""
+	return binary.BigEndian.Uint64(data[12:]), data[frameHeaderBytes:size], size, ""
 }
 
-// laterFrame reports whether a whole frame begins anywhere in data.
-func laterFrame(data []byte) bool {
-	for i := 1; i+frameHeader <= len(data); i++ {
+// containsFrame reports whether a valid frame begins anywhere in data after its first
+// byte.
+func containsFrame(data []byte) bool {
+	for i := 1; i+frameHeaderBytes <= len(data); i++ {
 		if binary.BigEndian.Uint32(data[i:]) != frameMagic {
 			continue
 		}
-		if _, _, _, reason := readFrame(data[i:]); reason == "" {
+		if _, _, _, reason := parseFrame(data[i:]); reason == "" {
 			return true
 		}
 	}
--- a/pkg/journal/journal.go
+++ b/pkg/journal/journal.go
@@ -1,13 +1,12 @@
-// Package journal keeps a replica's hard state, log and snapshot in one data
-// folder, so that what Append and SaveSnapshot have returned from survives a
-// crash.
+// Package journal stores a replica's hard state, log and snapshot in a data directory,
+// so that the data of every successful Append and SaveSnapshot survives a crash.
 //
-// The journal is a file of frames. Each frame holds one batch and is synced
-// before the next is written. A bad frame that nothing follows is therefore
-// the torn tail of a crash and is cut off; a bad frame that a whole frame
-// follows is damage, and Open refuses with a DamageError and changes nothing.
-// A failed write or sync breaks the journal: what the disk holds is no longer known,
-// so every later call fails until Reopen has read it.
+// The journal is a file of frames. Each frame holds one batch and is synced before the
+// next is written. A bad frame with no valid frame after it is therefore the torn tail
+// of a crash and is truncated. A bad frame followed by a valid one is damage: Open
+// returns a DamageError and changes nothing. After a failed write or sync the content
+// of the disk is unknown, so every later call fails until Reopen has read the journal
+// again.
 package journal
 
 import (
@@ -22,36 +21,37 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Names of the files in the data folder.
+// Names of the files in the data directory.
 const (
 	journalName  = "journal"
 	snapshotName = "snapshot"
 	identityName = "identity"
 	lockName     = "lock"
-	temporary    = ".tmp"
+	tempSuffix   = ".tmp"
 
 	identityBytes = 6
 )
 
-// ErrBroken is returned by every call after a write or sync has failed.
+// ErrBroken is returned by every call after a failed write or sync, until Reopen
+// succeeds.
 var ErrBroken = errors.New("the journal is broken by an earlier failure of the disk")
 
-// Recovered is what Open found.
+// Recovered is the state that Open found.
 type Recovered struct {
-	// ID is the identity of this disk, made when the folder was first opened.
+	// ID identifies this disk. It is generated when the directory is first opened.
 	ID string
-	// Fresh tells that the folder held no state.
+	// Fresh is true if the directory held no state.
 	Fresh     bool
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// TruncatedBytes is the length of the torn tail that was cut off.
+	// TruncatedBytes is the length of the torn tail that was removed.
 	TruncatedBytes int64
 }
 
-// Journal is an open data folder. It is not safe for concurrent use.
+// Journal is an open data directory. It is not safe for concurrent use.
 type Journal struct {
-	folder   string
+	dir      string
 	files    Files
 	file     File
 	sequence uint64
@@ -60,14 +60,14 @@
 	unlock   func() error
 }
 
-// Open opens the data folder, which must exist, and recovers its content. The
-// prefix begins a newly made identity.
-func Open(folder, prefix string, files Files) (*Journal, *Recovered, error) {
-	unlock, err := files.Lock(filepath.Join(folder, lockName))
+// Open opens the data directory, which must exist, and recovers its content. A new
+// identity starts with prefix.
+func Open(dir, prefix string, files Files) (*Journal, *Recovered, error) {
+	unlock, err := files.Lock(filepath.Join(dir, lockName))
 	if err != nil {
 		return nil, nil, fmt.Errorf("locking the data folder: %w", err)
 	}
-	j := &Journal{folder: folder, files: files, unlock: unlock}
+	j := &Journal{dir: dir, files: files, unlock: unlock}
 	recovered, err := j.recover(prefix)
 	if err != nil {
 		return nil, nil, errors.Join(err, unlock())
@@ -75,7 +75,7 @@
 	return j, recovered, nil
 }
 
-func (j *Journal) path(name string) string { return filepath.Join(j.folder, name) }
+func (j *Journal) path(name string) string { return filepath.Join(j.dir, name) }
 
 func (j *Journal) recover(prefix string) (*Recovered, error) {
 	out := &Recovered{}
@@ -86,15 +86,15 @@
 	if err := j.readJournal(out); err != nil {
 		return nil, err
 	}
-	dropCovered(out)
+	dropSnapshotted(out)
 	out.Fresh = out.HardState == nil && out.Snapshot == nil && len(out.Entries) == 0
-	if out.ID, err = j.identity(prefix, out.Fresh); err != nil {
+	if out.ID, err = j.loadOrCreateID(prefix, out.Fresh); err != nil {
 		return nil, err
 	}
 	if j.file, err = j.files.Open(j.path(journalName)); err != nil {
 		return nil, fmt.Errorf("opening the journal: %w", err)
 	}
-	if err := j.files.SyncDir(j.folder); err != nil {
+	if err := j.files.SyncDir(j.dir); err != nil {
 		return nil, fmt.Errorf("syncing the data folder: %w", err)
 	}
 	if out.TruncatedBytes == 0 {
@@ -118,13 +118,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the snapshot: %w", err)
 	}
-	_, payload, _, reason := readFrame(data)
+	_, payload, _, reason := parseFrame(data)
 	if reason != "" {
 		return nil, &DamageError{File: path, Reason: reason}
 	}
 	s := &wire.Snapshot{}
 	if err := proto.Unmarshal(payload, s); err != nil {
-		return nil, &DamageError{File: path, Offset: frameHeader, Reason: err.Error()}
+		return nil, &DamageError{File: path, Offset: frameHeaderBytes, Reason: err.Error()}
 	}
 	return s, nil
 }
@@ -140,9 +140,9 @@
 	}
 	offset := 0
 	for offset < len(data) {
-		sequence, payload, size, reason := readFrame(data[offset:])
+		sequence, payload, size, reason := parseFrame(data[offset:])
 		if reason != "" {
-			if laterFrame(data[offset:]) {
+			if containsFrame(data[offset:]) {
 				return &DamageError{File: path, Offset: int64(offset), Reason: reason}
 			}
 			out.TruncatedBytes = int64(len(data) - offset)
@@ -152,7 +152,7 @@
 			reason := fmt.Sprintf("frame %d follows frame %d", sequence, j.sequence)
 			return &DamageError{File: path, Offset: int64(offset), Reason: reason}
 		}
-		if err := replay(out, payload); err != nil {
+		if err := applyBatch(out, payload); err != nil {
 			return &DamageError{File: path, Offset: int64(offset), Reason: err.Error()}
 		}
 		j.sequence = sequence
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func replay(out *Recovered, payload []byte) error {
+func applyBatch(out *Recovered, payload []byte) error {
 	b := &wire.JournalBatch{}
 	if err := proto.Unmarshal(payload, b); err != nil {
 		return err
@@ -184,10 +184,10 @@
 	return nil
 }
 
-// dropCovered drops entries that the snapshot covers. After a crash between
-// the two renames of an installed snapshot the old journal is still there; its
-// later entries are kept only if it agrees with the snapshot.
-func dropCovered(out *Recovered) {
+// dropSnapshotted drops the entries that the snapshot covers. A crash between the two
+// renames of saveSnapshot leaves the old journal beside the new snapshot; its later
+// entries are kept only if its entry at the snapshot's index has the snapshot's term.
+func dropSnapshotted(out *Recovered) {
 	s := out.Snapshot
 	if s == nil || len(out.Entries) == 0 || out.Entries[0].Index == s.Index+1 {
 		return
@@ -201,7 +201,7 @@
 	out.Entries = out.Entries[s.Index-first+1:]
 }
 
-func (j *Journal) identity(prefix string, fresh bool) (string, error) {
+func (j *Journal) loadOrCreateID(prefix string, fresh bool) (string, error) {
 	data, err := j.files.ReadFile(j.path(identityName))
 	if err == nil && len(data) > 0 {
 		return string(data), nil
@@ -217,17 +217,17 @@
 		return "", fmt.Errorf("making an identity: %w", err)
 	}
 	id := prefix + "-" + hex.EncodeToString(random)
-	return id, j.replaceFile(identityName, []byte(id))
+	return id, j.replaceFileAtomically(identityName, []byte(id))
 }
 
-// replaceFile puts a whole new file in place of an old one: write, sync,
-// rename, sync of the folder.
-func (j *Journal) replaceFile(name string, data []byte) error {
+// replaceFileAtomically writes a temporary file, syncs it, renames it over the old file
+// and syncs the directory, so that a crash leaves either the old or the new file.
+func (j *Journal) replaceFileAtomically(name string, data []byte) error {
 	path := j.path(name)
-	if err := j.files.Remove(path + temporary); err != nil && !isMissing(err) {
+	if err := j.files.Remove(path + tempSuffix); err != nil && !isMissing(err) {
 		return fmt.Errorf("removing an unfinished %s: %w", name, err)
 	}
-	f, err := j.files.Open(path + temporary)
+	f, err := j.files.Open(path + tempSuffix)
 	if err != nil {
 		return fmt.Errorf("creating %s: %w", name, err)
 	}
@@ -240,17 +240,17 @@
 	if err := f.Close(); err != nil {
 		return fmt.Errorf("closing %s: %w", name, err)
 	}
-	if err := j.files.Rename(path+temporary, path); err != nil {
+	if err := j.files.Rename(path+tempSuffix, path); err != nil {
 		return fmt.Errorf("renaming %s: %w", name, err)
 	}
-	if err := j.files.SyncDir(j.folder); err != nil {
+	if err := j.files.SyncDir(j.dir); err != nil {
 		return fmt.Errorf("syncing the data folder: %w", err)
 	}
 	return nil
 }
 
-// Append writes and syncs one batch. When it returns nil the batch survives a
-// crash; when it returns an error nothing of the batch may be acknowledged.
+// Append writes and syncs one batch. If it returns nil, the batch survives a crash; if
+// it returns an error, nothing in the batch may be acknowledged.
 func (j *Journal) Append(hs *wire.HardState, entries []*wire.Entry) error {
 	if j.broken {
 		return ErrBroken
@@ -273,8 +273,8 @@
 	return nil
 }
 
-// SaveSnapshot stores a snapshot and then begins a new journal that holds the
-// hard state and the entries after the snapshot.
+// SaveSnapshot stores a snapshot and then starts a new journal with the hard state and
+// the entries after the snapshot.
 func (j *Journal) SaveSnapshot(s *wire.Snapshot, hs *wire.HardState, after []*wire.Entry) error {
 	if j.broken {
 		return ErrBroken
@@ -291,7 +291,7 @@
 	if err != nil {
 		return fmt.Errorf("encoding the snapshot: %w", err)
 	}
-	if err := j.replaceFile(snapshotName, appendFrame(nil, s.Index, payload)); err != nil {
+	if err := j.replaceFileAtomically(snapshotName, appendFrame(nil, s.Index, payload)); err != nil {
 		return err
 	}
 	batch, err := proto.Marshal(&wire.JournalBatch{HardState: hs, Entries: after})
@@ -299,7 +299,7 @@
 		return fmt.Errorf("encoding a batch: %w", err)
 	}
 	frame := appendFrame(nil, 1, batch)
-	if err := j.replaceFile(journalName, frame); err != nil {
+	if err := j.replaceFileAtomically(journalName, frame); err != nil {
 		return err
 	}
 	old := j.file
@@ -311,9 +311,9 @@
 	return old.Close()
 }
 
-// Reopen recovers from a failure of the disk that has passed, like Open: of the
-// writes that failed it keeps those that the disk holds whole, synced. The folder
-// stays this process's.
+// Reopen recovers, like Open, after a temporary failure of the disk. Of the failed
+// writes it keeps those that are complete on disk, and syncs them. The lock on the
+// directory is held throughout.
 func (j *Journal) Reopen() (*Recovered, error) {
 	if err := j.file.Close(); err != nil {
 		return nil, fmt.Errorf("closing the journal: %w", err)
@@ -334,7 +334,7 @@
 // Size returns the length of the journal file in bytes.
 func (j *Journal) Size() int64 { return j.size }
 
-// Close closes the files and gives up the folder.
+// Close closes the files and releases the lock on the directory.
 func (j *Journal) Close() error {
 	return errors.Join(j.file.Close(), j.unlock())
 }
--- a/pkg/journal/journal_test.go
+++ b/pkg/journal/journal_test.go
@@ -16,21 +16,21 @@
 	return &wire.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
-func mustOpen(t *testing.T, folder string) (*Journal, *Recovered) {
+func mustOpen(t *testing.T, dir string) (*Journal, *Recovered) {
 	t.Helper()
-	j, found, err := Open(folder, "c", OSFiles())
+	j, found, err := Open(dir, "c", OSFiles())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return j, found
 }
 
-// written returns a folder with three batches and the length of the journal
-// after each.
-func written(t *testing.T) (folder string, sizes []int64) {
+// newTestJournal returns a directory with a journal of three batches and the length of
+// the journal after each of them.
+func newTestJournal(t *testing.T) (dir string, sizes []int64) {
 	t.Helper()
-	folder = t.TempDir()
-	j, _ := mustOpen(t, folder)
+	dir = t.TempDir()
+	j, _ := mustOpen(t, dir)
 	for i := range uint64(3) {
 		if err := j.Append(&wire.HardState{Term: i + 1}, []*wire.Entry{entry(i+1, i+1, "data")}); err != nil {
 			t.Fatal(err)
@@ -40,34 +40,34 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return folder, sizes
+	return dir, sizes
 }
 
-func TestIdentityStays(t *testing.T) {
-	folder, _ := written(t)
-	j, first := mustOpen(t, folder)
+func TestIdentityIsStable(t *testing.T) {
+	dir, _ := newTestJournal(t)
+	j, first := mustOpen(t, dir)
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	j, second := mustOpen(t, folder)
+	j, second := mustOpen(t, dir)
 	defer j.Close()
 	if first.ID != second.ID || second.Fresh {
 		t.Errorf("identity %s became %s, fresh %t", first.ID, second.ID, second.Fresh)
 	}
 }
 
-func TestLockedFolder(t *testing.T) {
-	folder, _ := written(t)
-	j, _ := mustOpen(t, folder)
+func TestOpenOfLockedDirectoryFails(t *testing.T) {
+	dir, _ := newTestJournal(t)
+	j, _ := mustOpen(t, dir)
 	defer j.Close()
-	if _, _, err := Open(folder, "c", OSFiles()); err == nil {
-		t.Error("a folder that is in use was opened again")
+	if _, _, err := Open(dir, "c", OSFiles()); err == nil {
+		t.Error("a locked directory was opened a second time")
 	}
 }
 
-func TestTornTailIsCut(t *testing.T) {
-	folder, sizes := written(t)
-	path := filepath.Join(folder, journalName)
+func TestTornTailIsTruncated(t *testing.T) {
+	dir, sizes := newTestJournal(t)
+	path := filepath.Join(dir, journalName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -76,9 +76,9 @@
 		if err := os.WriteFile(path, whole[:cut], filePermissions); err != nil {
 			t.Fatal(err)
 		}
-		j, found := mustOpen(t, folder)
+		j, found := mustOpen(t, dir)
 		if len(found.Entries) != 2 || found.TruncatedBytes != cut-sizes[1] || found.HardState.Term != 2 {
-			t.Fatalf("cut at %d: got %d entries, cut %d bytes", cut, len(found.Entries), found.TruncatedBytes)
+			t.Fatalf("file cut at byte %d: got %d entries, truncated %d bytes", cut, len(found.Entries), found.TruncatedBytes)
 		}
 		if err := j.Append(nil, []*wire.Entry{entry(3, 9, "new")}); err != nil {
 			t.Fatal(err)
@@ -86,9 +86,9 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		j, found = mustOpen(t, folder)
+		j, found = mustOpen(t, dir)
 		if len(found.Entries) != 3 || found.Entries[2].Term != 9 {
-			t.Fatalf("cut at %d: what was appended after the cut is not there", cut)
+			t.Fatalf("file cut at byte %d: the entry appended after recovery is missing", cut)
 		}
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
@@ -97,8 +97,8 @@
 }
 
 func TestDamageStops(t *testing.T) {
-	folder, sizes := written(t)
-	path := filepath.Join(folder, journalName)
+	dir, sizes := newTestJournal(t)
+	path := filepath.Join(dir, journalName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		if err := os.WriteFile(path, damaged, filePermissions); err != nil {
 			t.Fatal(err)
 		}
-		_, _, err := Open(folder, "c", OSFiles())
+		_, _, err := Open(dir, "c", OSFiles())
 		var damage *DamageError
 		if !errors.As(err, &damage) {
 			t.Fatalf("byte %d damaged: got %v, want a DamageError", at, err)
@@ -119,14 +119,14 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(damaged, after); diff != "" {
-			t.Fatal("a damaged journal was changed")
+			t.Fatal("Open changed a damaged journal")
 		}
 	}
 }
 
-func TestSnapshotThenEntries(t *testing.T) {
-	folder, _ := written(t)
-	j, _ := mustOpen(t, folder)
+func TestEntriesAfterSnapshotAreRecovered(t *testing.T) {
+	dir, _ := newTestJournal(t)
+	j, _ := mustOpen(t, dir)
 	s := &wire.Snapshot{Index: 2, Term: 2, Data: []byte("state")}
 	if err := j.SaveSnapshot(s, &wire.HardState{Term: 3, Vote: "x"}, []*wire.Entry{entry(3, 3, "data")}); err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 	if err := j.Close(); err != nil {
 		t.Fatal(err)
 	}
-	j, found := mustOpen(t, folder)
+	j, found := mustOpen(t, dir)
 	defer j.Close()
 	want := &Recovered{
 		ID: found.ID, HardState: &wire.HardState{Term: 3, Vote: "x"}, Snapshot: s,
@@ -148,19 +148,19 @@
 	}
 }
 
-func TestInstalledSnapshotDropsAnotherBranch(t *testing.T) {
+func TestInstalledSnapshotDropsConflictingEntries(t *testing.T) {
 	found := &Recovered{
 		Snapshot: &wire.Snapshot{Index: 2, Term: 5},
 		Entries:  []*wire.Entry{entry(1, 1, ""), entry(2, 1, ""), entry(3, 1, "")},
 	}
-	dropCovered(found)
+	dropSnapshotted(found)
 	if len(found.Entries) != 0 {
-		t.Errorf("entries of another branch were kept: %v", found.Entries)
+		t.Errorf("conflicting entries were kept: %v", found.Entries)
 	}
 }
 
 func TestFailedSyncBreaksForGood(t *testing.T) {
-	folder := t.TempDir()
+	dir := t.TempDir()
 	files := OSFiles()
 	failing := false
 	open := files.Open
@@ -169,20 +169,20 @@
 		sync := f.Sync
 		f.Sync = func() error {
 			if failing {
-				return errors.New("no sync")
+				return errors.New("sync failed")
 			}
 			return sync()
 		}
 		return f, err
 	}
-	j, _, err := Open(folder, "c", files)
+	j, _, err := Open(dir, "c", files)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer j.Close()
 	failing = true
 	if err := j.Append(nil, []*wire.Entry{entry(1, 1, "")}); err == nil {
-		t.Fatal("a failed sync was acknowledged")
+		t.Fatal("Append returned nil after a failed sync")
 	}
 	failing = false
 	if err := j.Append(nil, []*wire.Entry{entry(1, 1, "")}); !errors.Is(err, ErrBroken) {
@@ -190,9 +190,9 @@
 	}
 }
 
-// TestNewJournalIsInTheFolder checks that the name of a journal that was just
-// made is durable before anything is acknowledged.
-func TestNewJournalIsInTheFolder(t *testing.T) {
+// TestDirectoryIsSyncedAfterCreatingTheJournal checks that the directory entry of a new
+// journal is durable before anything is acknowledged.
+func TestDirectoryIsSyncedAfterCreatingTheJournal(t *testing.T) {
 	files := OSFiles()
 	made, synced := false, false
 	open, sync := files.Open, files.SyncDir
@@ -212,7 +212,7 @@
 	}
 	defer j.Close()
 	if !made || !synced {
-		t.Error("the folder was not synced after the journal was made")
+		t.Error("the directory was not synced after the journal was created")
 	}
 }
 
@@ -221,13 +221,13 @@
 	f.Add(appendFrame(nil, 1, nil))
 	f.Add(append(appendFrame(nil, 1, []byte{0x0a, 2, 8, 1}), 1, 2, 3))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		folder := t.TempDir()
+		dir := t.TempDir()
 		for name, content := range map[string][]byte{journalName: data, identityName: []byte("c-1")} {
-			if err := os.WriteFile(filepath.Join(folder, name), content, filePermissions); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, name), content, filePermissions); err != nil {
 				t.Fatal(err)
 			}
 		}
-		j, found, err := Open(folder, "c", OSFiles())
+		j, found, err := Open(dir, "c", OSFiles())
 		if err != nil {
 			var damage *DamageError
 			if !errors.As(err, &damage) {
@@ -238,11 +238,11 @@
 		if err := j.Close(); err != nil {
 			t.Fatal(err)
 		}
-		j, again := mustOpen(t, folder)
+		j, again := mustOpen(t, dir)
 		defer j.Close()
 		again.TruncatedBytes = found.TruncatedBytes
 		if diff := cmp.Diff(found, again, protocmp.Transform()); diff != "" {
-			t.Errorf("opened twice: %s", diff)
+			t.Errorf("the second Open recovered something else: %s", diff)
 		}
 	})
 }
