--- a/internal/entry/pool.go
+++ b/internal/entry/pool.go
@@ -149,7 +149,7 @@
 	case poolSettings:
 		return p.carryOut(now, p.configure(now, m))
 	case poolLeaseAnswer:
-		p.lease.Answer(now, m.answer)
+		p.lease.HandleAnswer(now, m.answer)
 		return p.carryOut(now, p.admission.Handle(now, p.hold()))
 	case poolRelease:
 		p.release(m.done)
@@ -205,8 +205,8 @@
 		if requests := p.lease.Tick(now); len(requests) > 0 {
 			p.ask(requests)
 		}
-		wake = p.lease.Wake()
-		name, _ := p.lease.Other(now)
+		wake = p.lease.NextTick()
+		name, _ := p.lease.KnownHolder(now)
 		p.other.Store(&name)
 	}
 	if held := p.lease != nil && !p.resting && p.lease.Held(now); held != p.held {
--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -20,13 +20,13 @@
 	h := lease.NewHolder(now, lease.Config{Pool: "web", Name: "a", Incarnation: "1", Voters: names, Duration: duration})
 	send := func(requests []lease.Request) {
 		for _, r := range requests {
-			h.Answer(now, voters[r.To].Handle(now, r.Message))
+			h.HandleAnswer(now, voters[r.To].Handle(now, r.Message))
 		}
 	}
 
 	send(h.Tick(now))
 	fmt.Println("held", h.Held(now), "for", h.Until().Sub(now))
-	now = h.Wake()
+	now = h.NextTick()
 	send(h.Tick(now))
 	fmt.Println("renewed for", h.Until().Sub(now))
 	send(h.Release())
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -67,15 +67,15 @@
 // Held reports whether the lease is held at now.
 func (h *Holder) Held(now time.Time) bool { return now.Before(h.until) }
 
-// Other returns the box that was last named as the holder, for a box that does
+// KnownHolder returns the box that was last named as the holder, for a box that does
 // not vote itself. It is known until the candidate has had time to ask again.
-func (h *Holder) Other(now time.Time) (name string, ok bool) {
+func (h *Holder) KnownHolder(now time.Time) (name string, ok bool) {
 	known := h.otherUntil.Add(h.rankDelay() + h.config.Duration)
 	return h.other, h.other != "" && now.Before(known)
 }
 
-// Wake returns when Tick is next needed.
-func (h *Holder) Wake() time.Time { return h.askAt }
+// NextTick returns when Tick is next needed.
+func (h *Holder) NextTick() time.Time { return h.askAt }
 
 // Tick begins a round of asking when one is due.
 func (h *Holder) Tick(now time.Time) []Request {
@@ -115,9 +115,9 @@
 	return out
 }
 
-// Answer takes a voter's answer. Answers to earlier rounds do not count, nor do
+// HandleAnswer takes a voter's answer. Answers to earlier rounds do not count, nor do
 // those to an earlier incarnation of this box, whose rounds had the same numbers.
-func (h *Holder) Answer(now time.Time, a *wire.LeaseAnswer) {
+func (h *Holder) HandleAnswer(now time.Time, a *wire.LeaseAnswer) {
 	if a.Ballot != h.ballot || h.resting || !slices.Contains(h.config.Voters, a.Voter) {
 		return
 	}
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -79,7 +79,7 @@
 						}
 					}
 				default:
-					holders[f.to].Answer(local(f.to), f.answer)
+					holders[f.to].HandleAnswer(local(f.to), f.answer)
 				}
 			}
 			for i, h := range holders {
@@ -114,7 +114,7 @@
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "1", Voters: []string{"b"}, Duration: duration})
 	for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
 		for _, r := range h.Tick(now) {
-			h.Answer(now, v.Handle(now, r.Message))
+			h.HandleAnswer(now, v.Handle(now, r.Message))
 		}
 		if h.Held(now) && now.Before(time.Unix(1002, 0)) {
 			t.Fatal("held before the quiet time was over")
@@ -150,9 +150,9 @@
 	v.Handle(now, &wire.LeaseRequest{Pool: "p", Holder: "b", Incarnation: "1", DurationMilli: duration.Milliseconds()})
 	h := NewHolder(now, Config{Pool: "p", Name: "c", Incarnation: "2", Voters: []string{"b"}, Duration: duration})
 	for _, r := range h.Tick(now) {
-		h.Answer(now, v.Handle(now, r.Message))
+		h.HandleAnswer(now, v.Handle(now, r.Message))
 	}
-	if name, ok := h.Other(now); !ok || name != "b" || h.Held(now) {
+	if name, ok := h.KnownHolder(now); !ok || name != "b" || h.Held(now) {
 		t.Errorf("knows %q, %t as the holder", name, ok)
 	}
 }
@@ -163,7 +163,7 @@
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "2", Voters: []string{"b"}, Duration: duration})
 	r := h.Tick(now)[0].Message
-	h.Answer(now, &wire.LeaseAnswer{Pool: "p", Voter: "b", Ballot: r.Ballot, Granted: true, Holder: "b", Incarnation: "1"})
+	h.HandleAnswer(now, &wire.LeaseAnswer{Pool: "p", Voter: "b", Ballot: r.Ballot, Granted: true, Holder: "b", Incarnation: "1"})
 	if h.Held(now) {
 		t.Error("a grant to an earlier incarnation was taken")
 	}
@@ -178,13 +178,13 @@
 	grant := func(voter string) *wire.LeaseAnswer {
 		return &wire.LeaseAnswer{Pool: "p", Voter: voter, Ballot: r.Ballot, Granted: true, Holder: "b", Incarnation: "2"}
 	}
-	h.Answer(now, grant("x"))
+	h.HandleAnswer(now, grant("x"))
 	now = now.Add(duration / 3)
 	if back := h.Tick(now); len(back) == 0 || !back[0].Message.Release {
 		t.Fatal("the votes were not given back")
 	}
-	h.Answer(now, grant("y"))
-	h.Answer(now, grant("z"))
+	h.HandleAnswer(now, grant("y"))
+	h.HandleAnswer(now, grant("z"))
 	if h.Held(now) {
 		t.Error("grants that were given back were counted")
 	}
