--- a/pkg/lease/example_test.go
+++ b/pkg/lease/example_test.go
@@ -7,7 +7,7 @@
 	"ledgesill.dev/ledgesill/pkg/lease"
 )
 
-// ExampleHolder takes the lease on a pool, renews it and gives it up.
+// ExampleHolder acquires the lease on a pool, renews it and releases it.
 func ExampleHolder() {
 	const duration = 2 * time.Second
 	start := time.Unix(0, 0)
@@ -16,7 +16,7 @@
 	for _, n := range names {
 		voters[n] = lease.NewVoter(start, n, duration)
 	}
-	now := start.Add(duration) // a voter that has just started grants nothing
+	now := start.Add(duration) // a voter grants nothing until duration after its start
 	h := lease.NewHolder(now, lease.Config{Pool: "web", Name: "a", Incarnation: "1", Voters: names, Duration: duration})
 	send := func(requests []lease.Request) {
 		for _, r := range requests {
--- a/pkg/lease/holder.go
+++ b/pkg/lease/holder.go
@@ -8,14 +8,15 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Config is what a Holder is told.
+// Config configures a Holder.
 type Config struct {
 	Pool        string
 	Name        string
 	Incarnation string
-	// Voters are the names of all voters on the pool.
+	// Voters are the names of all voters for the pool.
 	Voters []string
-	// Rank is the place among the candidates; the first asks first.
+	// Rank is the position among the candidates for the pool, from 0; lower ranks
+	// request the lease earlier.
 	Rank     int
 	Duration time.Duration
 	Seed     uint64
@@ -27,83 +28,84 @@
 	Message *wire.LeaseRequest
 }
 
-// Holder asks for the lease on one pool and renews it.
+// Holder acquires and renews the lease on one pool.
 type Holder struct {
-	config  Config
-	random  *rand.Rand
-	ballot  uint64
-	sentAt  time.Time
-	granted []string
-	until   time.Time
-	askAt   time.Time
-	resting bool
-	// other is the holder that a voter named when it refused.
-	other      string
-	otherUntil time.Time
+	config     Config
+	random     *rand.Rand
+	ballot     uint64
+	roundStart time.Time
+	grantedBy  []string
+	until      time.Time
+	nextTick   time.Time
+	released   bool
+	// knownHolder is the holder that a voter named in its last refusal.
+	knownHolder      string
+	knownHolderUntil time.Time
 }
 
 const (
-	renewalsPerLease = 3
-	ranksPerLease    = 4
-	// maxRankDelays bounds how long the last of many candidates waits.
+	renewalsPerDuration = 3
+	ranksPerDuration    = 4
+	// maxRankDelays limits the delay of the last of many candidates.
 	maxRankDelays = 8
 )
 
-// NewHolder returns a holder that does not hold its lease. A candidate of a
-// lower rank lets the ones before it ask first.
+// NewHolder returns a holder that does not yet hold the lease. It delays its first
+// request by its rank, so that better ranked candidates go first.
 func NewHolder(now time.Time, c Config) *Holder {
 	h := &Holder{config: c, random: rand.New(rand.NewPCG(c.Seed, uint64(c.Rank)))}
-	h.askAt = now.Add(h.rankDelay())
+	h.nextTick = now.Add(h.rankDelay())
 	return h
 }
 
 func (h *Holder) rankDelay() time.Duration {
-	return time.Duration(min(h.config.Rank, maxRankDelays)) * h.config.Duration / ranksPerLease
+	return time.Duration(min(h.config.Rank, maxRankDelays)) * h.config.Duration / ranksPerDuration
 }
 
-// Until returns the time until which the lease is held.
+// Until returns when the lease expires.
 func (h *Holder) Until() time.Time { return h.until }
 
 // Held reports whether the lease is held at now.
 func (h *Holder) Held(now time.Time) bool { return now.Before(h.until) }
 
-// KnownHolder returns the box that was last named as the holder, for a box that does
-// not vote itself. It is known until the candidate has had time to ask again.
+// KnownHolder returns the holder that a voter named last, for boxes that are not voters
+// themselves. The answer expires once this candidate has had time to request the lease
+// again.
 func (h *Holder) KnownHolder(now time.Time) (name string, ok bool) {
-	known := h.otherUntil.Add(h.rankDelay() + h.config.Duration)
-	return h.other, h.other != "" && now.Before(known)
+	expires := h.knownHolderUntil.Add(h.rankDelay() + h.config.Duration)
+	return h.knownHolder, h.knownHolder != "" && now.Before(expires)
 }
 
-// NextTick returns when Tick is next needed.
-func (h *Holder) NextTick() time.Time { return h.askAt }
+// NextTick returns when Tick must be called next.
+func (h *Holder) NextTick() time.Time { return h.nextTick }
 
-// Tick begins a round of asking when one is due.
+// Tick starts a round of requests if one is due.
 func (h *Holder) Tick(now time.Time) []Request {
-	if h.resting || now.Before(h.askAt) {
+	if h.released || now.Before(h.nextTick) {
 		return nil
 	}
-	if !h.Held(now) && len(h.granted) > 0 {
+	if !h.Held(now) && len(h.grantedBy) > 0 {
 		return h.backOff(now)
 	}
 	h.ballot++
-	h.sentAt = now
-	h.granted = nil
-	h.askAt = now.Add(h.config.Duration / renewalsPerLease)
-	return h.toAll(&wire.LeaseRequest{DurationMilli: h.config.Duration.Milliseconds()})
+	h.roundStart = now
+	h.grantedBy = nil
+	h.nextTick = now.Add(h.config.Duration / renewalsPerDuration)
+	return h.requestAll(&wire.LeaseRequest{DurationMilli: h.config.Duration.Milliseconds()})
 }
 
-// backOff gives back the votes of a round that found no majority, so that
-// another candidate can have them.
+// backOff releases the grants of a round without a majority, so that another candidate
+// can get them.
 func (h *Holder) backOff(now time.Time) []Request {
-	h.granted = nil
+	h.grantedBy = nil
 	wait := time.Duration(h.random.Int64N(int64(h.config.Duration)/2 + 1))
-	h.askAt = now.Add(wait + h.rankDelay())
-	back := h.toAll(&wire.LeaseRequest{Release: true})
-	h.ballot++ // a late answer to the round must not count any more
-	return back
+	h.nextTick = now.Add(wait + h.rankDelay())
+	releases := h.requestAll(&wire.LeaseRequest{Release: true})
+	h.ballot++ // so that late answers to this round are ignored
+	return releases
 }
 
-func (h *Holder) toAll(m *wire.LeaseRequest) []Request {
+func (h *Holder) requestAll(m *wire.LeaseRequest) []Request {
 	m.Pool = h.config.Pool
 	m.Holder = h.config.Name
 	m.Incarnation = h.config.Incarnation
@@ -115,55 +117,55 @@
 	return out
 }
 
-// HandleAnswer takes a voter's answer. Answers to earlier rounds do not count, nor do
-// those to an earlier incarnation of this box, whose rounds had the same numbers.
+// HandleAnswer processes a voter's answer. It ignores answers to earlier rounds and
+// answers to an earlier incarnation of this box, whose rounds had the same numbers.
 func (h *Holder) HandleAnswer(now time.Time, a *wire.LeaseAnswer) {
-	if a.Ballot != h.ballot || h.resting || !slices.Contains(h.config.Voters, a.Voter) {
+	if a.Ballot != h.ballot || h.released || !slices.Contains(h.config.Voters, a.Voter) {
 		return
 	}
 	if !a.Granted {
-		h.refused(now, a)
+		h.handleRefusal(now, a)
 		return
 	}
 	ours := a.Holder == h.config.Name && a.Incarnation == h.config.Incarnation
-	if !ours || slices.Contains(h.granted, a.Voter) {
+	if !ours || slices.Contains(h.grantedBy, a.Voter) {
 		return
 	}
-	h.granted = append(h.granted, a.Voter)
-	if len(h.granted) <= len(h.config.Voters)/2 {
+	h.grantedBy = append(h.grantedBy, a.Voter)
+	if len(h.grantedBy) <= len(h.config.Voters)/2 {
 		return
 	}
-	length := h.config.Duration - h.config.Duration/drift
-	h.until = later(h.until, h.sentAt.Add(length))
+	length := h.config.Duration - h.config.Duration/marginDivisor
+	h.until = latest(h.until, h.roundStart.Add(length))
 }
 
-// refused waits for the end of the promise that stood in the way.
-func (h *Holder) refused(now time.Time, a *wire.LeaseAnswer) {
+// handleRefusal waits for the end of the conflicting grant.
+func (h *Holder) handleRefusal(now time.Time, a *wire.LeaseAnswer) {
 	if h.Held(now) || a.RemainingMilli <= 0 {
 		return
 	}
 	if a.Holder != "" {
-		h.other = a.Holder
-		h.otherUntil = now.Add(time.Duration(a.RemainingMilli) * time.Millisecond)
+		h.knownHolder = a.Holder
+		h.knownHolderUntil = now.Add(time.Duration(a.RemainingMilli) * time.Millisecond)
 	}
 	wait := min(time.Duration(a.RemainingMilli)*time.Millisecond, h.config.Duration)
-	h.askAt = later(h.askAt, now.Add(wait+h.rankDelay()))
+	h.nextTick = latest(h.nextTick, now.Add(wait+h.rankDelay()))
 }
 
-// Release gives the lease up for good. The caller must have ended all that it
-// did under the lease.
+// Release gives up the lease for good. The caller must first have stopped everything
+// that needs the lease.
 func (h *Holder) Release() []Request {
-	h.resting = true
+	h.released = true
 	h.until = time.Time{}
-	h.granted = nil
-	return h.toAll(&wire.LeaseRequest{Release: true})
+	h.grantedBy = nil
+	return h.requestAll(&wire.LeaseRequest{Release: true})
 }
 
-// Reconfigure puts other voters, another rank or another duration in force.
-// The lease goes on until its end; it is renewed by the new voters.
+// Reconfigure changes the voters, the rank and the duration. The current lease stays
+// valid until it expires; renewals go to the new voters.
 func (h *Holder) Reconfigure(voters []string, rank int, duration time.Duration) {
 	h.config.Voters = voters
 	h.config.Rank = rank
 	h.config.Duration = duration
-	h.granted = nil
+	h.grantedBy = nil
 }
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -13,16 +13,16 @@
 
 const duration = 2 * time.Second
 
-type flying struct {
+type packet struct {
 	at      time.Time
 	to      int
 	request *wire.LeaseRequest
 	answer  *wire.LeaseAnswer
 }
 
-// TestOneHolder lets three boxes compete over a network that delays, doubles
-// and loses messages, with clocks that run up to five percent off and with
-// restarts, and checks that no two hold the pool at once.
+// TestOneHolder lets three boxes compete for a pool and checks that no two hold it at
+// once. The network delays, duplicates and loses messages, clocks run up to 4 % fast or
+// slow, and boxes restart.
 func TestOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -44,9 +44,9 @@
 			speed[i] = 1 + float64(rapid.IntRange(-40, 40).Draw(t, "speed"))/1000
 			boot(i)
 		}
-		var network []flying
+		var network []packet
 		healed := false
-		send := func(f flying) {
+		send := func(f packet) {
 			if healed {
 				f.at = now.Add(time.Millisecond)
 				network = append(network, f)
@@ -75,7 +75,7 @@
 					a := voters[f.to].Handle(local(f.to), proto.CloneOf(f.request))
 					for i, name := range names {
 						if name == f.request.Holder {
-							send(flying{to: i, answer: a})
+							send(packet{to: i, answer: a})
 						}
 					}
 				default:
@@ -86,7 +86,7 @@
 				for _, r := range h.Tick(local(i)) {
 					for j, name := range names {
 						if name == r.To {
-							send(flying{to: j, request: r.Message})
+							send(packet{to: j, request: r.Message})
 						}
 					}
 				}
@@ -103,7 +103,7 @@
 			holding = count
 		}
 		if holding != 1 {
-			t.Fatal("nobody holds the pool long after the network is well")
+			t.Fatal("no box holds the pool long after the network has recovered")
 		}
 	})
 }
@@ -117,15 +117,15 @@
 			h.HandleAnswer(now, v.Handle(now, r.Message))
 		}
 		if h.Held(now) && now.Before(time.Unix(1002, 0)) {
-			t.Fatal("held before the quiet time was over")
+			t.Fatal("held before the voter's startup delay was over")
 		}
 	}
 	if !h.Held(now) {
-		t.Error("a box alone in its zone does not hold its pool")
+		t.Error("the only box of a zone does not hold the pool")
 	}
 }
 
-func TestReleaseFreesAtOnce(t *testing.T) {
+func TestReleaseFreesThePool(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewVoter(now.Add(-duration), "b", duration)
 	ask := &wire.LeaseRequest{Pool: "p", Holder: "a", Incarnation: "1", Ballot: 3, DurationMilli: duration.Milliseconds()}
@@ -135,16 +135,17 @@
 	v.Handle(now, &wire.LeaseRequest{Pool: "p", Holder: "a", Incarnation: "1", Ballot: 2, Release: true})
 	other := &wire.LeaseRequest{Pool: "p", Holder: "c", Incarnation: "2", Ballot: 1, DurationMilli: duration.Milliseconds()}
 	if v.Handle(now, other).Granted {
-		t.Error("a late release of an earlier round freed the pool")
+		t.Error("a late release of an earlier round released the pool")
 	}
 	v.Handle(now, &wire.LeaseRequest{Pool: "p", Holder: "a", Incarnation: "1", Ballot: 3, Release: true})
 	if !v.Handle(now, other).Granted {
-		t.Error("the release did not free the pool")
+		t.Error("the release had no effect")
 	}
 }
 
-// TestBoxThatDoesNotVoteLearnsTheHolder lets a candidate without a vote ask.
-func TestBoxThatDoesNotVoteLearnsTheHolder(t *testing.T) {
+// TestNonVoterLearnsTheHolder checks that a candidate that is not a voter learns the
+// holder from a refusal.
+func TestNonVoterLearnsTheHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewVoter(now.Add(-duration), "b", duration)
 	v.Handle(now, &wire.LeaseRequest{Pool: "p", Holder: "b", Incarnation: "1", DurationMilli: duration.Milliseconds()})
@@ -153,24 +154,24 @@
 		h.HandleAnswer(now, v.Handle(now, r.Message))
 	}
 	if name, ok := h.KnownHolder(now); !ok || name != "b" || h.Held(now) {
-		t.Errorf("knows %q, %t as the holder", name, ok)
+		t.Errorf("got holder %q, %t, want b, true", name, ok)
 	}
 }
 
-// TestAnswerToAnEarlierIncarnationDoesNotCount delivers a grant that was made
-// to the box before it restarted.
+// TestAnswerToAnEarlierIncarnationDoesNotCount delivers a grant that was made to the
+// box before it restarted.
 func TestAnswerToAnEarlierIncarnationDoesNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "2", Voters: []string{"b"}, Duration: duration})
 	r := h.Tick(now)[0].Message
 	h.HandleAnswer(now, &wire.LeaseAnswer{Pool: "p", Voter: "b", Ballot: r.Ballot, Granted: true, Holder: "b", Incarnation: "1"})
 	if h.Held(now) {
-		t.Error("a grant to an earlier incarnation was taken")
+		t.Error("a grant to an earlier incarnation was counted")
 	}
 }
 
-// TestLateGrantAfterGivingBackDoesNotCount delivers the second of two grants
-// after the holder has given the votes of that round back.
+// TestLateGrantAfterGivingBackDoesNotCount delivers grants of a round after the holder
+// has released that round's grants.
 func TestLateGrantAfterGivingBackDoesNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "2", Voters: []string{"x", "y", "z"}, Duration: duration})
@@ -180,12 +181,12 @@
 	}
 	h.HandleAnswer(now, grant("x"))
 	now = now.Add(duration / 3)
-	if back := h.Tick(now); len(back) == 0 || !back[0].Message.Release {
-		t.Fatal("the votes were not given back")
+	if releases := h.Tick(now); len(releases) == 0 || !releases[0].Message.Release {
+		t.Fatal("the grants were not released")
 	}
 	h.HandleAnswer(now, grant("y"))
 	h.HandleAnswer(now, grant("z"))
 	if h.Held(now) {
-		t.Error("grants that were given back were counted")
+		t.Error("released grants were counted")
 	}
 }
