--- a/pkg/requestkey/key_test.go
+++ b/pkg/requestkey/key_test.go
@@ -27,7 +27,7 @@
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
-		owner := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 100})
+		owner := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 100})
 		witness := NewWitness("w", "9", time.Minute, 100)
 		ran := make(map[string]int)     // ended as ran or unknown
 		running := make(map[string]Key) // attempts that go on
@@ -35,9 +35,9 @@
 		var late []*wire.WitnessRequest
 		var token uint64
 		waits := make(map[uint64]string)
-		var answers []Witnessed // of the witness, on their way to the owner
+		var answers []WitnessResult // of the witness, on their way to the owner
 		carry := func(out Output[string]) {
-			for _, r := range out.Reply {
+			for _, r := range out.Replies {
 				name := waits[r.Token]
 				delete(waits, r.Token)
 				_, goesOn := running[name]
@@ -69,17 +69,17 @@
 				key, _ := Parse(m.Key)
 				switch rapid.IntRange(0, 4).Draw(t, "fate") {
 				case 0: // lost on the way there
-					answers = append(answers, Witnessed{Key: key, Failed: true})
+					answers = append(answers, WitnessResult{Key: key, Failed: true})
 				case 1: // the answer is lost, and the message comes again later
 					late = append(late, proto.CloneOf(m))
 					witness.Handle(now, m)
-					answers = append(answers, Witnessed{Key: key, Failed: true})
+					answers = append(answers, WitnessResult{Key: key, Failed: true})
 				default:
 					a := witness.Handle(now, m)
 					if rapid.Bool().Draw(t, "doubled") {
 						late = append(late, proto.CloneOf(m))
 					}
-					answers = append(answers, Witnessed{Key: key, Refused: a.Refused})
+					answers = append(answers, WitnessResult{Key: key, Refused: a.Refused})
 				}
 			}
 		}
@@ -147,7 +147,7 @@
 					return
 				}
 				delete(waits, gone)
-				carry(owner.Handle(now, Leave{Key: newKey(name, "w"), Token: gone}))
+				carry(owner.Handle(now, CallerLeft{Key: newKey(name, "w"), Token: gone}))
 			},
 			"pass": func(*rapid.T) { now = now.Add(20 * time.Second) },
 		})
@@ -155,9 +155,9 @@
 }
 
 func TestForeignIncarnationIsUnknown(t *testing.T) {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "2", Keep: time.Minute, MaxKeys: 9})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "2", Retention: time.Minute, MaxKeys: 9})
 	out := o.Handle(start, Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
-	if out.Run != nil || out.Reply[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
+	if out.Run != nil || out.Replies[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
 		t.Errorf("got %+v, want unknown", out)
 	}
 }
@@ -165,47 +165,47 @@
 // The caller of a key may leave while the witness records its start: without
 // another arrival there is nothing to run, and a resend runs in its place.
 func TestCallerLeavesWhileTheStartIsRecorded(t *testing.T) {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 9})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	k := newKey("x", "w")
 	o.Handle(start, Begin[string]{Token: 1, Key: k, Digest: 1})
-	o.Handle(start, Leave{Key: k, Token: 1})
-	out := o.Handle(start, Witnessed{Key: k})
+	o.Handle(start, CallerLeft{Key: k, Token: 1})
+	out := o.Handle(start, WitnessResult{Key: k})
 	if out.Run != nil || out.Record == nil || out.Record.State != wire.KeyState_KEY_STATE_NOT_RUN {
 		t.Errorf("got %+v, want the key recorded as not run", out)
 	}
 
 	o.Handle(start, Begin[string]{Token: 2, Key: k, Digest: 1})
 	o.Handle(start, Begin[string]{Token: 3, Key: k, Digest: 1})
-	o.Handle(start, Leave{Key: k, Token: 2})
-	out = o.Handle(start, Witnessed{Key: k})
+	o.Handle(start, CallerLeft{Key: k, Token: 2})
+	out = o.Handle(start, WitnessResult{Key: k})
 	if out.Run == nil || out.Run.Token != 3 {
 		t.Errorf("got %+v, want the arrival that still waits to run", out)
 	}
 }
 
 func TestOldKeyIsUnknown(t *testing.T) {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 9})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	out := o.Handle(start.Add(2*time.Minute), Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
-	if out.Run != nil || out.Reply[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
+	if out.Run != nil || out.Replies[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
 		t.Errorf("got %+v, want unknown", out)
 	}
 }
 
 func TestOtherContentIsRefused(t *testing.T) {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 9})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	k := newKey("x", "")
 	o.Handle(start, Begin[string]{Token: 1, Key: k, Digest: 1})
 	out := o.Handle(start, Begin[string]{Token: 2, Key: k, Digest: 2})
-	if out.Run != nil || len(out.Reply) != 1 || out.Reply[0].State != wire.KeyState_KEY_STATE_NOT_RUN {
+	if out.Run != nil || len(out.Replies) != 1 || out.Replies[0].State != wire.KeyState_KEY_STATE_NOT_RUN {
 		t.Errorf("got %+v, want a refusal", out)
 	}
 }
 
 func TestFullMemoryRefusesNewKeys(t *testing.T) {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 1})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 1})
 	o.Handle(start, Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
 	out := o.Handle(start, Begin[string]{Token: 2, Key: newKey("y", ""), Digest: 1})
-	if out.Run != nil || out.Reply[0].State != wire.KeyState_KEY_STATE_NOT_RUN {
+	if out.Run != nil || out.Replies[0].State != wire.KeyState_KEY_STATE_NOT_RUN {
 		t.Errorf("got %+v, want a refusal", out)
 	}
 }
@@ -227,14 +227,14 @@
 
 // ExampleOwner runs a request once and gives its resend the same answer.
 func ExampleOwner() {
-	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Keep: time.Minute, MaxKeys: 10})
+	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 10})
 	k := newKey("order-7", "")
 	now := start
 	out := o.Handle(now, Begin[string]{Token: 1, Key: k, Digest: 1})
 	fmt.Println("run:", out.Run != nil)
 	o.Handle(now, Finished{Key: k, State: wire.KeyState_KEY_STATE_RAN, Answer: &wire.StoredAnswer{Status: 200}})
 	out = o.Handle(now, Begin[string]{Token: 2, Key: k, Digest: 1})
-	fmt.Println("run:", out.Run != nil, "answer:", out.Reply[0].Answer.Status)
+	fmt.Println("run:", out.Run != nil, "answer:", out.Replies[0].Answer.Status)
 	// Output:
 	// run: true
 	// run: false answer: 200
--- a/pkg/requestkey/owner.go
+++ b/pkg/requestkey/owner.go
@@ -19,8 +19,8 @@
 type OwnerConfig struct {
 	Name        string
 	Incarnation string
-	// Keep is how long keys are kept after their scope was issued.
-	Keep time.Duration
+	// Retention is how long keys are kept after their scope was issued.
+	Retention time.Duration
 	// MaxKeys bounds the memory; when it is reached new keys are refused.
 	MaxKeys int
 }
@@ -37,8 +37,8 @@
 	Request R
 }
 
-// Witnessed tells whether the witness has recorded the start of a key.
-type Witnessed struct {
+// WitnessResult tells whether the witness has recorded the start of a key.
+type WitnessResult struct {
 	Key Key
 	// Refused: the witness has closed the key; Failed: it could not be asked.
 	Refused bool
@@ -52,16 +52,16 @@
 	Answer *wire.StoredAnswer
 }
 
-// Leave tells that the caller of an arrival is gone; a started attempt goes on.
-type Leave struct {
+// CallerLeft tells that the caller of an arrival is gone; a started attempt goes on.
+type CallerLeft struct {
 	Key   Key
 	Token uint64
 }
 
-func (Begin[R]) event()  {}
-func (Witnessed) event() {}
-func (Finished) event()  {}
-func (Leave) event()     {}
+func (Begin[R]) event()      {}
+func (WitnessResult) event() {}
+func (Finished) event()      {}
+func (CallerLeft) event()    {}
 
 // Reply is the final answer to one arrival.
 type Reply struct {
@@ -83,8 +83,8 @@
 // Output is what to carry out after an event.
 type Output[R any] struct {
 	// Run is nil unless the attempt of a key is to be made.
-	Run   *Run[R]
-	Reply []Reply
+	Run     *Run[R]
+	Replies []Reply
 	// Record asks for a message to the witness. After a start is recorded a
 	// Witnessed event must follow.
 	Record *wire.WitnessRequest
@@ -119,9 +119,9 @@
 	return &Owner[R]{config: c, keys: make(map[string]*record[R])}
 }
 
-// SetKeep changes how long keys are kept. Keys already kept stay as long as
+// SetRetention changes how long keys are kept. Keys already kept stay as long as
 // they were promised.
-func (o *Owner[R]) SetKeep(keep time.Duration) { o.config.Keep = keep }
+func (o *Owner[R]) SetRetention(keep time.Duration) { o.config.Retention = keep }
 
 // Len returns the number of kept keys.
 func (o *Owner[R]) Len() int { return len(o.keys) }
@@ -132,11 +132,11 @@
 	switch e := e.(type) {
 	case Begin[R]:
 		return o.begin(now, e)
-	case Witnessed:
+	case WitnessResult:
 		return o.witnessed(e)
 	case Finished:
 		return o.finished(e)
-	case Leave:
+	case CallerLeft:
 		if r := o.keys[e.Key.String()]; r != nil {
 			r.waiting = slices.DeleteFunc(r.waiting, func(a arrival[R]) bool { return a.token == e.Token })
 		}
@@ -158,7 +158,7 @@
 }
 
 func (o *Owner[R]) reply(token uint64, state wire.KeyState, answer *wire.StoredAnswer, reason string) Output[R] {
-	return Output[R]{Reply: []Reply{{Token: token, State: state, Answer: answer, Reason: reason}}}
+	return Output[R]{Replies: []Reply{{Token: token, State: state, Answer: answer, Reason: reason}}}
 }
 
 func (o *Owner[R]) begin(now time.Time, e Begin[R]) Output[R] {
@@ -175,13 +175,13 @@
 	if r := o.keys[e.Key.String()]; r != nil {
 		return o.resend(e, r)
 	}
-	if now.After(s.IssuedAt.Add(o.config.Keep)) {
+	if now.After(s.IssuedAt.Add(o.config.Retention)) {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_UNKNOWN, nil, "the key is older than keys are kept")
 	}
 	if len(o.keys) >= o.config.MaxKeys {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_NOT_RUN, nil, "too many keys are kept")
 	}
-	r := &record[R]{digest: e.Digest, expires: s.IssuedAt.Add(o.config.Keep + 2*clockMargin)}
+	r := &record[R]{digest: e.Digest, expires: s.IssuedAt.Add(o.config.Retention + 2*clockMargin)}
 	o.keys[e.Key.String()] = r
 	return o.start(e, r)
 }
@@ -234,7 +234,7 @@
 	return Output[R]{Run: &Run[R]{Token: first.token, Key: k, Request: first.request}}
 }
 
-func (o *Owner[R]) witnessed(e Witnessed) Output[R] {
+func (o *Owner[R]) witnessed(e WitnessResult) Output[R] {
 	r := o.keys[e.Key.String()]
 	if r == nil || !r.running || r.state != wire.KeyState_KEY_STATE_STARTED {
 		return Output[R]{}
@@ -264,7 +264,7 @@
 func (o *Owner[R]) end(r *record[R], state wire.KeyState, answer *wire.StoredAnswer, reason string) Output[R] {
 	var out Output[R]
 	for _, a := range r.waiting {
-		out.Reply = append(out.Reply, Reply{Token: a.token, State: state, Answer: answer, Reason: reason})
+		out.Replies = append(out.Replies, Reply{Token: a.token, State: state, Answer: answer, Reason: reason})
 	}
 	r.running = false
 	r.waiting = nil
