--- a/pkg/requestkey/key.go
+++ b/pkg/requestkey/key.go
@@ -1,15 +1,15 @@
-// Package requestkey makes requests that may not be repeated run at most once.
+// Package requestkey ensures that a request that must not be repeated runs at most
+// once.
 //
-// A caller puts a request key on such a request and the same key on a resend.
-// The key begins with a scope that an entry box issued: it names that box (the
-// owner) and its incarnation, the witness and its incarnation, and the time of
-// issue. Only the owner runs the request. Before it does, it has the witness
-// record that the key is started; a witness that was asked about the key first
-// refuses, so that box's word "never started" stays true.
+// A caller sends such a request with a request key, and uses the same key for every
+// resend. The key begins with a scope that an entry box issued. The scope names that
+// box, the owner, with its incarnation; the witness with its incarnation; and the time
+// of issue. Only the owner runs the request. Before it does, it has the witness record
+// that the key has started. If the witness was asked about the key before that, it
+// refuses to record the start, so its answer that the key never started stays true.
 //
-// Owner and Witness are state machines without I/O. Neither keeps anything on
-// disk: a restarted box has another incarnation and never runs a key of the
-// old one.
+// Owner and Witness are state machines without I/O. Neither stores anything on disk: a
+// restarted box has a new incarnation and never runs a key of an earlier one.
 package requestkey
 
 import (
@@ -19,24 +19,24 @@
 	"time"
 )
 
-// Scope is the part of a key that the owner issued.
+// Scope is the part of a key that the owner issues.
 type Scope struct {
 	Owner            string
 	OwnerIncarnation string
-	// Witness is empty if the owner had none when it issued the scope.
+	// Witness is empty if the owner had no witness when it issued the scope.
 	Witness            string
 	WitnessIncarnation string
 	IssuedAt           time.Time
 }
 
-// Key is a whole request key.
+// Key is a complete request key.
 type Key struct {
 	Scope Scope
-	// Nonce is what the caller added to tell its requests apart.
+	// Nonce is the caller's part, which distinguishes its requests.
 	Nonce string
 }
 
-// FormatError says why a text is not a request key.
+// FormatError is returned for a text that is not a request key.
 type FormatError struct{ Reason string }
 
 // Error implements error.
@@ -48,7 +48,7 @@
 	separator   = "~"
 )
 
-// String returns the scope as it stands at the start of a key.
+// String returns the scope as it appears at the start of a key.
 func (s Scope) String() string {
 	issued := strconv.FormatInt(s.IssuedAt.UnixMilli(), 10)
 	return strings.Join([]string{s.Owner, s.OwnerIncarnation, s.Witness, s.WitnessIncarnation, issued}, separator)
@@ -57,7 +57,7 @@
 // String returns the text form of the key.
 func (k Key) String() string { return k.Scope.String() + separator + k.Nonce }
 
-// Parse reads the text form of a key.
+// Parse parses the text form of a key.
 func Parse(text string) (Key, error) {
 	if len(text) > maxKeyBytes {
 		return Key{}, &FormatError{fmt.Sprintf("it has more than %d bytes", maxKeyBytes)}
--- a/pkg/requestkey/key_test.go
+++ b/pkg/requestkey/key_test.go
@@ -21,28 +21,28 @@
 	return Key{s, nonce}
 }
 
-// TestAtMostOneRun resends a few keys to the owner and, as if the owner had
-// died, to the witness, with messages between the two that are late, doubled
-// or lost, and attempts that end in any way.
+// TestAtMostOneRun resends a few keys to the owner and, as after a failure of the
+// owner, asks the witness about them. Messages between the two are delayed, duplicated
+// or lost, and attempts end in every state.
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
 		owner := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 100})
 		witness := NewWitness("w", "9", time.Minute, 100)
-		ran := make(map[string]int)     // ended as ran or unknown
-		running := make(map[string]Key) // attempts that go on
-		told := make(map[string]bool)   // callers told "not run" for good
-		var late []*wire.WitnessRequest
+		ran := make(map[string]int)             // attempts that ended as ran or unknown
+		running := make(map[string]Key)         // attempts in progress
+		reportedNotRun := make(map[string]bool) // keys that the witness reported as not run
+		var delayed []*wire.WitnessRequest
 		var token uint64
-		waits := make(map[uint64]string)
-		var answers []WitnessResult // of the witness, on their way to the owner
-		carry := func(out Output[string]) {
+		waiting := make(map[uint64]string)
+		var answers []WitnessResult // in transit from the witness to the owner
+		deliver := func(out Output[string]) {
 			for _, r := range out.Replies {
-				name := waits[r.Token]
-				delete(waits, r.Token)
-				_, goesOn := running[name]
-				if r.State == wire.KeyState_KEY_STATE_NOT_RUN && (ran[name] > 0 || goesOn) {
-					t.Fatalf("key %s is told not run, but it ran", name)
+				name := waiting[r.Token]
+				delete(waiting, r.Token)
+				_, inProgress := running[name]
+				if r.State == wire.KeyState_KEY_STATE_NOT_RUN && (ran[name] > 0 || inProgress) {
+					t.Fatalf("key %s was reported as not run, but it ran", name)
 				}
 			}
 			if out.Run != nil {
@@ -50,34 +50,34 @@
 				if _, ok := running[name]; ok || ran[name] > 0 {
 					t.Fatalf("key %s runs twice", name)
 				}
-				if _, ok := waits[out.Run.Token]; !ok {
-					t.Fatalf("key %s runs for arrival %d, whose caller has left", name, out.Run.Token)
+				if _, ok := waiting[out.Run.Token]; !ok {
+					t.Fatalf("key %s runs for arrival %d, whose caller has disconnected", name, out.Run.Token)
 				}
 				if out.Run.Request != name {
 					t.Fatalf("key %s runs the request of %q", name, out.Run.Request)
 				}
-				if told[name] {
-					t.Fatalf("key %s runs after the witness said it never would", name)
+				if reportedNotRun[name] {
+					t.Fatalf("key %s runs after the witness reported it as not run", name)
 				}
 				running[name] = out.Run.Key
 			}
 			if m := out.Record; m != nil {
 				if m.State != wire.KeyState_KEY_STATE_STARTED {
-					late = append(late, m)
+					delayed = append(delayed, m)
 					return
 				}
 				key, _ := Parse(m.Key)
 				switch rapid.IntRange(0, 4).Draw(t, "fate") {
-				case 0: // lost on the way there
+				case 0: // the message is lost
 					answers = append(answers, WitnessResult{Key: key, Failed: true})
-				case 1: // the answer is lost, and the message comes again later
-					late = append(late, proto.CloneOf(m))
+				case 1: // the answer is lost, and the message is delivered again later
+					delayed = append(delayed, proto.CloneOf(m))
 					witness.Handle(now, m)
 					answers = append(answers, WitnessResult{Key: key, Failed: true})
 				default:
 					a := witness.Handle(now, m)
 					if rapid.Bool().Draw(t, "doubled") {
-						late = append(late, proto.CloneOf(m))
+						delayed = append(delayed, proto.CloneOf(m))
 					}
 					answers = append(answers, WitnessResult{Key: key, Refused: a.Refused})
 				}
@@ -89,8 +89,8 @@
 			"send": func(*rapid.T) {
 				token++
 				k := pick()
-				waits[token] = k.Nonce
-				carry(owner.Handle(now, Begin[string]{Token: token, Key: k, Digest: 5, Request: k.Nonce}))
+				waiting[token] = k.Nonce
+				deliver(owner.Handle(now, Begin[string]{Token: token, Key: k, Digest: 5, Request: k.Nonce}))
 			},
 			"end": func(t *rapid.T) {
 				for _, name := range names {
@@ -105,29 +105,29 @@
 					if state != wire.KeyState_KEY_STATE_NOT_RUN {
 						ran[name]++
 					}
-					carry(owner.Handle(now, Finished{Key: k, State: state}))
+					deliver(owner.Handle(now, Finished{Key: k, State: state}))
 					return
 				}
 			},
 			"late": func(t *rapid.T) {
-				if len(late) == 0 {
+				if len(delayed) == 0 {
 					return
 				}
-				i := rapid.IntRange(0, len(late)-1).Draw(t, "which")
-				witness.Handle(now, late[i])
+				i := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
+				witness.Handle(now, delayed[i])
 				if rapid.Bool().Draw(t, "gone") {
-					late = append(late[:i], late[i+1:]...)
+					delayed = append(delayed[:i], delayed[i+1:]...)
 				}
 			},
 			"ask": func(t *rapid.T) {
 				k := pick()
 				a := witness.Handle(now, &wire.WitnessRequest{Action: wire.WitnessRequest_ACTION_ASK, Key: k.String(), Digest: 5})
-				_, goesOn := running[k.Nonce]
+				_, inProgress := running[k.Nonce]
 				notRun := a.State == wire.KeyState_KEY_STATE_ABSENT || a.State == wire.KeyState_KEY_STATE_NOT_RUN
-				if notRun && (goesOn || ran[k.Nonce] > 0) {
-					t.Fatalf("the witness says that key %s did not run", k.Nonce)
+				if notRun && (inProgress || ran[k.Nonce] > 0) {
+					t.Fatalf("the witness reported key %s as not run, but it ran or is running", k.Nonce)
 				}
-				told[k.Nonce] = told[k.Nonce] || notRun
+				reportedNotRun[k.Nonce] = reportedNotRun[k.Nonce] || notRun
 			},
 			"answer": func(*rapid.T) {
 				if len(answers) == 0 {
@@ -135,26 +135,26 @@
 				}
 				a := answers[0]
 				answers = answers[1:]
-				carry(owner.Handle(now, a))
+				deliver(owner.Handle(now, a))
 			},
 			"leave": func(t *rapid.T) {
 				if token == 0 {
 					return
 				}
 				gone := rapid.Uint64Range(1, token).Draw(t, "gone")
-				name, ok := waits[gone]
+				name, ok := waiting[gone]
 				if !ok {
 					return
 				}
-				delete(waits, gone)
-				carry(owner.Handle(now, CallerLeft{Key: newKey(name, "w"), Token: gone}))
+				delete(waiting, gone)
+				deliver(owner.Handle(now, CallerLeft{Key: newKey(name, "w"), Token: gone}))
 			},
 			"pass": func(*rapid.T) { now = now.Add(20 * time.Second) },
 		})
 	})
 }
 
-func TestForeignIncarnationIsUnknown(t *testing.T) {
+func TestKeyOfEarlierIncarnationIsUnknown(t *testing.T) {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "2", Retention: time.Minute, MaxKeys: 9})
 	out := o.Handle(start, Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
 	if out.Run != nil || out.Replies[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
@@ -162,9 +162,10 @@
 	}
 }
 
-// The caller of a key may leave while the witness records its start: without
-// another arrival there is nothing to run, and a resend runs in its place.
-func TestCallerLeavesWhileTheStartIsRecorded(t *testing.T) {
+// TestCallerLeavesBeforeTheStartIsRecorded checks that a key does not run if its only
+// caller leaves while the witness records the start, and that a waiting resend runs in
+// its place.
+func TestCallerLeavesBeforeTheStartIsRecorded(t *testing.T) {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	k := newKey("x", "w")
 	o.Handle(start, Begin[string]{Token: 1, Key: k, Digest: 1})
@@ -179,11 +180,11 @@
 	o.Handle(start, CallerLeft{Key: k, Token: 2})
 	out = o.Handle(start, WitnessResult{Key: k})
 	if out.Run == nil || out.Run.Token != 3 {
-		t.Errorf("got %+v, want the arrival that still waits to run", out)
+		t.Errorf("got %+v, want the waiting arrival to run", out)
 	}
 }
 
-func TestOldKeyIsUnknown(t *testing.T) {
+func TestExpiredKeyIsUnknown(t *testing.T) {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	out := o.Handle(start.Add(2*time.Minute), Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
 	if out.Run != nil || out.Replies[0].State != wire.KeyState_KEY_STATE_UNKNOWN {
@@ -191,7 +192,7 @@
 	}
 }
 
-func TestOtherContentIsRefused(t *testing.T) {
+func TestKeyReusedForAnotherRequestIsRefused(t *testing.T) {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 9})
 	k := newKey("x", "")
 	o.Handle(start, Begin[string]{Token: 1, Key: k, Digest: 1})
@@ -201,7 +202,7 @@
 	}
 }
 
-func TestFullMemoryRefusesNewKeys(t *testing.T) {
+func TestNewKeysAreRefusedAtMaxKeys(t *testing.T) {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 1})
 	o.Handle(start, Begin[string]{Token: 1, Key: newKey("x", ""), Digest: 1})
 	out := o.Handle(start, Begin[string]{Token: 2, Key: newKey("y", ""), Digest: 1})
@@ -225,7 +226,7 @@
 	})
 }
 
-// ExampleOwner runs a request once and gives its resend the same answer.
+// ExampleOwner runs a request once and answers its resend with the stored answer.
 func ExampleOwner() {
 	o := NewOwner[string](OwnerConfig{Name: "a", Incarnation: "1", Retention: time.Minute, MaxKeys: 10})
 	k := newKey("order-7", "")
--- a/pkg/requestkey/owner.go
+++ b/pkg/requestkey/owner.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// clockMargin is how far the clocks of boxes may differ.
-	clockMargin = time.Minute
-	// maxStoredBody bounds the body of a stored answer; a larger one is not
-	// kept and a resend learns only that the request ran.
-	maxStoredBody = 64 << 10
+	// maxClockSkew is the largest tolerated difference between the clocks of two boxes.
+	maxClockSkew = time.Minute
+	// maxStoredBodyBytes limits the body of a stored answer. A larger answer is not
+	// stored, and a resend learns only that the request ran.
+	maxStoredBodyBytes = 64 << 10
 )
 
-// OwnerConfig is what an Owner is told.
+// OwnerConfig configures an Owner.
 type OwnerConfig struct {
 	Name        string
 	Incarnation string
-	// Retention is how long keys are kept after their scope was issued.
+	// Retention is how long a key is kept after its scope was issued.
 	Retention time.Duration
-	// MaxKeys bounds the memory; when it is reached new keys are refused.
+	// MaxKeys limits the number of kept keys. New keys are refused at the limit.
 	MaxKeys int
 }
 
-// Event is one input of an Owner.
+// Event is an input of an Owner: Begin, WitnessResult, Finished or CallerLeft.
 type Event interface{ event() }
 
-// Begin is a request with a key that has arrived. Token names the arrival, Request is what
-// the host needs to run it.
+// Begin reports the arrival of a request with a key. Token identifies the arrival;
+// Request is what the host needs to run it.
 type Begin[R any] struct {
 	Token   uint64
 	Key     Key
@@ -37,22 +37,24 @@
 	Request R
 }
 
-// WitnessResult tells whether the witness has recorded the start of a key.
+// WitnessResult reports whether the witness has recorded the start of a key.
 type WitnessResult struct {
 	Key Key
-	// Refused: the witness has closed the key; Failed: it could not be asked.
+	// Refused is true if the witness has closed the key, Failed if it could not be
+	// reached.
 	Refused bool
 	Failed  bool
 }
 
-// Finished tells how the one attempt has ended.
+// Finished reports the result of a key's attempt.
 type Finished struct {
 	Key    Key
 	State  wire.KeyState
 	Answer *wire.StoredAnswer
 }
 
-// CallerLeft tells that the caller of an arrival is gone; a started attempt goes on.
+// CallerLeft reports that the caller of an arrival has disconnected. An attempt that
+// has started continues.
 type CallerLeft struct {
 	Key   Key
 	Token uint64
@@ -63,30 +65,31 @@
 func (Finished) event()      {}
 func (CallerLeft) event()    {}
 
-// Reply is the final answer to one arrival.
+// Reply is the final answer to an arrival.
 type Reply struct {
 	Token  uint64
 	State  wire.KeyState
 	Answer *wire.StoredAnswer
-	// Reason explains a state other than ran.
+	// Reason explains any state other than ran.
 	Reason string
 }
 
-// Run asks for the one attempt of a key, with the request of the arrival Token, which waits.
-// It holds the request itself: the host may have dropped what it kept of an arrival.
+// Run starts the single attempt of a key, with the request of the waiting arrival
+// Token. It contains the request, since the host may already have dropped its own data
+// of that arrival.
 type Run[R any] struct {
 	Token   uint64
 	Key     Key
 	Request R
 }
 
-// Output is what to carry out after an event.
+// Output lists what the host must do after an event.
 type Output[R any] struct {
-	// Run is nil unless the attempt of a key is to be made.
+	// Run is nil unless an attempt must be started.
 	Run     *Run[R]
 	Replies []Reply
-	// Record asks for a message to the witness. After a start is recorded a
-	// Witnessed event must follow.
+	// Record is a message to send to the witness. If it records a start, the host must
+	// report the outcome in a WitnessResult.
 	Record *wire.WitnessRequest
 }
 
@@ -106,12 +109,12 @@
 	expires time.Time
 }
 
-// Owner keeps the keys whose scopes one incarnation of a box has issued. R is the host's type
-// of a request.
+// Owner keeps the keys whose scopes were issued by one incarnation of a box. R is the
+// host's type for a request.
 type Owner[R any] struct {
-	config OwnerConfig
-	keys   map[string]*record[R]
-	sweep  time.Time
+	config    OwnerConfig
+	keys      map[string]*record[R]
+	nextSweep time.Time
 }
 
 // NewOwner returns an owner without keys.
@@ -119,23 +122,23 @@
 	return &Owner[R]{config: c, keys: make(map[string]*record[R])}
 }
 
-// SetRetention changes how long keys are kept. Keys already kept stay as long as
-// they were promised.
-func (o *Owner[R]) SetRetention(keep time.Duration) { o.config.Retention = keep }
+// SetRetention changes the retention of new keys. Keys that are already kept retain
+// their expiry time.
+func (o *Owner[R]) SetRetention(retention time.Duration) { o.config.Retention = retention }
 
 // Len returns the number of kept keys.
 func (o *Owner[R]) Len() int { return len(o.keys) }
 
-// Handle takes one event at now and returns what to carry out.
+// Handle processes an event at now and returns what the host must do.
 func (o *Owner[R]) Handle(now time.Time, e Event) Output[R] {
 	o.expire(now)
 	switch e := e.(type) {
 	case Begin[R]:
-		return o.begin(now, e)
+		return o.handleBegin(now, e)
 	case WitnessResult:
-		return o.witnessed(e)
+		return o.handleWitnessResult(e)
 	case Finished:
-		return o.finished(e)
+		return o.handleFinished(e)
 	case CallerLeft:
 		if r := o.keys[e.Key.String()]; r != nil {
 			r.waiting = slices.DeleteFunc(r.waiting, func(a arrival[R]) bool { return a.token == e.Token })
@@ -144,12 +147,12 @@
 	return Output[R]{}
 }
 
-// expire drops keys that are past their time, at most once a second.
+// expire drops expired keys, at most once a second.
 func (o *Owner[R]) expire(now time.Time) {
-	if now.Before(o.sweep) {
+	if now.Before(o.nextSweep) {
 		return
 	}
-	o.sweep = now.Add(time.Second)
+	o.nextSweep = now.Add(time.Second)
 	for key, r := range o.keys {
 		if !r.running && now.After(r.expires) {
 			delete(o.keys, key)
@@ -161,7 +164,7 @@
 	return Output[R]{Replies: []Reply{{Token: token, State: state, Answer: answer, Reason: reason}}}
 }
 
-func (o *Owner[R]) begin(now time.Time, e Begin[R]) Output[R] {
+func (o *Owner[R]) handleBegin(now time.Time, e Begin[R]) Output[R] {
 	s := e.Key.Scope
 	if s.Owner != o.config.Name {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_UNKNOWN, nil, "the key belongs to another entry box")
@@ -169,11 +172,11 @@
 	if s.OwnerIncarnation != o.config.Incarnation {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_UNKNOWN, nil, "the entry box of the key has restarted")
 	}
-	if s.IssuedAt.After(now.Add(clockMargin)) {
+	if s.IssuedAt.After(now.Add(maxClockSkew)) {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the key's time is in the future")
 	}
 	if r := o.keys[e.Key.String()]; r != nil {
-		return o.resend(e, r)
+		return o.handleResend(e, r)
 	}
 	if now.After(s.IssuedAt.Add(o.config.Retention)) {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_UNKNOWN, nil, "the key is older than keys are kept")
@@ -181,13 +184,13 @@
 	if len(o.keys) >= o.config.MaxKeys {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_NOT_RUN, nil, "too many keys are kept")
 	}
-	r := &record[R]{digest: e.Digest, expires: s.IssuedAt.Add(o.config.Retention + 2*clockMargin)}
+	r := &record[R]{digest: e.Digest, expires: s.IssuedAt.Add(o.config.Retention + 2*maxClockSkew)}
 	o.keys[e.Key.String()] = r
-	return o.start(e, r)
+	return o.startAttempt(e, r)
 }
 
-// resend answers an arrival of a key that is kept.
-func (o *Owner[R]) resend(e Begin[R], r *record[R]) Output[R] {
+// handleResend answers an arrival whose key is already kept.
+func (o *Owner[R]) handleResend(e Begin[R], r *record[R]) Output[R] {
 	if r.digest != e.Digest {
 		return o.reply(e.Token, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the key was used before for another request")
 	}
@@ -196,24 +199,25 @@
 		return Output[R]{}
 	}
 	if r.state == wire.KeyState_KEY_STATE_NOT_RUN {
-		return o.start(e, r)
+		return o.startAttempt(e, r)
 	}
 	return o.reply(e.Token, r.state, r.answer, "")
 }
 
-// start has the witness record the key, or runs it at once if there is none.
-func (o *Owner[R]) start(e Begin[R], r *record[R]) Output[R] {
+// startAttempt has the witness record the start of the key, or runs the key at once if
+// there is no witness.
+func (o *Owner[R]) startAttempt(e Begin[R], r *record[R]) Output[R] {
 	r.running = true
 	r.attempt++
 	r.state = wire.KeyState_KEY_STATE_STARTED
 	r.waiting = []arrival[R]{{e.Token, e.Request}}
 	if e.Key.Scope.Witness == "" {
-		return o.run(e.Key, r)
+		return o.runAttempt(e.Key, r)
 	}
-	return Output[R]{Record: o.message(e.Key, r)}
+	return Output[R]{Record: o.recordRequest(e.Key, r)}
 }
 
-func (o *Owner[R]) message(k Key, r *record[R]) *wire.WitnessRequest {
+func (o *Owner[R]) recordRequest(k Key, r *record[R]) *wire.WitnessRequest {
 	return &wire.WitnessRequest{
 		Action:  wire.WitnessRequest_ACTION_RECORD,
 		Key:     k.String(),
@@ -224,44 +228,44 @@
 	}
 }
 
-// run asks for the attempt of a key, with the request of the arrival that has waited longest.
-// If all arrivals have left, the key ends as not run.
-func (o *Owner[R]) run(k Key, r *record[R]) Output[R] {
+// runAttempt starts the attempt of a key with the arrival that has waited longest. If
+// no arrival is left, the key ends as not run.
+func (o *Owner[R]) runAttempt(k Key, r *record[R]) Output[R] {
 	if len(r.waiting) == 0 {
-		return o.finished(Finished{Key: k, State: wire.KeyState_KEY_STATE_NOT_RUN})
+		return o.handleFinished(Finished{Key: k, State: wire.KeyState_KEY_STATE_NOT_RUN})
 	}
 	first := r.waiting[0]
 	return Output[R]{Run: &Run[R]{Token: first.token, Key: k, Request: first.request}}
 }
 
-func (o *Owner[R]) witnessed(e WitnessResult) Output[R] {
+func (o *Owner[R]) handleWitnessResult(e WitnessResult) Output[R] {
 	r := o.keys[e.Key.String()]
 	if r == nil || !r.running || r.state != wire.KeyState_KEY_STATE_STARTED {
 		return Output[R]{}
 	}
 	switch {
 	case e.Refused:
-		return o.end(r, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the witness has closed the key; look up again for a new scope")
+		return o.endAttempt(r, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the witness has closed the key; look up again for a new scope")
 	case e.Failed:
-		return o.end(r, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the witness can't be reached; look up again for a new scope")
+		return o.endAttempt(r, wire.KeyState_KEY_STATE_NOT_RUN, nil, "the witness can't be reached; look up again for a new scope")
 	}
-	return o.run(e.Key, r)
+	return o.runAttempt(e.Key, r)
 }
 
-func (o *Owner[R]) finished(e Finished) Output[R] {
+func (o *Owner[R]) handleFinished(e Finished) Output[R] {
 	r := o.keys[e.Key.String()]
 	if r == nil || !r.running {
 		return Output[R]{}
 	}
-	out := o.end(r, e.State, e.Answer, "")
+	out := o.endAttempt(r, e.State, e.Answer, "")
 	if e.Key.Scope.Witness != "" {
-		out.Record = o.message(e.Key, r)
+		out.Record = o.recordRequest(e.Key, r)
 	}
 	return out
 }
 
-// end answers all arrivals that wait for the attempt.
-func (o *Owner[R]) end(r *record[R], state wire.KeyState, answer *wire.StoredAnswer, reason string) Output[R] {
+// endAttempt answers all arrivals that wait for the attempt.
+func (o *Owner[R]) endAttempt(r *record[R], state wire.KeyState, answer *wire.StoredAnswer, reason string) Output[R] {
 	var out Output[R]
 	for _, a := range r.waiting {
 		out.Replies = append(out.Replies, Reply{Token: a.token, State: state, Answer: answer, Reason: reason})
@@ -269,12 +273,13 @@
 	r.running = false
 	r.waiting = nil
 	r.state = state
-	r.answer = bounded(answer)
+	r.answer = storable(answer)
 	return out
 }
 
-func bounded(a *wire.StoredAnswer) *wire.StoredAnswer {
-	if a == nil || len(a.Body) <= maxStoredBody {
+// storable returns the answer if it is small enough to store, otherwise nil.
+func storable(a *wire.StoredAnswer) *wire.StoredAnswer {
+	if a == nil || len(a.Body) <= maxStoredBodyBytes {
 		return a
 	}
 	return nil
--- a/pkg/requestkey/witness.go
+++ b/pkg/requestkey/witness.go
@@ -6,7 +6,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-type testimony struct {
+type witnessRecord struct {
 	state   wire.KeyState
 	answer  *wire.StoredAnswer
 	digest  uint64
@@ -15,24 +15,24 @@
 	expires time.Time
 }
 
-// Witness remembers the keys of another box, in case that box dies.
+// Witness remembers the state of another box's keys, in case that box fails.
 type Witness struct {
 	name        string
 	incarnation string
-	keep        time.Duration
+	retention   time.Duration
 	maxKeys     int
-	keys        map[string]*testimony
-	sweep       time.Time
+	keys        map[string]*witnessRecord
+	nextSweep   time.Time
 }
 
 // NewWitness returns a witness without keys.
-func NewWitness(name, incarnation string, keep time.Duration, maxKeys int) *Witness {
-	return &Witness{name: name, incarnation: incarnation, keep: keep, maxKeys: maxKeys, keys: make(map[string]*testimony)}
+func NewWitness(name, incarnation string, retention time.Duration, maxKeys int) *Witness {
+	return &Witness{name: name, incarnation: incarnation, retention: retention, maxKeys: maxKeys, keys: make(map[string]*witnessRecord)}
 }
 
-// Handle answers a request that arrived at now. A key that the witness is
-// asked about before its start was recorded is closed: the start is refused
-// from then on, so the answer "absent" stays true.
+// Handle answers a request received at now. A query for a key whose start was not
+// recorded closes the key: from then on the witness refuses to record its start, so
+// that the answer "absent" stays true.
 func (w *Witness) Handle(now time.Time, m *wire.WitnessRequest) *wire.WitnessAnswer {
 	w.expire(now)
 	k, err := Parse(m.Key)
@@ -41,11 +41,11 @@
 	}
 	t := w.keys[m.Key]
 	if t == nil {
-		late := now.After(k.Scope.IssuedAt.Add(w.keep)) || k.Scope.IssuedAt.After(now.Add(clockMargin))
+		late := now.After(k.Scope.IssuedAt.Add(w.retention)) || k.Scope.IssuedAt.After(now.Add(maxClockSkew))
 		if late || len(w.keys) >= w.maxKeys {
 			return &wire.WitnessAnswer{Refused: true, State: wire.KeyState_KEY_STATE_UNKNOWN}
 		}
-		t = &testimony{expires: k.Scope.IssuedAt.Add(w.keep + 2*clockMargin)}
+		t = &witnessRecord{expires: k.Scope.IssuedAt.Add(w.retention + 2*maxClockSkew)}
 		w.keys[m.Key] = t
 	}
 	if m.Action == wire.WitnessRequest_ACTION_ASK {
@@ -57,12 +57,12 @@
 		}
 		return &wire.WitnessAnswer{State: t.state, Answer: t.answer}
 	}
-	return w.record(t, m)
+	return w.applyRecord(t, m)
 }
 
-// record takes news of a key from its owner. News that is older than what is
-// known, such as a late copy, changes nothing.
-func (w *Witness) record(t *testimony, m *wire.WitnessRequest) *wire.WitnessAnswer {
+// applyRecord stores the state of a key as its owner reports it. An outdated report,
+// such as a delayed duplicate, is refused.
+func (w *Witness) applyRecord(t *witnessRecord, m *wire.WitnessRequest) *wire.WitnessAnswer {
 	starts := m.State == wire.KeyState_KEY_STATE_STARTED
 	if starts && t.closed {
 		return &wire.WitnessAnswer{Refused: true, State: t.state}
@@ -72,17 +72,17 @@
 		return &wire.WitnessAnswer{Refused: true, State: t.state}
 	}
 	t.state = m.State
-	t.answer = bounded(m.Answer)
+	t.answer = storable(m.Answer)
 	t.digest = m.Digest
 	t.attempt = m.Attempt
 	return &wire.WitnessAnswer{State: t.state}
 }
 
 func (w *Witness) expire(now time.Time) {
-	if now.Before(w.sweep) {
+	if now.Before(w.nextSweep) {
 		return
 	}
-	w.sweep = now.Add(time.Second)
+	w.nextSweep = now.Add(time.Second)
 	for key, t := range w.keys {
 		if now.After(t.expires) {
 			delete(w.keys, key)
