--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -152,7 +152,7 @@
 	if r.repeatable {
 		class = admission.Repeatable
 	}
-	foreign := s.table.Assigned(s.service.Name, r.home, r.block) != v.pool.region
+	foreign := s.table.AssignedRegion(s.service.Name, r.home, r.block) != v.pool.region
 	s.handle(v.pool, admission.Arrive{ID: a.id, Class: class, Deadline: r.deadline, Foreign: foreign, Exclude: v.exclude, NoWait: r.noWait()})
 }
 
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -69,7 +69,7 @@
 	repairs   map[string]consensus.RepairStep
 	lagging   map[string]time.Time
 	shifts    map[string]string // why a shift waits
-	learning  *lookup.Learning
+	learning  *lookup.StartupGate
 }
 
 // Open recovers the replica and listens. Run must follow.
@@ -121,7 +121,7 @@
 	}
 	r.clock, r.inbox.clock = d.clock, d.clock
 	d.replica = r
-	d.learning = lookup.NewLearning(len(r.machine.Membership().GetVoters()) > 0)
+	d.learning = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
 	if found.TruncatedBytes > 0 {
 		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -24,7 +24,7 @@
 // A place that surely did not run it lets the next one have it.
 func (d *Daemon) dispatch(ctx context.Context, r *request) *answer {
 	f := d.current.Load()
-	if !f.table.Knows(r.service) {
+	if !f.table.HasService(r.service) {
 		return &answer{outcome: caller.NotRun, status: http.StatusNotFound, reason: "there is no service " + r.service}
 	}
 	d.markForeign(f, r)
@@ -142,14 +142,14 @@
 		return
 	}
 	r.foreignSet = true
-	r.foreign = f.table.Assigned(r.service, d.homeOf(r), r.block) != d.config.Region
+	r.foreign = f.table.AssignedRegion(r.service, d.homeOf(r), r.block) != d.config.Region
 }
 
 // forward passes a request to another entry box and returns its answer.
 func (d *Daemon) forward(ctx context.Context, b settings.Box, r *request) *answer {
 	next := *r
 	if b.Region != d.config.Region {
-		next.foreign = d.current.Load().table.Assigned(r.service, d.homeOf(r), r.block) != b.Region
+		next.foreign = d.current.Load().table.AssignedRegion(r.service, d.homeOf(r), r.block) != b.Region
 	}
 	h, err := next.toPeer(d.clock.Now())
 	if err != nil {
--- a/internal/relay/publishing.go
+++ b/internal/relay/publishing.go
@@ -277,7 +277,7 @@
 // entryBoxes returns the boxes that serve callers, or nil if they are those
 // that were told before, and a text that stands for them.
 func (p *Publishing) entryBoxes(told string) (*wire.EntryBoxes, string) {
-	fresh := p.Fresh(max(entryBoxFresh, lookup.ReportFresh(len(p.Fresh(2*entryBoxFresh)))))
+	fresh := p.Fresh(max(entryBoxFresh, lookup.ReportValidity(len(p.Fresh(2*entryBoxFresh)))))
 	if len(fresh) == 0 {
 		return nil, told
 	}
--- a/pkg/lookup/assignment.go
+++ b/pkg/lookup/assignment.go
@@ -39,8 +39,8 @@
 // immutable value.
 type Assignment struct{ intervals []*wire.Interval }
 
-// Whole returns the assignment that gives all points to one region.
-func Whole(region string) Assignment {
+// SingleRegion returns the assignment that gives all points to one region.
+func SingleRegion(region string) Assignment {
 	return Assignment{[]*wire.Interval{{Start: 0, End: Points, Region: region}}}
 }
 
@@ -77,8 +77,8 @@
 	return a.intervals[i].Region
 }
 
-// Share returns the number of points of a region.
-func (a Assignment) Share(region string) uint32 {
+// PointsOf returns the number of points of a region.
+func (a Assignment) PointsOf(region string) uint32 {
 	n := uint32(0)
 	for _, v := range a.intervals {
 		if v.Region == region {
--- a/pkg/lookup/learning.go
+++ b/pkg/lookup/learning.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Learning decides when a control replica that has started knows the entry
+// StartupGate decides when a control replica that has started knows the entry
 // boxes well enough to answer look-ups. An answer that names a few of them only
 // would send all callers there, for as long as it is kept.
-type Learning struct {
+type StartupGate struct {
 	// wait is the time from the first report to the first answer.
 	wait time.Duration
 	// first is when the first box reported that it serves.
@@ -22,23 +22,23 @@
 	learnNew = 1200 * time.Millisecond
 )
 
-// NewLearning returns the learning of a replica that has just started; member
+// NewStartupGate returns the learning of a replica that has just started; member
 // tells that it stood in the membership before.
-func NewLearning(member bool) *Learning {
+func NewStartupGate(member bool) *StartupGate {
 	if member {
-		return &Learning{wait: learnAgain}
+		return &StartupGate{wait: learnAgain}
 	}
-	return &Learning{wait: learnNew}
+	return &StartupGate{wait: learnNew}
 }
 
-// Heard takes that a box has reported that it serves.
-func (l *Learning) Heard(now time.Time) {
+// BoxReported takes that a box has reported that it serves.
+func (l *StartupGate) BoxReported(now time.Time) {
 	if l.first.IsZero() {
 		l.first = now
 	}
 }
 
-// Done reports whether look-ups can be answered.
-func (l *Learning) Done(now time.Time) bool {
+// Ready reports whether look-ups can be answered.
+func (l *StartupGate) Ready(now time.Time) bool {
 	return !l.first.IsZero() && now.Sub(l.first) >= l.wait
 }
--- a/pkg/lookup/learning_test.go
+++ b/pkg/lookup/learning_test.go
@@ -11,17 +11,17 @@
 		member bool
 		wait   time.Duration
 	}{{true, learnAgain}, {false, learnNew}} {
-		l := NewLearning(c.member)
+		l := NewStartupGate(c.member)
 		now := time.Unix(0, 0)
-		if l.Done(now) || l.Done(now.Add(time.Minute)) {
+		if l.Ready(now) || l.Ready(now.Add(time.Minute)) {
 			t.Error("no box is known")
 		}
-		l.Heard(now)
-		l.Heard(now.Add(c.wait / 2))
-		if l.Done(now) || l.Done(now.Add(c.wait-1)) {
+		l.BoxReported(now)
+		l.BoxReported(now.Add(c.wait / 2))
+		if l.Ready(now) || l.Ready(now.Add(c.wait-1)) {
 			t.Errorf("member %v: the first box alone is named", c.member)
 		}
-		if !l.Done(now.Add(c.wait)) {
+		if !l.Ready(now.Add(c.wait)) {
 			t.Errorf("member %v: no answer after %v", c.member, c.wait)
 		}
 	}
--- a/pkg/lookup/lookup_test.go
+++ b/pkg/lookup/lookup_test.go
@@ -13,7 +13,7 @@
 func TestMoveMovesExactlyItsShare(t *testing.T) {
 	regions := []string{"east", "west", "south"}
 	rapid.Check(t, func(t *rapid.T) {
-		a := Whole("east")
+		a := SingleRegion("east")
 		for range rapid.IntRange(1, 12).Draw(t, "moves") {
 			from, to := rapid.SampledFrom(regions).Draw(t, "from"), rapid.SampledFrom(regions).Draw(t, "to")
 			if from == to {
@@ -21,7 +21,7 @@
 			}
 			points := uint32(rapid.IntRange(1, Points).Draw(t, "points"))
 			next, moved := a.WithMove(from, to, points)
-			if want := min(points, a.Share(from)); moved != want {
+			if want := min(points, a.PointsOf(from)); moved != want {
 				t.Fatalf("moved %d points, want %d", moved, want)
 			}
 			changed := uint32(0)
@@ -67,9 +67,9 @@
 }
 
 func TestFromIntervalsRefuses(t *testing.T) {
-	short := Whole("east").Intervals()
+	short := SingleRegion("east").Intervals()
 	short[0] = &wire.Interval{Start: 0, End: 5, Region: "east"}
-	late := Whole("east").Intervals()
+	late := SingleRegion("east").Intervals()
 	late[0] = &wire.Interval{Start: 5, End: Points, Region: "east"}
 	for name, list := range map[string][]*wire.Interval{"empty": nil, "short": short, "late": late} {
 		if _, err := FromIntervals(list); err == nil {
@@ -80,7 +80,7 @@
 
 // ExampleAssignment_WithMove moves a tenth of a region's callers.
 func ExampleAssignment_WithMove() {
-	a, moved := Whole("east").WithMove("east", "west", 1000)
-	fmt.Println(moved, a.Share("east"), a.Share("west"))
+	a, moved := SingleRegion("east").WithMove("east", "west", 1000)
+	fmt.Println(moved, a.PointsOf("east"), a.PointsOf("west"))
 	// Output: 1000 9000 1000
 }
--- a/pkg/lookup/nearby.go
+++ b/pkg/lookup/nearby.go
@@ -1,7 +1,7 @@
 package lookup
 
-// Nearby is an entry box that serves, and where it stands.
-type Nearby struct {
+// BoxLocation is an entry box that serves, and where it stands.
+type BoxLocation struct {
 	Address string
 	Zone    string
 	Region  string
@@ -13,18 +13,18 @@
 
 // Nearest returns the addresses of the boxes that a caller is to use: those of
 // its zone; if they are few, those of its region; if there are none, all.
-func Nearest(boxes []Nearby, region, zone string) []string {
-	inZone := addressesWhere(boxes, func(b Nearby) bool { return b.Zone == zone })
+func Nearest(boxes []BoxLocation, region, zone string) []string {
+	inZone := addressesWhere(boxes, func(b BoxLocation) bool { return b.Zone == zone })
 	if len(inZone) >= enoughBoxes {
 		return inZone
 	}
-	if inRegion := addressesWhere(boxes, func(b Nearby) bool { return b.Region == region }); len(inRegion) > 0 {
+	if inRegion := addressesWhere(boxes, func(b BoxLocation) bool { return b.Region == region }); len(inRegion) > 0 {
 		return inRegion
 	}
-	return addressesWhere(boxes, func(Nearby) bool { return true })
+	return addressesWhere(boxes, func(BoxLocation) bool { return true })
 }
 
-func addressesWhere(boxes []Nearby, keep func(Nearby) bool) []string {
+func addressesWhere(boxes []BoxLocation, keep func(BoxLocation) bool) []string {
 	var out []string
 	for _, b := range boxes {
 		if keep(b) {
--- a/pkg/lookup/reporting.go
+++ b/pkg/lookup/reporting.go
@@ -22,8 +22,8 @@
 	return min(max(time.Duration(boxes)*reportSpacing, leastReportInterval), mostReportInterval)
 }
 
-// ReportFresh returns for how long the report of one of a number of boxes
+// ReportValidity returns for how long the report of one of a number of boxes
 // counts.
-func ReportFresh(boxes int) time.Duration {
+func ReportValidity(boxes int) time.Duration {
 	return time.Duration(freshIntervals * float64(ReportInterval(boxes)))
 }
--- a/pkg/lookup/reporting_test.go
+++ b/pkg/lookup/reporting_test.go
@@ -13,14 +13,14 @@
 		if got := ReportInterval(c.boxes); got != c.interval {
 			t.Errorf("%d boxes: %s, want %s", c.boxes, got, c.interval)
 		}
-		if fresh := ReportFresh(c.boxes); fresh < 3*ReportInterval(c.boxes) || fresh > 6*time.Second {
+		if fresh := ReportValidity(c.boxes); fresh < 3*ReportInterval(c.boxes) || fresh > 6*time.Second {
 			t.Errorf("%d boxes: a report counts for %s", c.boxes, fresh)
 		}
 	}
 }
 
 func TestNearest(t *testing.T) {
-	boxes := []Nearby{{"a1", "a", "r"}, {"a2", "a", "r"}, {"b1", "b", "r"}, {"c1", "c", "s"}}
+	boxes := []BoxLocation{{"a1", "a", "r"}, {"a2", "a", "r"}, {"b1", "b", "r"}, {"c1", "c", "s"}}
 	for _, c := range []struct {
 		region, zone string
 		want         int
--- a/pkg/lookup/schedule.go
+++ b/pkg/lookup/schedule.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Changed makes a report to every replica due at once.
-func (s *ReportSchedule) Changed(now time.Time) {
+// MarkChanged makes a report to every replica due at once.
+func (s *ReportSchedule) MarkChanged(now time.Time) {
 	for _, r := range s.replicas {
 		r.due = now
 		r.again = r.open
@@ -81,8 +81,8 @@
 	return addresses, next
 }
 
-// Ended takes the end of a report; taken tells that the replica has it.
-func (s *ReportSchedule) Ended(now time.Time, address string, taken bool) {
+// ReportEnded takes the end of a report; taken tells that the replica has it.
+func (s *ReportSchedule) ReportEnded(now time.Time, address string, taken bool) {
 	r := s.replicas[address]
 	if r == nil {
 		return
--- a/pkg/lookup/schedule_test.go
+++ b/pkg/lookup/schedule_test.go
@@ -18,8 +18,8 @@
 	if diff := cmp.Diff([]string{"a", "b", "c"}, due); diff != "" {
 		t.Fatal(diff)
 	}
-	s.Ended(now, "a", true)
-	s.Ended(now, "b", false)
+	s.ReportEnded(now, "a", true)
+	s.ReportEnded(now, "b", false)
 	// c has not ended.
 	due, next := s.Due(now)
 	if len(due) != 0 || next != now.Add(repeatInterval) {
@@ -33,7 +33,7 @@
 	if due, _ = s.Due(now); !cmp.Equal(due, []string{"a"}) {
 		t.Fatalf("due are %v", due)
 	}
-	s.Ended(now, "c", false)
+	s.ReportEnded(now, "c", false)
 	now = now.Add(repeatInterval)
 	if due, _ = s.Due(now); !cmp.Equal(due, []string{"c"}) {
 		t.Fatalf("due are %v", due)
@@ -46,11 +46,11 @@
 	s := NewReportSchedule()
 	s.SetReplicas(now, []string{"a"})
 	s.Due(now)
-	s.Changed(now)
+	s.MarkChanged(now)
 	if due, _ := s.Due(now); len(due) > 0 {
 		t.Fatalf("two reports to %v at once", due)
 	}
-	s.Ended(now, "a", true)
+	s.ReportEnded(now, "a", true)
 	if due, _ := s.Due(now); len(due) != 1 {
 		t.Fatal("the change is not told")
 	}
@@ -72,7 +72,7 @@
 		for range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "milliseconds")) * time.Millisecond)
 			if rapid.IntRange(0, 20).Draw(t, "change") == 0 {
-				s.Changed(now)
+				s.MarkChanged(now)
 			}
 			due, _ := s.Due(now)
 			for _, address := range due {
@@ -85,7 +85,7 @@
 				if open[address] && rapid.Bool().Draw(t, "ends") {
 					open[address] = false
 					ended[address] = now
-					s.Ended(now, address, rapid.Bool().Draw(t, "taken"))
+					s.ReportEnded(now, address, rapid.Bool().Draw(t, "taken"))
 				}
 				if !open[address] && now.Sub(ended[address]) > leastReportInterval+100*time.Millisecond {
 					t.Fatalf("%s was last told %v ago", address, now.Sub(ended[address]))
@@ -101,8 +101,8 @@
 	s.SetReplicas(now, []string{"10.0.0.1:7660", "10.0.0.2:7660"})
 	due, _ := s.Due(now)
 	fmt.Println(due)
-	s.Ended(now, "10.0.0.1:7660", true)
-	s.Ended(now, "10.0.0.2:7660", false)
+	s.ReportEnded(now, "10.0.0.1:7660", true)
+	s.ReportEnded(now, "10.0.0.2:7660", false)
 	_, next := s.Due(now)
 	fmt.Println(next.Sub(now))
 	// Output:
--- a/pkg/lookup/table.go
+++ b/pkg/lookup/table.go
@@ -77,8 +77,8 @@
 	return false
 }
 
-// Knows reports whether any zone has the service.
-func (b *Table) Knows(service string) bool { return b.zones[service] != nil }
+// HasService reports whether any zone has the service.
+func (b *Table) HasService(service string) bool { return b.zones[service] != nil }
 
 // Service returns what is in force for a service in a zone that has it.
 func (b *Table) Service(service, zone string) (settings.Service, bool) {
@@ -86,9 +86,9 @@
 	return s, ok
 }
 
-// Assigned returns the region that a block is assigned to, whether or not the
+// AssignedRegion returns the region that a block is assigned to, whether or not the
 // region can serve it.
-func (b *Table) Assigned(service, home, block string) string {
+func (b *Table) AssignedRegion(service, home, block string) string {
 	return b.assign(service, home).Region(Point(service, block))
 }
 
@@ -100,7 +100,7 @@
 // its boxes in the order of the pool's lease candidates. A box that the
 // function usable refuses is left out.
 func (b *Table) Choose(service, home, block string, limit int, usable func(settings.Box) bool) []Choice {
-	assigned := b.Assigned(service, home, block)
+	assigned := b.AssignedRegion(service, home, block)
 	out := b.inRegion(nil, service, assigned, assigned, block, limit, usable)
 	if len(out) >= limit {
 		return out
--- a/pkg/shift/example_test.go
+++ b/pkg/shift/example_test.go
@@ -52,7 +52,7 @@
 			s = next
 		}
 	}
-	fmt.Println("points in west:", s.Assignment("web", "east").Share("west"))
+	fmt.Println("points in west:", s.Assignment("web", "east").PointsOf("west"))
 	// Output:
 	// waits: west carries 95.0 of 90.0 slots, 7.2 more may come
 	// points in west: 800
--- a/pkg/shift/planner.go
+++ b/pkg/shift/planner.go
@@ -172,7 +172,7 @@
 func pointsAt(s steering.State, service, region string) uint32 {
 	n := uint32(0)
 	for _, home := range s.Tree().Regions() {
-		n += s.Assignment(service, home).Share(region)
+		n += s.Assignment(service, home).PointsOf(region)
 	}
 	return n
 }
--- a/pkg/shift/planner_test.go
+++ b/pkg/shift/planner_test.go
@@ -89,7 +89,7 @@
 				t.Fatalf("%d points are on the move, the cap is 2000", n)
 			}
 			h := s.Shifts()[0]
-			if got := s.Assignment("web", "east").Share("west"); got != h.Moved {
+			if got := s.Assignment("web", "east").PointsOf("west"); got != h.Moved {
 				t.Fatalf("the shift says %d, the assignment %d", h.Moved, got)
 			}
 		}
--- a/pkg/steering/state.go
+++ b/pkg/steering/state.go
@@ -71,7 +71,7 @@
 	if a, ok := s.assignments[Home{service, home}]; ok {
 		return a
 	}
-	return lookup.Whole(home)
+	return lookup.SingleRegion(home)
 }
 
 // Table returns the look-up table of the state.
