--- a/pkg/lookup/assignment.go
+++ b/pkg/lookup/assignment.go
@@ -1,8 +1,8 @@
 // Package lookup maps callers to regions, availability zones and entry boxes.
 //
-// The callers of a service with the same home region are spread over Points
-// points by a hash of their block. An Assignment gives each point to a region;
-// moving a number of points moves exactly those callers and no others.
+// A hash of its block places every caller of a service and home region on one of Points
+// points. An Assignment gives each point to a region. Moving a number of points moves
+// exactly the callers on them and no others.
 package lookup
 
 import (
@@ -16,7 +16,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Points is how finely the callers of a home region are divided.
+// Points is the number of parts into which the callers of a home region are divided.
 const Points = 10_000
 
 // Point returns the point of a block of callers for a service.
@@ -29,14 +29,13 @@
 	for _, p := range parts {
 		var size [4]byte
 		binary.BigEndian.PutUint32(size[:], uint32(len(p)))
-		_, _ = d.Write(size[:]) // a hash takes every write
+		_, _ = d.Write(size[:]) // a hash never returns an error
 		_, _ = d.WriteString(p)
 	}
 	return d.Sum64()
 }
 
-// Assignment divides the points of one home region between regions. It is an
-// immutable value.
+// Assignment divides the points of one home region among regions. It is immutable.
 type Assignment struct{ intervals []*wire.Interval }
 
 // SingleRegion returns the assignment that gives all points to one region.
@@ -44,8 +43,8 @@
 	return Assignment{[]*wire.Interval{{Start: 0, End: Points, Region: region}}}
 }
 
-// FromIntervals returns an assignment after checking that the intervals cover
-// every point once.
+// FromIntervals returns the assignment with the given intervals, which must cover every
+// point exactly once and in order.
 func FromIntervals(intervals []*wire.Interval) (Assignment, error) {
 	at := uint32(0)
 	for _, v := range intervals {
@@ -88,8 +87,8 @@
 	return n
 }
 
-// WithMove returns the assignment after the highest points of from, up to the
-// given number, have been given to another region, and how many were moved.
+// WithMove returns a copy of the assignment in which the highest points of region from,
+// up to the given number, belong to region to, and the number of points moved.
 func (a Assignment) WithMove(from, to string, points uint32) (Assignment, uint32) {
 	left := points
 	var out []*wire.Interval
@@ -106,11 +105,11 @@
 		}
 	}
 	slices.Reverse(out)
-	return Assignment{joined(out)}, points - left
+	return Assignment{mergeAdjacent(out)}, points - left
 }
 
-// joined joins neighbouring intervals of the same region.
-func joined(intervals []*wire.Interval) []*wire.Interval {
+// mergeAdjacent merges adjacent intervals of the same region.
+func mergeAdjacent(intervals []*wire.Interval) []*wire.Interval {
 	var out []*wire.Interval
 	for _, v := range intervals {
 		last := len(out) - 1
@@ -123,14 +122,15 @@
 	return out
 }
 
-// Weighted is a name with the weight it has in a choice.
+// Weighted is a name with its weight in a ranking.
 type Weighted struct {
 	Name   string
 	Weight float64
 }
 
-// Rank orders names for a key by weighted rendezvous hashing (Thaler and
-// Ravishankar, 1998): a name that leaves moves only the keys it had.
+// Rank orders names for a key by weighted rendezvous hashing (Thaler and Ravishankar,
+// 1998): removing a name moves only the keys that it had. Names without a positive
+// weight are left out.
 func Rank(key string, names []Weighted) []string {
 	type scored struct {
 		name  string
--- a/pkg/lookup/lookup_test.go
+++ b/pkg/lookup/lookup_test.go
@@ -9,7 +9,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// TestMoveMovesExactlyItsShare moves random numbers of points between regions.
+// TestMoveMovesExactlyItsShare moves random numbers of points between regions and
+// checks that no other point changes its region.
 func TestMoveMovesExactlyItsShare(t *testing.T) {
 	regions := []string{"east", "west", "south"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,7 +33,7 @@
 				}
 				changed++
 				if before != from || after != to {
-					t.Fatalf("point %d went from %s to %s", p, before, after)
+					t.Fatalf("point %d moved from %s to %s", p, before, after)
 				}
 			}
 			if changed != moved {
@@ -46,7 +47,7 @@
 	})
 }
 
-func TestRankMovesOnlyTheKeysOfTheNameThatLeaves(t *testing.T) {
+func TestRankMovesOnlyTheKeysOfARemovedName(t *testing.T) {
 	all := []Weighted{{"a", 1}, {"b", 2}, {"c", 1}, {"d", 4}}
 	count := make(map[string]int)
 	for i := range 8000 {
@@ -55,7 +56,7 @@
 		after := Rank(key, all[1:])[0]
 		count[before]++
 		if before != "a" && before != after {
-			t.Fatalf("key %s went from %s to %s", key, before, after)
+			t.Fatalf("key %s moved from %s to %s", key, before, after)
 		}
 	}
 	for _, w := range all {
@@ -66,14 +67,14 @@
 	}
 }
 
-func TestFromIntervalsRefuses(t *testing.T) {
+func TestFromIntervalsRejectsGaps(t *testing.T) {
 	short := SingleRegion("east").Intervals()
 	short[0] = &wire.Interval{Start: 0, End: 5, Region: "east"}
 	late := SingleRegion("east").Intervals()
 	late[0] = &wire.Interval{Start: 5, End: Points, Region: "east"}
 	for name, list := range map[string][]*wire.Interval{"empty": nil, "short": short, "late": late} {
 		if _, err := FromIntervals(list); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("intervals %q were accepted", name)
 		}
 	}
 }
--- /dev/null
+++ b/pkg/lookup/nearest.go
@@ -0,0 +1,37 @@
+package lookup
+
+// BoxLocation is the address and location of a serving entry box.
+type BoxLocation struct {
+	Address string
+	Zone    string
+	Region  string
+}
+
+// minZoneBoxes is the number of boxes in the caller's own zone that suffices for an
+// answer. With fewer, the loss of one box would leave the caller without any until its
+// next lookup.
+const minZoneBoxes = 2
+
+// Nearest returns the addresses of the boxes that a caller should use: those of its
+// zone; if there are fewer than minZoneBoxes, those of its region; if there are none,
+// all.
+func Nearest(boxes []BoxLocation, region, zone string) []string {
+	inZone := filterAddresses(boxes, func(b BoxLocation) bool { return b.Zone == zone })
+	if len(inZone) >= minZoneBoxes {
+		return inZone
+	}
+	if inRegion := filterAddresses(boxes, func(b BoxLocation) bool { return b.Region == region }); len(inRegion) > 0 {
+		return inRegion
+	}
+	return filterAddresses(boxes, func(BoxLocation) bool { return true })
+}
+
+func filterAddresses(boxes []BoxLocation, keep func(BoxLocation) bool) []string {
+	var out []string
+	for _, b := range boxes {
+		if keep(b) {
+			out = append(out, b.Address)
+		}
+	}
+	return out
+}
--- a/pkg/lookup/reporting_test.go
+++ b/pkg/lookup/reportinterval_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-func TestReportsOfManyBoxesAreRarer(t *testing.T) {
+func TestReportIntervalGrowsWithBoxes(t *testing.T) {
 	for _, c := range []struct {
 		boxes    int
 		interval time.Duration
-	}{{0, leastReportInterval}, {9, leastReportInterval}, {200, 1400 * time.Millisecond}, {5600, mostReportInterval}} {
+	}{{0, minReportInterval}, {9, minReportInterval}, {200, 1400 * time.Millisecond}, {5600, maxReportInterval}} {
 		if got := ReportInterval(c.boxes); got != c.interval {
-			t.Errorf("%d boxes: %s, want %s", c.boxes, got, c.interval)
+			t.Errorf("%d boxes: interval %s, want %s", c.boxes, got, c.interval)
 		}
-		if fresh := ReportValidity(c.boxes); fresh < 3*ReportInterval(c.boxes) || fresh > 6*time.Second {
-			t.Errorf("%d boxes: a report counts for %s", c.boxes, fresh)
+		if validity := ReportValidity(c.boxes); validity < 3*ReportInterval(c.boxes) || validity > 6*time.Second {
+			t.Errorf("%d boxes: a report is valid for %s, want at least three intervals and at most 6s", c.boxes, validity)
 		}
 	}
 }
@@ -26,7 +26,7 @@
 		want         int
 	}{{"r", "a", 2}, {"r", "b", 3}, {"s", "c", 1}, {"t", "d", 4}} {
 		if got := Nearest(boxes, c.region, c.zone); len(got) != c.want {
-			t.Errorf("zone %s: %v", c.zone, got)
+			t.Errorf("zone %s: got boxes %v", c.zone, got)
 		}
 	}
 }
--- a/pkg/lookup/schedule.go
+++ b/pkg/lookup/schedule.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// repeatInterval is how soon a replica that did not take a report is told
-// again. One that starts answers no look-up before boxes have reported, and
-// callers without an answer have nowhere to go, so it is short against the
-// second that they wait; an attempt at a process that is down costs a box about
-// 0.1 ms of processor time.
-const repeatInterval = 120 * time.Millisecond
+// retryInterval is the delay before a report that a replica did not accept is repeated.
+// A replica that starts answers no lookup before boxes have reported to it. Callers
+// without an answer have no box to use and wait only a second, so the interval is short
+// against that second. An attempt to reach a process that is down costs a box about 0.1
+// ms of processor time.
+const retryInterval = 120 * time.Millisecond
 
-// ReportSchedule decides when an entry box reports to which control replica.
-// Each replica has its own times, so that one that does not answer delays no
-// report to another. It is a state machine without I/O.
+// ReportSchedule decides when an entry box reports to which control replica. Each
+// replica has its own due time, so that an unresponsive replica does not delay reports
+// to others. It is a state machine without I/O.
 type ReportSchedule struct {
 	interval time.Duration
-	replicas map[string]*replicaReports
+	replicas map[string]*replicaSchedule
 }
 
-// replicaReports are the reports to one replica.
-type replicaReports struct {
+// replicaSchedule is the schedule of reports to one replica.
+type replicaSchedule struct {
 	due time.Time
-	// open tells that a report is under way, and again that what it says has
-	// changed since.
-	open  bool
-	again bool
+	// inFlight is true while a report is in flight, changedInFlight if the content of
+	// the report has changed since it was sent.
+	inFlight        bool
+	changedInFlight bool
 }
 
 // NewReportSchedule returns a schedule without replicas.
 func NewReportSchedule() *ReportSchedule {
-	return &ReportSchedule{interval: leastReportInterval, replicas: make(map[string]*replicaReports)}
+	return &ReportSchedule{interval: minReportInterval, replicas: make(map[string]*replicaSchedule)}
 }
 
-// SetInterval sets the time between two reports to a replica that takes them.
+// SetInterval sets the interval of reports to a replica that accepts them.
 func (s *ReportSchedule) SetInterval(interval time.Duration) { s.interval = interval }
 
-// SetReplicas names the replicas; one that is new is due at once.
+// SetReplicas sets the replicas. A report to a new one is due at once.
 func (s *ReportSchedule) SetReplicas(now time.Time, addresses []string) {
 	for address := range s.replicas {
 		if !slices.Contains(addresses, address) {
@@ -46,29 +46,30 @@
 	}
 	for _, address := range addresses {
 		if s.replicas[address] == nil {
-			s.replicas[address] = &replicaReports{due: now}
+			s.replicas[address] = &replicaSchedule{due: now}
 		}
 	}
 }
 
-// MarkChanged makes a report to every replica due at once.
+// MarkChanged makes a report to every replica due at once, because its content has
+// changed.
 func (s *ReportSchedule) MarkChanged(now time.Time) {
 	for _, r := range s.replicas {
 		r.due = now
-		r.again = r.open
+		r.changedInFlight = r.inFlight
 	}
 }
 
-// Due returns the replicas to report to now, in order of their addresses; Ended
-// must follow for each. Next is when to ask again unless something happens
-// before; it is zero if nothing is due by itself.
+// Due returns the addresses, in order, of the replicas to report to now. The caller
+// must call ReportEnded for each of them. next is when the next report is due, or zero
+// if none is due before a report ends or the replicas or the content change.
 func (s *ReportSchedule) Due(now time.Time) (addresses []string, next time.Time) {
 	for address, r := range s.replicas {
-		if r.open {
+		if r.inFlight {
 			continue
 		}
 		if !now.Before(r.due) {
-			r.open = true
+			r.inFlight = true
 			r.due = now.Add(s.interval)
 			addresses = append(addresses, address)
 			continue
@@ -81,18 +82,19 @@
 	return addresses, next
 }
 
-// ReportEnded takes the end of a report; taken tells that the replica has it.
-func (s *ReportSchedule) ReportEnded(now time.Time, address string, taken bool) {
+// ReportEnded records the end of a report; accepted is true if the replica has received
+// it.
+func (s *ReportSchedule) ReportEnded(now time.Time, address string, accepted bool) {
 	r := s.replicas[address]
 	if r == nil {
 		return
 	}
-	r.open = false
+	r.inFlight = false
 	switch {
-	case r.again:
-		r.again = false
+	case r.changedInFlight:
+		r.changedInFlight = false
 		r.due = now
-	case !taken:
-		r.due = now.Add(repeatInterval)
+	case !accepted:
+		r.due = now.Add(retryInterval)
 	}
 }
--- a/pkg/lookup/schedule_test.go
+++ b/pkg/lookup/schedule_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A replica that does not answer is told again soon and delays no other.
+// TestOneSilentReplicaDelaysNoOther checks that a report to an unresponsive replica is
+// retried soon and delays no report to another.
 func TestOneSilentReplicaDelaysNoOther(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewReportSchedule()
@@ -20,44 +21,45 @@
 	}
 	s.ReportEnded(now, "a", true)
 	s.ReportEnded(now, "b", false)
-	// c has not ended.
+	// The report to c is still in flight.
 	due, next := s.Due(now)
-	if len(due) != 0 || next != now.Add(repeatInterval) {
-		t.Fatalf("due are %v, next at %v", due, next.Sub(now))
+	if len(due) != 0 || next != now.Add(retryInterval) {
+		t.Fatalf("got due replicas %v, next in %v", due, next.Sub(now))
 	}
 	now = next
 	if due, _ = s.Due(now); !cmp.Equal(due, []string{"b"}) {
-		t.Fatalf("due are %v", due)
+		t.Fatalf("got due replicas %v", due)
 	}
-	now = time.Unix(0, 0).Add(leastReportInterval)
+	now = time.Unix(0, 0).Add(minReportInterval)
 	if due, _ = s.Due(now); !cmp.Equal(due, []string{"a"}) {
-		t.Fatalf("due are %v", due)
+		t.Fatalf("got due replicas %v", due)
 	}
 	s.ReportEnded(now, "c", false)
-	now = now.Add(repeatInterval)
+	now = now.Add(retryInterval)
 	if due, _ = s.Due(now); !cmp.Equal(due, []string{"c"}) {
-		t.Fatalf("due are %v", due)
+		t.Fatalf("got due replicas %v", due)
 	}
 }
 
-// What changes while a report is under way is told once it has ended.
-func TestChangeDuringAReportIsTold(t *testing.T) {
+// TestChangeDuringReportIsReportedAfterwards checks that a change while a report is in
+// flight is reported once that report has ended.
+func TestChangeDuringReportIsReportedAfterwards(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewReportSchedule()
 	s.SetReplicas(now, []string{"a"})
 	s.Due(now)
 	s.MarkChanged(now)
 	if due, _ := s.Due(now); len(due) > 0 {
-		t.Fatalf("two reports to %v at once", due)
+		t.Fatalf("two reports in flight to %v", due)
 	}
 	s.ReportEnded(now, "a", true)
 	if due, _ := s.Due(now); len(due) != 1 {
-		t.Fatal("the change is not told")
+		t.Fatal("the change was not reported")
 	}
 }
 
-// Whatever happens, a replica is told within an interval of the end of the last
-// report to it, and never twice at once.
+// TestEveryReplicaIsTold checks that, in any sequence of events, each replica gets its
+// next report within an interval of the end of the last one, and never two at once.
 func TestEveryReplicaIsTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewReportSchedule()
@@ -67,7 +69,7 @@
 			replicas = append(replicas, fmt.Sprint(n))
 		}
 		s.SetReplicas(now, replicas)
-		open := make(map[string]bool)
+		inFlight := make(map[string]bool)
 		ended := make(map[string]time.Time)
 		for range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "milliseconds")) * time.Millisecond)
@@ -76,19 +78,19 @@
 			}
 			due, _ := s.Due(now)
 			for _, address := range due {
-				if open[address] {
-					t.Fatalf("two reports to %s at once", address)
+				if inFlight[address] {
+					t.Fatalf("two reports in flight to %s", address)
 				}
-				open[address] = true
+				inFlight[address] = true
 			}
 			for _, address := range replicas {
-				if open[address] && rapid.Bool().Draw(t, "ends") {
-					open[address] = false
+				if inFlight[address] && rapid.Bool().Draw(t, "ends") {
+					inFlight[address] = false
 					ended[address] = now
 					s.ReportEnded(now, address, rapid.Bool().Draw(t, "taken"))
 				}
-				if !open[address] && now.Sub(ended[address]) > leastReportInterval+100*time.Millisecond {
-					t.Fatalf("%s was last told %v ago", address, now.Sub(ended[address]))
+				if !inFlight[address] && now.Sub(ended[address]) > minReportInterval+100*time.Millisecond {
+					t.Fatalf("the last report to %s ended %v ago", address, now.Sub(ended[address]))
 				}
 			}
 		}
