--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -14,44 +14,44 @@
 	"time"
 )
 
-// Config is what a Client is told.
+// Config configures a Client.
 type Config struct {
-	// Boxes are addresses of entry boxes to ask first.
+	// Boxes are the addresses of the entry boxes to query first.
 	Boxes   []string
 	Service string
-	// Home and Block say where this caller comes from.
+	// Home and Block are the caller's home region and block.
 	Home  string
 	Block string
 	HTTP  *http.Client
-	// Nonce returns a text that no other request of any caller has.
+	// Nonce returns a text that is unique among all requests of all callers.
 	Nonce func() string
 }
 
-// Client sends requests of one service. It is safe for concurrent use.
+// Client sends requests to one service. It is safe for concurrent use.
 type Client struct {
 	config Config
 
-	mu      sync.Mutex
-	answer  LookupAnswer
-	expires time.Time
-	first   int
-	pinned  string
+	mu       sync.Mutex
+	answer   LookupAnswer
+	expires  time.Time
+	rotation int
+	pinned   string
 }
 
-// NewClient returns a client that has not looked up anything yet.
+// NewClient returns a client with an empty lookup cache.
 func NewClient(c Config) *Client { return &Client{config: c} }
 
-// Request is one request.
+// Request is a request to the client's service.
 type Request struct {
 	Method string
 	Path   string
 	Body   []byte
 	Header http.Header
-	// Timeout is how long to wait for the final answer, resends included.
+	// Timeout is how long to wait for the final answer, including resends.
 	Timeout time.Duration
-	// Repeatable requests may run more than once; others get a request key.
+	// Repeatable requests may run more than once. All others get a request key.
 	Repeatable bool
-	// Key is set to resend an earlier request; empty for a new key.
+	// Key is the key of an earlier request to resend. If empty, a new key is used.
 	Key string
 }
 
@@ -63,30 +63,31 @@
 	Body    []byte
 	// Key is the request key that was used, if any.
 	Key string
-	// Attempts is how often the request was sent.
+	// Attempts is the number of times the request was sent.
 	Attempts int
-	// RetryAfter says when to come back after a refusal.
+	// RetryAfter is the delay after which to retry a refused request.
 	RetryAfter time.Duration
 }
 
-// NoBoxError says that no entry box answered a look-up.
+// NoBoxError is returned if no entry box answered a lookup.
 type NoBoxError struct{ Last error }
 
 // Error implements error.
 func (e *NoBoxError) Error() string { return fmt.Sprintf("no entry box answers: %v", e.Last) }
 
-// Unwrap returns the last failure.
+// Unwrap returns the error of the last lookup.
 func (e *NoBoxError) Unwrap() error { return e.Last }
 
 const (
 	defaultTimeout = 10 * time.Second
 	lookupTimeout  = time.Second
-	firstPause     = 20 * time.Millisecond
-	maxPause       = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 	maxAnswerBytes = 256 << 20
 )
 
-// Lookup returns the entry boxes to use, from the cache while it is valid.
+// Lookup returns the entry boxes to use, from the cache while the cached answer is
+// valid.
 func (c *Client) Lookup(ctx context.Context) (LookupAnswer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,7 +95,7 @@
 		return c.answer, nil
 	}
 	var last error
-	for _, address := range c.known() {
+	for _, address := range c.lookupAddresses() {
 		a, err := c.lookupAt(ctx, address)
 		if err != nil {
 			last = err
@@ -110,9 +111,9 @@
 	return LookupAnswer{}, &NoBoxError{last}
 }
 
-// known returns the addresses to ask: those of the last answer and then the
-// configured ones, from another place each time.
-func (c *Client) known() []string {
+// lookupAddresses returns the addresses to query: those of the last answer, then the
+// configured ones, starting from another of these each time.
+func (c *Client) lookupAddresses() []string {
 	var out []string
 	if c.pinned != "" {
 		out = append(out, c.pinned)
@@ -120,9 +121,9 @@
 	for _, b := range c.answer.Boxes {
 		out = append(out, b.Address)
 	}
-	c.first++
+	c.rotation++
 	for i := range c.config.Boxes {
-		out = append(out, c.config.Boxes[(c.first+i)%len(c.config.Boxes)])
+		out = append(out, c.config.Boxes[(c.rotation+i)%len(c.config.Boxes)])
 	}
 	return out
 }
@@ -150,16 +151,16 @@
 	return a, nil
 }
 
-// forget drops the cached answer after it led nowhere.
-func (c *Client) forget() {
+// invalidate drops the cached lookup answer after a request to one of its boxes failed.
+func (c *Client) invalidate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expires = time.Time{}
 }
 
-// Do sends a request and returns its final answer. A request that may not be
-// repeated is resent under the same key, so that it runs at most once; a new
-// key is taken only after an answer that says it did not run.
+// Do sends a request and returns its final answer. A request that must not be repeated
+// is resent with the same key, so that it runs at most once. A new key is used only
+// after an answer that says that the request did not run.
 func (c *Client) Do(ctx context.Context, r Request) (Answer, error) {
 	if r.Timeout == 0 {
 		r.Timeout = defaultTimeout
@@ -167,26 +168,26 @@
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
 	key := r.Key
-	pause := firstPause
-	sent := r.Key != "" // a resend: it may have run when it was sent before
+	backoff := initialBackoff
+	sent := r.Key != "" // a resend: the request may have run when it was first sent
 	out := Answer{Outcome: NotRun}
 	if sent {
 		out.Outcome = Unknown
 	}
 	for attempt := 0; ctx.Err() == nil; attempt++ {
-		look, err := c.Lookup(ctx)
+		found, err := c.Lookup(ctx)
 		if err != nil {
-			if !wait(ctx, pause) {
-				out.Key = key // with it the request can be sent again without a second run
+			if !sleep(ctx, backoff) {
+				out.Key = key // with the key, a resend can't run the request twice
 				return out, err
 			}
-			pause = min(2*pause, maxPause)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
 		if key == "" && !r.Repeatable {
-			key = look.KeyScope + "~" + c.config.Nonce()
+			key = found.KeyScope + "~" + c.config.Nonce()
 		}
-		box := look.Boxes[attempt%len(look.Boxes)]
+		box := found.Boxes[attempt%len(found.Boxes)]
 		out.Attempts++
 		a, err := c.send(ctx, box.Address, r, key)
 		a.Attempts = out.Attempts
@@ -201,60 +202,60 @@
 			return out, nil
 		}
 		if err != nil || a.Outcome == Unknown {
-			sent = sent || !notSent(err)
+			sent = sent || !neverSent(err)
 			if sent {
 				out.Outcome = Unknown
 			}
-			c.forget()
+			c.invalidate()
 		}
 		if err == nil && a.Outcome == NotRun {
 			sent = false
-			c.forget()
+			c.invalidate()
 			if r.Key == "" {
 				key = ""
 			}
-			pause = max(pause, a.RetryAfter)
+			backoff = max(backoff, a.RetryAfter)
 		}
-		if !wait(ctx, pause) {
+		if !sleep(ctx, backoff) {
 			break
 		}
-		pause = min(2*pause, maxPause)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	out.Key = key
 	return out, nil
 }
 
-func wait(ctx context.Context, pause time.Duration) bool {
-	if at, ok := ctx.Deadline(); ok && time.Until(at) < pause {
+func sleep(ctx context.Context, backoff time.Duration) bool {
+	if at, ok := ctx.Deadline(); ok && time.Until(at) < backoff {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(pause):
+	case <-time.After(backoff):
 		return true
 	}
 }
 
-// notSent reports whether a request surely did not leave this process.
-func notSent(err error) bool {
-	var dial *dialError
-	return errors.As(err, &dial)
+// neverSent reports whether a request certainly did not leave this process.
+func neverSent(err error) bool {
+	var unsent *unsentError
+	return errors.As(err, &unsent)
 }
 
-// dialError says that no connection to an entry box could be opened.
-type dialError struct{ err error }
+// unsentError is an error that occurred before a request was sent.
+type unsentError struct{ err error }
 
 // Error implements error.
-func (e *dialError) Error() string { return e.err.Error() }
+func (e *unsentError) Error() string { return e.err.Error() }
 
 // Unwrap returns the cause.
-func (e *dialError) Unwrap() error { return e.err }
+func (e *unsentError) Unwrap() error { return e.err }
 
 func (c *Client) send(ctx context.Context, address string, r Request, key string) (Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+ServicePrefix+c.config.Service+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{}, &dialError{fmt.Errorf("making the request: %w", err)}
+		return Answer{}, &unsentError{fmt.Errorf("making the request: %w", err)}
 	}
 	for name, values := range r.Header {
 		request.Header[name] = values
@@ -289,8 +290,8 @@
 	return a, nil
 }
 
-// Pin makes the client use one entry box until its next look-up fails: it looks
-// up there and sends its requests there.
+// Pin makes the client use a single entry box, for lookups and requests, until a lookup
+// at that box fails.
 func (c *Client) Pin(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/caller/client_test.go
+++ b/pkg/caller/client_test.go
@@ -10,33 +10,32 @@
 	"ledgesill.dev/ledgesill/pkg/caller"
 )
 
-// boxThatGoes answers one look-up, breaks the request that follows and nothing
-// after it.
-type boxThatGoes struct {
-	*entryBox
+// failingBox answers one lookup and fails every request after it.
+type failingBox struct {
+	*fakeEntryBox
 	lookups int
 }
 
-var errGone = errors.New("the box is gone")
+var errUnreachable = errors.New("the box is unreachable")
 
 // RoundTrip implements http.RoundTripper.
-func (b *boxThatGoes) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b *failingBox) RoundTrip(r *http.Request) (*http.Response, error) {
 	if !strings.HasPrefix(r.URL.Path, caller.LookupPath) {
-		return nil, errGone
+		return nil, errUnreachable
 	}
 	if b.lookups++; b.lookups > 1 {
-		return nil, errGone
+		return nil, errUnreachable
 	}
-	return b.entryBox.RoundTrip(r)
+	return b.fakeEntryBox.RoundTrip(r)
 }
 
-// Guards against a request that was sent and whose key is not told, so that it can't be sent
-// again safely.
-func TestKeyIsToldWhereNoBoxIsLeft(t *testing.T) {
+// TestKeyIsReturnedIfNoBoxIsLeft guards against a lost request key: without it a
+// request that was sent can't be resent safely.
+func TestKeyIsReturnedIfNoBoxIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := caller.NewClient(caller.Config{
 			Boxes: []string{"10.0.0.1:7600"}, Service: "orders", Home: "east",
-			HTTP: &http.Client{Transport: &boxThatGoes{entryBox: newEntryBox()}}, Nonce: func() string { return "order-17" },
+			HTTP: &http.Client{Transport: &failingBox{fakeEntryBox: newFakeEntryBox()}}, Nonce: func() string { return "order-17" },
 		})
 		a, err := c.Do(t.Context(), caller.Request{Method: http.MethodPost, Path: "/new"})
 		var none *caller.NoBoxError
@@ -44,25 +43,25 @@
 			t.Fatalf("got %+v, %v", a, err)
 		}
 		if a.Key != "east.7~order-17" {
-			t.Errorf("told the key %q", a.Key)
+			t.Errorf("got key %q, want east.7~order-17", a.Key)
 		}
 	})
 }
 
-// noBox is a network on which no box can be reached.
-type noBox struct{}
+// unreachableBoxes is a transport on which no box can be reached.
+type unreachableBoxes struct{}
 
 // RoundTrip implements http.RoundTripper.
-func (noBox) RoundTrip(*http.Request) (*http.Response, error) { return nil, errGone }
+func (unreachableBoxes) RoundTrip(*http.Request) (*http.Response, error) { return nil, errUnreachable }
 
-// Guards against a resend that is told that its request did not run, as no box could be asked:
-// it may have run when it was sent before.
+// TestResendThatReachesNoBoxIsUnknown guards against a resend that is reported as not
+// run because no box could be reached: the request may have run when it was first sent.
 func TestResendThatReachesNoBoxIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := caller.NewClient(caller.Config{Boxes: []string{"10.0.0.1:7600"}, Service: "orders", Home: "east", HTTP: &http.Client{Transport: noBox{}}})
+		c := caller.NewClient(caller.Config{Boxes: []string{"10.0.0.1:7600"}, Service: "orders", Home: "east", HTTP: &http.Client{Transport: unreachableBoxes{}}})
 		for key, want := range map[string]caller.Outcome{"": caller.NotRun, "east.7~order-17": caller.Unknown} {
 			if a, _ := c.Do(t.Context(), caller.Request{Method: http.MethodPost, Path: "/new", Key: key}); a.Outcome != want {
-				t.Errorf("with the key %q it is %s, want %s", key, a.Outcome, want)
+				t.Errorf("outcome with key %q is %s, want %s", key, a.Outcome, want)
 			}
 		}
 	})
--- a/pkg/caller/example_test.go
+++ b/pkg/caller/example_test.go
@@ -10,20 +10,20 @@
 	"ledgesill.dev/ledgesill/pkg/caller"
 )
 
-// entryBox stands for an entry box without a network.
-type entryBox struct{ http.ServeMux }
+// fakeEntryBox simulates an entry box without a network.
+type fakeEntryBox struct{ http.ServeMux }
 
 // RoundTrip implements http.RoundTripper.
-func (b *entryBox) RoundTrip(r *http.Request) (*http.Response, error) {
+func (b *fakeEntryBox) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	b.ServeHTTP(w, r)
 	return w.Result(), nil
 }
 
-func newEntryBox() *entryBox {
-	b := &entryBox{}
+func newFakeEntryBox() *fakeEntryBox {
+	b := &fakeEntryBox{}
 	b.HandleFunc("GET "+caller.LookupPath, func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(caller.LookupAnswer{ // the client sees a broken answer
+		_ = json.NewEncoder(w).Encode(caller.LookupAnswer{ // on an error the client fails to decode the answer
 			TTLMillis: 1000, KeyScope: "east.7", Boxes: []caller.Box{{Name: "b1", Address: "10.0.0.1:7600"}},
 		})
 	})
@@ -39,7 +39,7 @@
 func ExampleClient_Do() {
 	c := caller.NewClient(caller.Config{
 		Boxes: []string{"10.0.0.1:7600"}, Service: "orders", Home: "east",
-		HTTP:  &http.Client{Transport: newEntryBox()}, // a plain &http.Client{} outside of tests
+		HTTP:  &http.Client{Transport: newFakeEntryBox()}, // a plain &http.Client{} outside of tests
 		Nonce: func() string { return "order-17" },
 	})
 	a, err := c.Do(context.Background(), caller.Request{Method: http.MethodPost, Path: "/new", Body: []byte("{}")})
--- a/pkg/caller/protocol.go
+++ b/pkg/caller/protocol.go
@@ -1,48 +1,49 @@
-// Package caller is how a caller talks to the system: the names of the
-// headers, the answer of a look-up, and a client that looks up entry boxes,
-// caches the answer, carries deadlines and request keys and resends safely.
+// Package caller implements the caller's side of the protocol: the names of the
+// headers, the answer of a lookup, and a client that looks up entry boxes, caches the
+// answer, sends deadlines and request keys, and resends requests safely.
 package caller
 
 import "time"
 
 // Headers of requests.
 const (
-	// HeaderKey carries the request key of a request that may not be repeated.
+	// HeaderKey is the request key of a request that must not be repeated.
 	HeaderKey = "Ledgesill-Request-Key"
-	// HeaderDeadline is the time that is left for the request, in milliseconds.
+	// HeaderDeadline is the time remaining for the request, in milliseconds.
 	HeaderDeadline = "Ledgesill-Deadline-Millis"
-	// HeaderRepeatable is "true" for a request that may run more than once
-	// though its method does not say so, "false" for one that may not.
+	// HeaderRepeatable overrides what the method implies: "true" for a request that may
+	// run more than once, "false" for one that must not.
 	HeaderRepeatable = "Ledgesill-Repeatable"
-	// HeaderHome and HeaderBlock say where the caller comes from.
+	// HeaderHome and HeaderBlock are the home region and the block of the caller.
 	HeaderHome  = "Ledgesill-Home"
 	HeaderBlock = "Ledgesill-Block"
-	// HeaderRequestID names the request in the time line.
+	// HeaderRequestID identifies the request in the timeline.
 	HeaderRequestID = "Ledgesill-Request-Id"
 )
 
-// Headers of answers.
+// Headers of responses.
 const (
-	// HeaderOutcome is ran, notRun or unknown.
+	// HeaderOutcome is the Outcome of the request: ran, notRun or unknown.
 	HeaderOutcome = "Ledgesill-Outcome"
-	// HeaderReason says why a request did not run or is unknown.
+	// HeaderReason explains why a request did not run or why its outcome is unknown.
 	HeaderReason = "Ledgesill-Reason"
-	// HeaderRetryAfter says when to come back, in milliseconds; Retry-After
-	// says the same in whole seconds.
+	// HeaderRetryAfter is the delay after which to retry, in milliseconds. Retry-After
+	// has the same delay in whole seconds.
 	HeaderRetryAfter = "Ledgesill-Retry-After-Millis"
-	// HeaderTarget names the target that ran the request.
+	// HeaderTarget is the target that ran the request.
 	HeaderTarget = "Ledgesill-Target"
-	// HeaderLeaving is 1 in the answers of a target that leaves.
+	// HeaderLeaving is 1 in the responses of a target that is shutting down.
 	HeaderLeaving = "Ledgesill-Leaving"
-	// HeaderLimit is how many requests a second the target that answered takes from all
-	// boxes together, for as long as its answers say so.
+	// HeaderLimit is the number of requests per second that the responding target
+	// accepts from all boxes together. It applies as long as the target's responses
+	// contain it.
 	HeaderLimit = "Ledgesill-Limit"
 )
 
-// Outcome says what became of a request.
+// Outcome is the result of a request.
 type Outcome string
 
-// The outcomes. NotRun is said only when the request surely did not run.
+// The outcomes. NotRun is reported only if the request certainly did not run.
 const (
 	Ran     Outcome = "ran"
 	NotRun  Outcome = "notRun"
@@ -57,25 +58,25 @@
 	Zone    string `json:"zone"`
 }
 
-// LookupAnswer is the answer of GET /v1/lookup?service=&home=&block=.
+// LookupAnswer is the response to GET /v1/lookup?service=&home=&block=.
 type LookupAnswer struct {
 	Service string `json:"service"`
-	// Version is the version of the state that the answer comes from.
+	// Version is the version of the state from which the answer was computed.
 	Version uint64 `json:"version"`
-	// TTLMillis is how long the answer may be kept.
+	// TTLMillis is how long the answer may be cached.
 	TTLMillis int64 `json:"ttlMillis"`
-	// KeyScope begins the request keys of the time in which the answer is
-	// kept: a key is the scope, "~" and a part of the caller's own.
+	// KeyScope is the prefix of request keys while the answer is cached: a key is the
+	// scope, "~" and a part chosen by the caller.
 	KeyScope string `json:"keyScope"`
 	// Boxes are the entry boxes to use, best first.
 	Boxes []Box `json:"boxes"`
 }
 
-// TTL returns how long the answer may be kept.
+// TTL returns how long the answer may be cached.
 func (a LookupAnswer) TTL() time.Duration { return time.Duration(a.TTLMillis) * time.Millisecond }
 
-// LookupPath is the path of a look-up, ServicePrefix begins the path of a
-// request: the service, a slash and the path at the target follow.
+// LookupPath is the path of a lookup. ServicePrefix is the prefix of a request's path; the
+// service, a slash and the path at the target follow.
 const (
 	LookupPath    = "/v1/lookup"
 	ServicePrefix = "/s/"
