--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -21,7 +21,7 @@
 }
 
 // fakeDisk is a folder on a disk that keeps only what was synced: bytes by
-// File.Sync, names by SyncFolder.
+// File.Sync, names by SyncDir.
 type fakeDisk struct {
 	random  *rand.Rand
 	names   map[string]*fakeFile
