--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -21,7 +21,7 @@
 }
 
 // fakeDisk is a folder on a disk that keeps only what was synced: bytes by
-// File.Sync, names by SyncFolder.
+// File.Sync, names by SyncDir.
 type fakeDisk struct {
 	random  *rand.Rand
 	names   map[string]*fakeFile
@@ -64,7 +64,7 @@
 			delete(d.names, name)
 			return nil
 		},
-		SyncFolder: func(string) error {
+		SyncDir: func(string) error {
 			if err := d.before("syncFolder", ""); err != nil {
 				return err
 			}
--- a/pkg/lookup/lookup_test.go
+++ b/pkg/lookup/lookup_test.go
@@ -9,11 +9,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// TestMoveMovesExactlyItsShare moves random numbers of points between regions.
+// TestMoveMovesExactlyItsShare moves random numbers of points between regions and
+// checks that no other point changes its region.
 func TestMoveMovesExactlyItsShare(t *testing.T) {
 	regions := []string{"east", "west", "south"}
 	rapid.Check(t, func(t *rapid.T) {
-		a := Whole("east")
+		a := SingleRegion("east")
 		for range rapid.IntRange(1, 12).Draw(t, "moves") {
 			from, to := rapid.SampledFrom(regions).Draw(t, "from"), rapid.SampledFrom(regions).Draw(t, "to")
 			if from == to {
@@ -21,7 +22,7 @@
 			}
 			points := uint32(rapid.IntRange(1, Points).Draw(t, "points"))
 			next, moved := a.WithMove(from, to, points)
-			if want := min(points, a.Share(from)); moved != want {
+			if want := min(points, a.PointsOf(from)); moved != want {
 				t.Fatalf("moved %d points, want %d", moved, want)
 			}
 			changed := uint32(0)
@@ -32,7 +33,7 @@
 				}
 				changed++
 				if before != from || after != to {
-					t.Fatalf("point %d went from %s to %s", p, before, after)
+					t.Fatalf("point %d moved from %s to %s", p, before, after)
 				}
 			}
 			if changed != moved {
@@ -46,7 +47,7 @@
 	})
 }
 
-func TestRankMovesOnlyTheKeysOfTheNameThatLeaves(t *testing.T) {
+func TestRankMovesOnlyTheKeysOfARemovedName(t *testing.T) {
 	all := []Weighted{{"a", 1}, {"b", 2}, {"c", 1}, {"d", 4}}
 	count := make(map[string]int)
 	for i := range 8000 {
@@ -55,7 +56,7 @@
 		after := Rank(key, all[1:])[0]
 		count[before]++
 		if before != "a" && before != after {
-			t.Fatalf("key %s went from %s to %s", key, before, after)
+			t.Fatalf("key %s moved from %s to %s", key, before, after)
 		}
 	}
 	for _, w := range all {
@@ -66,21 +67,21 @@
 	}
 }
 
-func TestFromIntervalsRefuses(t *testing.T) {
-	short := Whole("east").Intervals()
+func TestFromIntervalsRejectsGaps(t *testing.T) {
+	short := SingleRegion("east").Intervals()
 	short[0] = &wire.Interval{Start: 0, End: 5, Region: "east"}
-	late := Whole("east").Intervals()
+	late := SingleRegion("east").Intervals()
 	late[0] = &wire.Interval{Start: 5, End: Points, Region: "east"}
 	for name, list := range map[string][]*wire.Interval{"empty": nil, "short": short, "late": late} {
 		if _, err := FromIntervals(list); err == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("intervals %q were accepted", name)
 		}
 	}
 }
 
 // ExampleAssignment_WithMove moves a tenth of a region's callers.
 func ExampleAssignment_WithMove() {
-	a, moved := Whole("east").WithMove("east", "west", 1000)
-	fmt.Println(moved, a.Share("east"), a.Share("west"))
+	a, moved := SingleRegion("east").WithMove("east", "west", 1000)
+	fmt.Println(moved, a.PointsOf("east"), a.PointsOf("west"))
 	// Output: 1000 9000 1000
 }
--- a/pkg/shift/planner_test.go
+++ b/pkg/shift/planner_test.go
@@ -89,7 +89,7 @@
 				t.Fatalf("%d points are unsettled, the cap is 2000", n)
 			}
 			sh := s.Shifts()[0]
-			if got := s.Assignment("web", "east").Share("west"); got != sh.Moved {
+			if got := s.Assignment("web", "east").PointsOf("west"); got != sh.Moved {
 				t.Fatalf("the shift has moved %d points, the assignment has %d", sh.Moved, got)
 			}
 		}
--- a/pkg/steering/state.go
+++ b/pkg/steering/state.go
@@ -72,7 +72,7 @@
 	if a, ok := s.assignments[CallerGroup{service, home}]; ok {
 		return a
 	}
-	return lookup.Whole(home)
+	return lookup.SingleRegion(home)
 }
 
 // Table returns the lookup table of the state.
