--- a/pkg/quota/permitcache.go
+++ b/pkg/quota/permitcache.go
@@ -146,28 +146,28 @@
 // RecordRequest counts a request for a subject. The request rate determines how many
 // permits are cached.
 func (c *PermitCache) RecordRequest(now time.Time, subject string) {
-	h := c.state(subject)
-	h.demand = h.currentDemand(now) + 1/demandWindow.Seconds()
-	h.demandUpdatedAt = now
+	state := c.state(subject)
+	state.demand = state.currentDemand(now) + 1/demandWindow.Seconds()
+	state.demandUpdatedAt = now
 }
 
-func (h *subjectState) currentDemand(now time.Time) float64 {
-	age := min(max(now.Sub(h.demandUpdatedAt), 0), demandWindow)
-	return h.demand * (1 - age.Seconds()/demandWindow.Seconds())
+func (state *subjectState) currentDemand(now time.Time) float64 {
+	age := min(max(now.Sub(state.demandUpdatedAt), 0), demandWindow)
+	return state.demand * (1 - age.Seconds()/demandWindow.Seconds())
 }
 
 // Take takes a permit and returns the time until which it may be used.
 func (c *PermitCache) Take(now time.Time, subject string) (until time.Time, ok bool) {
-	h := c.state(subject)
-	h.dropExpired(now)
-	c.toRefill[subject] = h
-	if len(h.batches) == 0 {
+	state := c.state(subject)
+	state.dropExpired(now)
+	c.toRefill[subject] = state
+	if len(state.batches) == 0 {
 		return time.Time{}, false
 	}
-	until = h.batches[0].expiresAt
-	h.batches[0].count--
-	if h.batches[0].count == 0 {
-		h.batches = h.batches[1:]
+	until = state.batches[0].expiresAt
+	state.batches[0].count--
+	if state.batches[0].count == 0 {
+		state.batches = state.batches[1:]
 	}
 	return until, true
 }
@@ -177,9 +177,9 @@
 
 // AddWaiter counts a request that waits for a permit until RemoveWaiter.
 func (c *PermitCache) AddWaiter(subject string) {
-	h := c.state(subject)
-	h.waiters++
-	c.toRefill[subject] = h
+	state := c.state(subject)
+	state.waiters++
+	c.toRefill[subject] = state
 }
 
 // RemoveWaiter reverts AddWaiter.
@@ -188,8 +188,8 @@
 // HasWaiters reports whether requests wait for permits that may still have to be
 // requested.
 func (c *PermitCache) HasWaiters() bool {
-	for _, h := range c.toRefill {
-		if h.waiters > 0 {
+	for _, state := range c.toRefill {
+		if state.waiters > 0 {
 			return true
 		}
 	}
@@ -200,8 +200,8 @@
 // issuer that responds has reported that it is empty, a NoIssuerError if none responds,
 // nil if one can be called or a call is pending.
 func (c *PermitCache) Refusal(now time.Time, subject string) error {
-	h := c.state(subject)
-	if h.hasPendingRequest(now) {
+	state := c.state(subject)
+	if state.hasPendingRequest(now) {
 		return nil
 	}
 	var soonest, nextRetry time.Time
@@ -210,7 +210,7 @@
 			nextRetry = earlier(nextRetry, i.unresponsiveUntil)
 			continue
 		}
-		empty := h.emptyUntil[i.address]
+		empty := state.emptyUntil[i.address]
 		if now.Before(i.staleUntil) || !now.Before(empty) {
 			return nil
 		}
@@ -219,27 +219,27 @@
 	if soonest.IsZero() {
 		return &NoIssuerError{Subject: subject, RetryAfter: max(nextRetry.Sub(now), 0)}
 	}
-	return &OverLimitError{Subject: subject, AvailableIn: soonest.Sub(now), RetryAfter: h.nextRetryAfter(now, soonest)}
+	return &OverLimitError{Subject: subject, AvailableIn: soonest.Sub(now), RetryAfter: state.nextRetryAfter(now, soonest)}
 }
 
 // nextRetryAfter spreads refused callers over retrySpread, from the time at which a
 // permit may be available.
-func (h *subjectState) nextRetryAfter(now, soonest time.Time) time.Duration {
-	_, h.retryPhase = math.Modf(h.retryPhase + goldenRatioStep)
-	return soonest.Sub(now) + time.Duration(h.retryPhase*float64(retrySpread))
+func (state *subjectState) nextRetryAfter(now, soonest time.Time) time.Duration {
+	_, state.retryPhase = math.Modf(state.retryPhase + goldenRatioStep)
+	return soonest.Sub(now) + time.Duration(state.retryPhase*float64(retrySpread))
 }
 
 // StartCalls returns the calls to make now, for waiting requests and to fill the cache.
 func (c *PermitCache) StartCalls(now time.Time) []IssuerCall {
 	var out []IssuerCall
-	for name, h := range c.toRefill {
-		count := h.deficit(now)
+	for name, state := range c.toRefill {
+		count := state.deficit(now)
 		if count <= 0 {
 			delete(c.toRefill, name)
 			continue
 		}
-		for _, i := range c.selectIssuers(now, name, h) {
-			h.pending = append(h.pending, pendingRequest{i.address, count, now})
+		for _, i := range c.selectIssuers(now, name, state) {
+			state.pending = append(state.pending, pendingRequest{i.address, count, now})
 			at := slices.IndexFunc(out, func(call IssuerCall) bool { return call.Address == i.address })
 			if at < 0 {
 				at = len(out)
@@ -252,22 +252,22 @@
 }
 
 // deficit returns how many permits to request.
-func (h *subjectState) deficit(now time.Time) int {
-	h.dropExpired(now)
+func (state *subjectState) deficit(now time.Time) int {
+	state.dropExpired(now)
 	available := 0
-	for _, l := range h.batches {
-		available += l.count
+	for _, b := range state.batches {
+		available += b.count
 	}
-	for _, p := range h.pending {
+	for _, p := range state.pending {
 		if now.Sub(p.sentAt) < hedgeDelay {
 			available += p.count
 		}
 	}
-	target := int(h.currentDemand(now)*prefetchShare*h.ttl.Seconds() + prefetchRounding)
-	if h.waiters <= available && available > target/2 {
+	target := int(state.currentDemand(now)*prefetchShare*state.ttl.Seconds() + prefetchRounding)
+	if state.waiters <= available && available > target/2 {
 		return 0
 	}
-	return h.waiters + target - available
+	return state.waiters + target - available
 }
 
 // selectIssuers returns the issuers to call: of those that respond and are not empty,
@@ -275,14 +275,14 @@
 // parallel, because calling one after the other would take longer than the request can
 // wait; surplus permits stay in the cache. An issuer with an overdue call for the subject
 // is not called again.
-func (c *PermitCache) selectIssuers(now time.Time, subject string, h *subjectState) []*issuerState {
+func (c *PermitCache) selectIssuers(now time.Time, subject string, state *subjectState) []*issuerState {
 	var all []*issuerState
 	var best *issuerState
 	for _, i := range c.issuersFor(subject) {
-		if now.Before(i.unresponsiveUntil) || now.Before(i.staleUntil) || now.Before(h.emptyUntil[i.address]) {
+		if now.Before(i.unresponsiveUntil) || now.Before(i.staleUntil) || now.Before(state.emptyUntil[i.address]) {
 			continue
 		}
-		if slices.ContainsFunc(h.pending, func(p pendingRequest) bool { return p.address == i.address && now.Sub(p.sentAt) >= hedgeDelay }) {
+		if slices.ContainsFunc(state.pending, func(p pendingRequest) bool { return p.address == i.address && now.Sub(p.sentAt) >= hedgeDelay }) {
 			continue
 		}
 		all = append(all, i)
@@ -310,15 +310,15 @@
 	}
 	c.removePending(call)
 	for _, g := range grants {
-		h := c.state(g.Subject)
+		state := c.state(g.Subject)
 		if g.Count == 0 {
-			h.emptyUntil[call.Address] = now.Add(g.RetryAfter)
+			state.emptyUntil[call.Address] = now.Add(g.RetryAfter)
 			continue
 		}
-		h.ttl = g.TTL
+		state.ttl = g.TTL
 		// The lifetime starts when the call was sent, because the box does not know when the
 		// issuer processed it.
-		h.add(batch{g.Count, call.SentAt.Add(g.TTL)})
+		state.add(batch{g.Count, call.SentAt.Add(g.TTL)})
 	}
 }
 
@@ -340,17 +340,17 @@
 
 func (c *PermitCache) removePending(call IssuerCall) {
 	for _, request := range call.Requests {
-		h := c.state(request.Subject)
-		c.toRefill[request.Subject] = h
-		h.pending = slices.DeleteFunc(h.pending, func(p pendingRequest) bool { return p.address == call.Address && p.sentAt.Equal(call.SentAt) })
+		state := c.state(request.Subject)
+		c.toRefill[request.Subject] = state
+		state.pending = slices.DeleteFunc(state.pending, func(p pendingRequest) bool { return p.address == call.Address && p.sentAt.Equal(call.SentAt) })
 	}
 }
 
 // RemoveIdle removes subjects that had no request for idleTimeout and returns how many
 // are left.
 func (c *PermitCache) RemoveIdle(now time.Time) int {
-	for name, h := range c.subjects {
-		if h.waiters == 0 && len(h.pending) == 0 && now.Sub(h.demandUpdatedAt) > idleTimeout {
+	for name, state := range c.subjects {
+		if state.waiters == 0 && len(state.pending) == 0 && now.Sub(state.demandUpdatedAt) > idleTimeout {
 			delete(c.subjects, name)
 			delete(c.toRefill, name)
 		}
@@ -367,31 +367,31 @@
 }
 
 func (c *PermitCache) state(subject string) *subjectState {
-	h := c.subjects[subject]
-	if h == nil {
-		h = &subjectState{emptyUntil: make(map[string]time.Time)}
-		c.subjects[subject] = h
+	state := c.subjects[subject]
+	if state == nil {
+		state = &subjectState{emptyUntil: make(map[string]time.Time)}
+		c.subjects[subject] = state
 	}
-	return h
+	return state
 }
 
 // hasPendingRequest reports whether an answer may still come before hedgeDelay.
-func (h *subjectState) hasPendingRequest(now time.Time) bool {
-	return slices.ContainsFunc(h.pending, func(p pendingRequest) bool { return now.Sub(p.sentAt) < hedgeDelay })
+func (state *subjectState) hasPendingRequest(now time.Time) bool {
+	return slices.ContainsFunc(state.pending, func(p pendingRequest) bool { return now.Sub(p.sentAt) < hedgeDelay })
 }
 
 // add inserts a batch in order of expiry.
-func (h *subjectState) add(l batch) {
-	i := slices.IndexFunc(h.batches, func(k batch) bool { return k.expiresAt.After(l.expiresAt) })
+func (state *subjectState) add(b batch) {
+	i := slices.IndexFunc(state.batches, func(k batch) bool { return k.expiresAt.After(b.expiresAt) })
 	if i < 0 {
-		i = len(h.batches)
+		i = len(state.batches)
 	}
-	h.batches = slices.Insert(h.batches, i, l)
+	state.batches = slices.Insert(state.batches, i, b)
 }
 
 // dropExpired removes expired permits.
-func (h *subjectState) dropExpired(now time.Time) {
-	h.batches = slices.DeleteFunc(h.batches, func(l batch) bool { return !now.Before(l.expiresAt) })
+func (state *subjectState) dropExpired(now time.Time) {
+	state.batches = slices.DeleteFunc(state.batches, func(b batch) bool { return !now.Before(b.expiresAt) })
 }
 
 // earlier returns the earlier of two times; a zero a is ignored.
