--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -208,7 +208,7 @@
 
 // collect takes the reports of boxes.
 func (d *Daemon) collect(r *wire.Report) {
-	d.publishing.Collect(r)
+	d.publishing.AddReports(r)
 	d.takeUpdates(r.Limits)
 	for _, b := range r.Boxes {
 		d.serving.heard(b)
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -36,7 +36,7 @@
 	replica    *replica
 	node       *link.Node
 	transport  *transport
-	publishing *relay.Publishing
+	publishing *relay.Publisher
 	permits    *permits
 	// targetLimits are about targets that name limits.
 	targetLimits  *targetLimits
@@ -126,7 +126,7 @@
 		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.CutBytes)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
-	d.publishing = relay.NewPublishing(r.state, d.age, d.process.Clock.Stamp)
+	d.publishing = relay.NewPublisher(r.state, d.age, d.process.Clock.Stamp)
 	d.targetLimits = newTargetLimits(d.config.PeerAddress)
 	d.publishing.SetLimits(d.targetLimits.since)
 	d.publishing.SetClock(d.clock)
@@ -171,7 +171,7 @@
 	}
 	d.replica.publish = func(s steering.State, commands []*wire.Command) {
 		d.permits.put(s)
-		d.publishing.Put(s, commands)
+		d.publishing.SetState(s, commands)
 	}
 	d.replica.synced = func(took time.Duration) {
 		syncs.Inc()
@@ -389,7 +389,7 @@
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publishing.Reports(), v.state.Shifting())}
+	report := &wire.Report{Boxes: d.filter.Filter(d.clock.Now(), d.publishing.Reports(), v.state.Shifting())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -49,8 +49,8 @@
 	seed       uint64
 	network    link.Network
 	node       *link.Node
-	publishing *relay.Publishing
-	following  *relay.Following
+	publishing *relay.Publisher
+	following  *relay.Follower
 	callers    net.Listener
 	operators  net.Listener
 	forwarded  *link.StreamListener
@@ -119,7 +119,7 @@
 	d.leaving.addresses = make(map[string]bool)
 	d.put(steering.State{})
 	d.following = newFollowing(d)
-	d.publishing = relay.NewPublishing(steering.State{}, d.following.Age, p.Clock.Stamp)
+	d.publishing = relay.NewPublisher(steering.State{}, d.following.ControlAge, p.Clock.Stamp)
 	d.keys = newKeys(d)
 	d.peers = newPeers(d)
 	d.publishing.SetClock(d.clock)
@@ -191,7 +191,7 @@
 	}, []string{"service"})
 	d.process.Metrics.MustRegister(d.latency)
 	d.process.Gauge("version", "Version of the state in force.", func() float64 { return float64(d.current.Load().state.Version()) })
-	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.following.Age().Seconds() })
+	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.following.ControlAge().Seconds() })
 	d.process.Gauge("in_flight", "Requests in flight.", func() float64 { return float64(d.inFlight.Load()) })
 	d.process.Gauge("request_keys", "Request keys kept.", func() float64 { return float64(d.keys.len()) })
 }
--- a/internal/entry/stopping.go
+++ b/internal/entry/stopping.go
@@ -168,7 +168,7 @@
 		Name:            d.config.Name,
 		Zone:            d.config.Zone,
 		Version:         d.current.Load().state.Version(),
-		AgeMillis:       d.following.Age().Milliseconds(),
+		AgeMillis:       d.following.ControlAge().Milliseconds(),
 		Phase:           p.Phase.String(),
 		InFlight:        int(d.inFlight.Load()),
 		RemainingMillis: p.Remaining.Milliseconds(),
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -42,7 +42,7 @@
 	log       zerolog.Logger
 	started   time.Time
 	node      *link.Node
-	following *relay.Following
+	following *relay.Follower
 	// controlAge is how long ago control was last heard of.
 	controlAge  func() time.Duration
 	controls    *controls
@@ -114,7 +114,7 @@
 	d.connections = newConnections(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
 	p.Gauge("log_lines_dropped", "Log lines that the reader did not take in time.", func() float64 { return float64(lines.Dropped()) })
-	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.Age().Seconds() })
+	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.ControlAge().Seconds() })
 	d.shaper = newShaper(c.LinkBytes)
 	d.shaper.clock = d.clock
 	d.longAnswers = newLinkQueue(c.LinkBytes)
@@ -134,30 +134,30 @@
 	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
-	d.following = relay.NewFollowing(relay.Subscriber{
+	d.following = relay.NewFollower(relay.FollowerConfig{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
 		PeerAddress: c.Peers,
 		Node:        func() *link.Node { return d.node },
 		Clock:       p.Clock,
-		Time:        d.clock,
+		BootClock:   d.clock,
 		Seed:        seed.Sum64(),
 		StaleAfter:  staleAfter,
 		Sources:     d.sources,
-		PutInForce:  d.putInForce,
+		ApplyState:  d.putInForce,
 		EntryBoxes:  d.setBoxes,
 		Limits:      d.takeUpdates,
 		Event:       d.recordEvent,
 	})
-	d.controlAge = d.following.Age
+	d.controlAge = d.following.ControlAge
 	return d, d.listen()
 }
 
 // recordEvent keeps an event in the time line. What comes into force has its own
 // line in the log, one for many commands; other events are logged as they are.
 func (d *Daemon) recordEvent(e *wire.TimelineEvent) {
-	if e.Kind == relay.EventInForce {
+	if e.Kind == relay.EventActive {
 		d.process.Event(e)
 		return
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -57,7 +57,7 @@
 	}
 	d.metrics.held.Set(float64(held))
 	line := d.log.Info().Str("kind", "quarantine").Int("held", held).Int("watched", len(entries)-held).
-		Uint64("stateVersion", version).Dur("controlAge", d.following.Age())
+		Uint64("stateVersion", version).Dur("controlAge", d.following.ControlAge())
 	if n := len(entries); n > 0 {
 		line = line.Str("latestDigest", entries[n-1].Request.String()).Bool("latestHeld", entries[n-1].Held)
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -44,7 +44,7 @@
 		d.reportsChanged() // from now on it serves
 	}
 	d.log.Info().Str("kind", "routes").Uint64("number", document.Number).Uint64("stateVersion", version).
-		Dur("controlAge", d.following.Age()).Msg("document of routes in force")
+		Dur("controlAge", d.following.ControlAge()).Msg("document of routes in force")
 }
 
 // downloads returns the names of the routes whose answers are large.
@@ -102,7 +102,7 @@
 	d.balancing.Unlock()
 	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", draining(c.Targets())).
 		Int("changed", len(changed)).Int("ended", len(ended)).Strs("evacuated", c.Evacuated()).
-		Uint64("stateVersion", version).Dur("controlAge", d.following.Age()).Msg("targets in force")
+		Uint64("stateVersion", version).Dur("controlAge", d.following.ControlAge()).Msg("targets in force")
 }
 
 func (d *Daemon) target(r *wire.Registration) balance.Target {
--- a/internal/relay/following.go
+++ b/internal/relay/following.go
@@ -13,8 +13,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// EventInForce is the kind of the events that tell of a command in force.
-const EventInForce = "inForce"
+// EventActive is the kind of the events that tell of a command in force.
+const EventActive = "inForce"
 
 const (
 	followTick     = 100 * time.Millisecond
@@ -22,8 +22,8 @@
 	followInbox    = 64
 )
 
-// Subscriber is what a Following needs of the process that hosts it.
-type Subscriber struct {
+// FollowerConfig is what a Following needs of the process that hosts it.
+type FollowerConfig struct {
 	Box         string
 	Incarnation string
 	Zone        string
@@ -31,8 +31,8 @@
 	// Node returns the node whose links are used.
 	Node  func() *link.Node
 	Clock *timeline.Clock
-	// Time is the clock of the process's machine; nil for the one at hand.
-	Time *boottime.Clock
+	// BootClock is the clock of the process's machine; nil for the one at hand.
+	BootClock *boottime.Clock
 	// Seed spreads the retries of boxes.
 	Seed uint64
 	// StaleAfter is how old the word of control may be before another
@@ -40,9 +40,9 @@
 	StaleAfter time.Duration
 	// Sources returns the upstreams, best first.
 	Sources func() []distribution.Source
-	// PutInForce takes each new state and the commands that led to it, or nil
+	// ApplyState takes each new state and the commands that led to it, or nil
 	// commands for a whole state.
-	PutInForce func(steering.State, []*wire.Command)
+	ApplyState func(steering.State, []*wire.Command)
 	// EntryBoxes is told which entry boxes serve; it may be nil.
 	EntryBoxes func([]*wire.EntryBox)
 	// Limits is told what targets say of their limits; it may be nil.
@@ -53,10 +53,10 @@
 	Event func(*wire.TimelineEvent)
 }
 
-// Following hosts the follower of one process: its loop owns the machine, and
+// Follower hosts the follower of one process: its loop owns the machine, and
 // one worker reads the present subscription.
-type Following struct {
-	subscriber Subscriber
+type Follower struct {
+	subscriber FollowerConfig
 	machine    *distribution.Follower
 	inbox      chan distribution.Event
 	started    time.Time
@@ -80,13 +80,13 @@
 	stream  *link.Messages
 }
 
-// NewFollowing returns a following with the empty state. Run must follow.
-func NewFollowing(s Subscriber) *Following {
-	f := &Following{
+// NewFollower returns a following with the empty state. Run must follow.
+func NewFollower(s FollowerConfig) *Follower {
+	f := &Follower{
 		subscriber: s,
-		machine:    distribution.NewFollower(s.Time.Now(), s.Seed),
+		machine:    distribution.NewFollower(s.BootClock.Now(), s.Seed),
 		inbox:      make(chan distribution.Event, followInbox),
-		started:    s.Time.Now(),
+		started:    s.BootClock.Now(),
 		reads:      make(chan openedStream, 1),
 		opened:     make(chan openedStream, 1),
 		changed:    make(chan struct{}, 1),
@@ -98,17 +98,17 @@
 	return f
 }
 
-// Age returns how long ago control was last heard of.
-func (f *Following) Age() time.Duration {
+// ControlAge returns how long ago control was last heard of.
+func (f *Follower) ControlAge() time.Duration {
 	at := f.heard.Load()
 	if at == 0 {
 		return time.Hour
 	}
-	return f.subscriber.Time.Since(f.started) - time.Duration(at)
+	return f.subscriber.BootClock.Since(f.started) - time.Duration(at)
 }
 
 // SourcesChanged has the sources asked for anew.
-func (f *Following) SourcesChanged() {
+func (f *Follower) SourcesChanged() {
 	select {
 	case f.changed <- struct{}{}:
 	default:
@@ -116,7 +116,7 @@
 }
 
 // Run is the loop. It returns when the context ends.
-func (f *Following) Run(ctx context.Context) error {
+func (f *Follower) Run(ctx context.Context) error {
 	ticker := time.NewTicker(followTick)
 	defer ticker.Stop()
 	report := time.NewTicker(reportInterval)
@@ -147,13 +147,13 @@
 	return ctx.Err()
 }
 
-func (f *Following) handle(ctx context.Context, e distribution.Event) {
-	f.carryOut(ctx, f.machine.Handle(f.subscriber.Time.Now(), e))
+func (f *Follower) handle(ctx context.Context, e distribution.Event) {
+	f.carryOut(ctx, f.machine.Handle(f.subscriber.BootClock.Now(), e))
 }
 
 // renewSources asks for the sources after what has come by the subscription is
 // in force, so that they are those of the latest state.
-func (f *Following) renewSources(ctx context.Context) {
+func (f *Follower) renewSources(ctx context.Context) {
 	f.drain(ctx)
 	if ctx.Err() != nil {
 		return
@@ -165,7 +165,7 @@
 // passTime has the machine judge what has come and what has not. While events
 // wait, something has come: the loop may have been busy with a long state for
 // longer than silence may last.
-func (f *Following) passTime(ctx context.Context) {
+func (f *Follower) passTime(ctx context.Context) {
 	f.drain(ctx)
 	if len(f.inbox) > 0 || ctx.Err() != nil {
 		return
@@ -176,7 +176,7 @@
 
 // drain handles the events that wait now; those that come meanwhile are left
 // to the loop, which serves the others between.
-func (f *Following) drain(ctx context.Context) {
+func (f *Follower) drain(ctx context.Context) {
 	for range len(f.inbox) {
 		if ctx.Err() != nil {
 			return
@@ -187,7 +187,7 @@
 
 // observeProgress tells the machine how much of an update has come. What has come
 // whole is handled before, else it would count as on its way.
-func (f *Following) observeProgress(ctx context.Context) {
+func (f *Follower) observeProgress(ctx context.Context) {
 	if f.reading.stream == nil {
 		return
 	}
@@ -196,7 +196,7 @@
 	}
 }
 
-func (f *Following) take(o openedStream) {
+func (f *Follower) take(o openedStream) {
 	if f.stream != nil {
 		_ = f.stream.Close()
 	}
@@ -205,7 +205,7 @@
 	f.report()
 }
 
-func (f *Following) end() {
+func (f *Follower) end() {
 	if f.cancel != nil {
 		f.cancel()
 	}
@@ -215,7 +215,7 @@
 	}
 }
 
-func (f *Following) carryOut(ctx context.Context, out distribution.Output) {
+func (f *Follower) carryOut(ctx context.Context, out distribution.Output) {
 	if out.Notice != "" {
 		f.subscriber.Event(&wire.TimelineEvent{Kind: "upstream", Box: f.subscriber.Box, Detail: out.Notice})
 	}
@@ -225,25 +225,25 @@
 		f.cancel = cancel
 		go f.subscribe(worker, *out.Subscribe)
 	}
-	if age := f.machine.ControlAge(f.subscriber.Time.Now()); f.heard.Load() > 0 || age < followTick {
-		f.heard.Store(int64(max(f.subscriber.Time.Since(f.started)-age, 1)))
+	if age := f.machine.ControlAge(f.subscriber.BootClock.Now()); f.heard.Load() > 0 || age < followTick {
+		f.heard.Store(int64(max(f.subscriber.BootClock.Since(f.started)-age, 1)))
 	}
 	if out.State == nil {
 		return
 	}
-	f.subscriber.PutInForce(*out.State, out.Commands)
+	f.subscriber.ApplyState(*out.State, out.Commands)
 	f.recordActive(out.Commands)
 	f.report()
 	f.sourcesDue = true
 }
 
-func (f *Following) recordActive(commands []*wire.Command) {
+func (f *Follower) recordActive(commands []*wire.Command) {
 	if commands == nil {
-		f.subscriber.Event(&wire.TimelineEvent{Kind: EventInForce, Box: f.subscriber.Box, Detail: "a whole state"})
+		f.subscriber.Event(&wire.TimelineEvent{Kind: EventActive, Box: f.subscriber.Box, Detail: "a whole state"})
 	}
 	for _, c := range commands {
 		f.subscriber.Event(&wire.TimelineEvent{
-			Kind:   EventInForce,
+			Kind:   EventActive,
 			Box:    f.subscriber.Box,
 			Change: c.GetChange().GetId(),
 			Shift:  c.GetShift().GetShift().GetId(),
@@ -252,7 +252,7 @@
 }
 
 // subscribe opens a subscription and reads it until it ends.
-func (f *Following) subscribe(ctx context.Context, s distribution.Subscribe) {
+func (f *Follower) subscribe(ctx context.Context, s distribution.Subscribe) {
 	stream, err := f.subscriber.Node().Subscribe(ctx, s.Source.Address, &wire.Subscribe{
 		Box:         f.subscriber.Box,
 		Incarnation: f.subscriber.Incarnation,
@@ -277,7 +277,7 @@
 			f.put(ctx, distribution.Lost{Attempt: s.Attempt})
 			return
 		}
-		at := f.subscriber.Time.Now()
+		at := f.subscriber.BootClock.Now()
 		f.subscriber.Clock.Observe(u.Clock)
 		if first {
 			first = false
@@ -297,7 +297,7 @@
 	}
 }
 
-func (f *Following) put(ctx context.Context, e distribution.Event) {
+func (f *Follower) put(ctx context.Context, e distribution.Event) {
 	select {
 	case f.inbox <- e:
 	case <-ctx.Done():
@@ -305,11 +305,11 @@
 }
 
 // report sends this box's report and those of the boxes below it upwards.
-func (f *Following) report() {
+func (f *Follower) report() {
 	if f.stream == nil || f.subscriber.Reports == nil {
 		return
 	}
-	news := f.filter.News(f.subscriber.Time.Now(), f.subscriber.Reports(), f.machine.State().Shifting())
+	news := f.filter.Filter(f.subscriber.BootClock.Now(), f.subscriber.Reports(), f.machine.State().Shifting())
 	if len(news) == 0 {
 		return
 	}
--- a/internal/relay/following_test.go
+++ b/internal/relay/following_test.go
@@ -110,7 +110,7 @@
 		silent := time.Now()
 		<-inForce
 		synctest.Wait()
-		if age, least := p.following.Age(), time.Since(silent); age < least {
+		if age, least := p.following.ControlAge(), time.Since(silent); age < least {
 			t.Errorf("the word of control counts as %v old, none has come for %v", age, least)
 		}
 	})
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		p := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		var changed []*wire.TargetLimit
 		p.SetLimits(func(after uint64) ([]*wire.TargetLimit, uint64) {
 			return changed[after:], uint64(len(changed))
--- a/internal/relay/publishing.go
+++ b/internal/relay/publishing.go
@@ -19,9 +19,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Publishing serves subscribers from a publisher and collects their reports.
+// Publisher serves subscribers from a publisher and collects their reports.
 // Its Run publishes what is put.
-type Publishing struct {
+type Publisher struct {
 	mu          sync.Mutex
 	publisher   *distribution.Publisher
 	subscribers map[*subscriber]bool
@@ -74,10 +74,10 @@
 	forgetReports = 10 * time.Minute
 )
 
-// NewPublishing returns a publishing of a state. The function age tells how
+// NewPublisher returns a publishing of a state. The function age tells how
 // old the word of control is. Run must follow.
-func NewPublishing(s steering.State, age func() time.Duration, stamp func() *wire.Clock) *Publishing {
-	return &Publishing{
+func NewPublisher(s steering.State, age func() time.Duration, stamp func() *wire.Clock) *Publisher {
+	return &Publisher{
 		publisher:   distribution.NewPublisher(s),
 		subscribers: make(map[*subscriber]bool),
 		reports:     make(map[string]boxReport),
@@ -89,24 +89,24 @@
 }
 
 // SetClock sets the clock of the process's machine. It must be called before Serve.
-func (p *Publishing) SetClock(c *boottime.Clock) { p.clock = c }
+func (p *Publisher) SetClock(c *boottime.Clock) { p.clock = c }
 
 // SetLimits has subscribers told what targets say of their limits. It must be called
 // before Serve; LimitsChanged tells of changes.
-func (p *Publishing) SetLimits(limits func(after uint64) (changed []*wire.TargetLimit, last uint64)) {
+func (p *Publisher) SetLimits(limits func(after uint64) (changed []*wire.TargetLimit, last uint64)) {
 	p.limits = limits
 }
 
 // LimitsChanged has subscribers told soon.
-func (p *Publishing) LimitsChanged() {
+func (p *Publisher) LimitsChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wakeSubscribers()
 }
 
-// Put has the next state published by Run, in the order of the calls. It does
+// SetState has the next state published by Run, in the order of the calls. It does
 // not wait for it.
-func (p *Publishing) Put(s steering.State, commands []*wire.Command) {
+func (p *Publisher) SetState(s steering.State, commands []*wire.Command) {
 	p.queue.Lock()
 	p.waiting = append(p.waiting, publication{s, commands})
 	p.newest = s
@@ -119,7 +119,7 @@
 
 // Run packs and publishes what is put. It returns when the context ends; what
 // waits then is dropped.
-func (p *Publishing) Run(ctx context.Context) error {
+func (p *Publisher) Run(ctx context.Context) error {
 	defer p.forgetWaiting()
 	p.catchUp()
 	for ctx.Err() == nil {
@@ -134,7 +134,7 @@
 
 // catchUp publishes the latest state if a Run before dropped it: subscribers would
 // be told until the next change that the version before is fresh.
-func (p *Publishing) catchUp() {
+func (p *Publisher) catchUp() {
 	p.queue.Lock()
 	newest, waits := p.newest, len(p.waiting) > 0
 	p.queue.Unlock()
@@ -145,7 +145,7 @@
 	p.last = newest
 }
 
-func (p *Publishing) publishWaiting(ctx context.Context) {
+func (p *Publisher) publishWaiting(ctx context.Context) {
 	for ctx.Err() == nil {
 		next, ok := p.next()
 		if !ok {
@@ -159,7 +159,7 @@
 	}
 }
 
-func (p *Publishing) next() (publication, bool) {
+func (p *Publisher) next() (publication, bool) {
 	p.queue.Lock()
 	defer p.queue.Unlock()
 	if len(p.waiting) == 0 {
@@ -170,20 +170,20 @@
 	return out, true
 }
 
-func (p *Publishing) forgetWaiting() {
+func (p *Publisher) forgetWaiting() {
 	p.queue.Lock()
 	defer p.queue.Unlock()
 	p.waiting = nil
 }
 
-func (p *Publishing) publish(s steering.State, commands []*wire.Command) {
+func (p *Publisher) publish(s steering.State, commands []*wire.Command) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.publisher.SetState(s, commands)
 	p.wakeSubscribers()
 }
 
-func (p *Publishing) wakeSubscribers() {
+func (p *Publisher) wakeSubscribers() {
 	for s := range p.subscribers {
 		select {
 		case s.changed <- struct{}{}:
@@ -193,7 +193,7 @@
 }
 
 // Serve sends updates to one subscriber until its stream ends.
-func (p *Publishing) Serve(ctx context.Context, m *link.Messages) {
+func (p *Publisher) Serve(ctx context.Context, m *link.Messages) {
 	request := &wire.Subscribe{}
 	if err := m.Read(request); err != nil {
 		return
@@ -251,7 +251,7 @@
 	}
 }
 
-func (p *Publishing) add() *subscriber {
+func (p *Publisher) add() *subscriber {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := &subscriber{changed: make(chan struct{}, 1)}
@@ -259,13 +259,13 @@
 	return s
 }
 
-func (p *Publishing) remove(s *subscriber) {
+func (p *Publisher) remove(s *subscriber) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.subscribers, s)
 }
 
-func (p *Publishing) update(answer func(uint64, time.Duration) *wire.Update, version uint64) *wire.Update {
+func (p *Publisher) update(answer func(uint64, time.Duration) *wire.Update, version uint64) *wire.Update {
 	age := p.age()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -276,8 +276,8 @@
 
 // entryBoxes returns the boxes that serve callers, or nil if they are those
 // that were told before, and a text that stands for them.
-func (p *Publishing) entryBoxes(told string) (*wire.EntryBoxes, string) {
-	fresh := p.Fresh(max(entryBoxFresh, lookup.ReportFresh(len(p.Fresh(2*entryBoxFresh)))))
+func (p *Publisher) entryBoxes(told string) (*wire.EntryBoxes, string) {
+	fresh := p.RecentReports(max(entryBoxFresh, lookup.ReportFresh(len(p.RecentReports(2*entryBoxFresh)))))
 	if len(fresh) == 0 {
 		return nil, told
 	}
@@ -296,9 +296,9 @@
 	return out, text
 }
 
-// Fresh returns the reports that are not older than within, by the names of
+// RecentReports returns the reports that are not older than within, by the names of
 // their boxes.
-func (p *Publishing) Fresh(within time.Duration) []*wire.BoxReport {
+func (p *Publisher) RecentReports(within time.Duration) []*wire.BoxReport {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -312,18 +312,18 @@
 	return out
 }
 
-func (p *Publishing) readReports(m *link.Messages) {
+func (p *Publisher) readReports(m *link.Messages) {
 	for {
 		r := &wire.Report{}
 		if err := m.Read(r); err != nil {
 			return
 		}
-		p.Collect(r)
+		p.AddReports(r)
 	}
 }
 
-// Collect takes the reports of a subtree. The newest report of a box counts.
-func (p *Publishing) Collect(r *wire.Report) {
+// AddReports takes the reports of a subtree. The newest report of a box counts.
+func (p *Publisher) AddReports(r *wire.Report) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -337,7 +337,7 @@
 }
 
 // Reports returns the collected reports with their present age.
-func (p *Publishing) Reports() []*wire.BoxReport {
+func (p *Publisher) Reports() []*wire.BoxReport {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/publishing_test.go
+++ b/internal/relay/publishing_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		p := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		ran := make(chan error, 1)
 		go func() { ran <- p.Run(ctx) }()
 		near, far := net.Pipe()
@@ -44,7 +44,7 @@
 			for i := range changes {
 				c := &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: fmt.Sprint("zone", i)}}
 				state, _ = state.Apply(c)
-				p.Put(state, []*wire.Command{c})
+				p.SetState(state, []*wire.Command{c})
 				time.Sleep(time.Millisecond)
 			}
 		}()
@@ -76,14 +76,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		p := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		ran := make(chan error, 1)
 		go func() { ran <- p.Run(ctx) }()
 		state := steering.State{}
 		put := func(zone string) {
 			c := &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: zone}}
 			state, _ = state.Apply(c)
-			p.Put(state, []*wire.Command{c})
+			p.SetState(state, []*wire.Command{c})
 		}
 		put("a")
 		synctest.Wait()
@@ -116,13 +116,13 @@
 // nothing that waits then is published.
 func TestPublishingEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		state := steering.State{}
 		put := func(n int) {
 			for range n {
 				c := bulky(100 + int(state.Version()))
 				state, _ = state.Apply(c)
-				p.Put(state, []*wire.Command{c})
+				p.SetState(state, []*wire.Command{c})
 			}
 		}
 		version := func() uint64 { return p.update(p.publisher.Update, 0).Version }
@@ -156,10 +156,10 @@
 // Guards against a publishing that starts again and tells an old version as fresh.
 func TestPublishingThatStartsAgainHasTheLatestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		c := &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: "a"}}
 		state, _ := steering.State{}.Apply(c)
-		p.Put(state, []*wire.Command{c})
+		p.SetState(state, []*wire.Command{c})
 		over, end := context.WithCancel(t.Context())
 		end()
 		_ = p.Run(over) // its context had ended
--- a/internal/relay/reportfilter.go
+++ b/internal/relay/reportfilter.go
@@ -30,11 +30,11 @@
 // NewReportFilter returns a filter for an upstream that has nothing.
 func NewReportFilter() *ReportFilter { return &ReportFilter{sent: make(map[string]sentReport)} }
 
-// News returns the reports that are to be sent at now: those with news, and
+// Filter returns the reports that are to be sent at now: those with news, and
 // those last sent a refresh interval ago. A report that is no newer than the
 // one that was sent is never repeated, so that a silent box is seen to be
 // silent. If eager is true, as while a shift runs, every newer report is sent.
-func (f *ReportFilter) News(now time.Time, reports []*wire.BoxReport, eager bool) []*wire.BoxReport {
+func (f *ReportFilter) Filter(now time.Time, reports []*wire.BoxReport, eager bool) []*wire.BoxReport {
 	var out []*wire.BoxReport
 	for _, r := range reports {
 		made := now.Add(-time.Duration(r.AgeMilli) * time.Millisecond)
--- a/internal/relay/reportfilter_test.go
+++ b/internal/relay/reportfilter_test.go
@@ -34,7 +34,7 @@
 		{time.Second, append(report(2, 12, 0), report(3, 1, 0)...), false, 1}, // one of two
 	} {
 		now = now.Add(step.after)
-		if got := filter.News(now, step.reports, step.eager); len(got) != step.want {
+		if got := filter.Filter(now, step.reports, step.eager); len(got) != step.want {
 			t.Errorf("step %d: %d reports sent, want %d", i, len(got), step.want)
 		}
 	}
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -17,14 +17,14 @@
 		var asleep atomic.Int64
 		defer boottime.Simulate(func() time.Duration { return time.Duration(asleep.Load()) })()
 		time.Sleep(3 * heartbeatInterval)
-		publishing := NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
-		publishing.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: "b"}}})
-		before := p.following.Age()
+		publishing := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
+		publishing.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: "b"}}})
+		before := p.following.ControlAge()
 		asleep.Add(int64(length))
-		if age := p.following.Age(); age < before+length {
+		if age := p.following.ControlAge(); age < before+length {
 			t.Errorf("word of control that was %s old is %s old after a suspension of %s", before, age, length)
 		}
-		if n := len(publishing.Fresh(length - time.Second)); n != 0 {
+		if n := len(publishing.RecentReports(length - time.Second)); n != 0 {
 			t.Errorf("a report counts as fresh %s after it came", length)
 		}
 	})
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -41,7 +41,7 @@
 // replicaPair is two replicas that publish the same, and what followed them.
 type replicaPair struct {
 	network linktest.Network
-	states  [2]*Publishing
+	states  [2]*Publisher
 	nodes   [2]*link.Node
 	served  [2]atomic.Int32
 	notices []string
@@ -51,14 +51,14 @@
 	puts func(version uint64)
 	// listed are the box's sources.
 	listed    atomic.Pointer[[]distribution.Source]
-	following *Following
+	following *Follower
 	// stop ends the following's context.
 	stop context.CancelFunc
 }
 
 func (p *replicaPair) put(s steering.State, c []*wire.Command) {
 	for _, x := range p.states {
-		x.Put(s, c)
+		x.SetState(s, c)
 	}
 }
 
@@ -81,7 +81,7 @@
 		addresses := [2]string{"a", "b"}
 		var sources []distribution.Source
 		for i, a := range addresses {
-			p.states[i] = NewPublishing(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
+			p.states[i] = NewPublisher(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
 			go func() { ended <- p.states[i].Run(ctx) }()
 			handlers := link.Handlers{Subscribe: func(ctx context.Context, _ string, m *link.Messages) {
 				p.served[i].Add(1)
@@ -103,14 +103,14 @@
 		defer box.Close()
 		p.listed.Store(&sources)
 		inForce := make(chan uint64, 64)
-		p.following = NewFollowing(Subscriber{
+		p.following = NewFollower(FollowerConfig{
 			Box:        "box",
 			Node:       func() *link.Node { return box },
 			Clock:      clock,
 			Seed:       1,
 			StaleAfter: boxStale,
 			Sources:    func() []distribution.Source { return *p.listed.Load() },
-			PutInForce: func(s steering.State, _ []*wire.Command) {
+			ApplyState: func(s steering.State, _ []*wire.Command) {
 				time.Sleep(p.busy)
 				if p.puts != nil {
 					p.puts(s.Version())
