--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -131,7 +131,7 @@
 	d.targetLimits.permits.answered = d.recordPermits
 	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOff)
 	d.isolation = d.newIsolation()
-	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
+	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.SuspectCount()) })
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
 	d.following = relay.NewFollower(relay.FollowerConfig{
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -18,12 +18,12 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return d.connections.dial(ctx, "tcp4", address)
 		},
-		DialTimeout: dialTimeout,
-		Leaving:     d.isLeaving,
-		Replicas:    d.controls.all,
-		Tell:        d.tellEvidence,
-		Looked:      func(l isolation.Look) { d.metrics.looks.WithLabelValues(l.String()).Inc() },
-		Ended:       d.recordEnded,
+		DialTimeout:  dialTimeout,
+		Leaving:      d.isLeaving,
+		Replicas:     d.controls.all,
+		SendEvidence: d.tellEvidence,
+		OnProbe:      func(l isolation.ProbeResult) { d.metrics.looks.WithLabelValues(l.String()).Inc() },
+		OnCrash:      d.recordEnded,
 	})
 }
 
@@ -35,14 +35,14 @@
 	return err
 }
 
-func (d *Daemon) recordEnded(r isolation.Run) {
+func (d *Daemon) recordEnded(r isolation.BrokenRun) {
 	d.metrics.endedRuns.Inc()
 	if !d.otherLines.Take(d.clock.Now()) {
 		return
 	}
-	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.End.Request.String()).
-		Str("target", r.End.Life).Str("route", r.End.Route).Str("service", r.End.Service).
-		Dur("ran", r.End.Ended.Sub(r.End.Began)).Msg("a target ended while it ran a request")
+	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.Crash.Request.String()).
+		Str("target", r.Crash.Life).Str("route", r.Crash.Route).Str("service", r.Crash.Service).
+		Dur("ran", r.Crash.Ended.Sub(r.Crash.Began)).Msg("a target ended while it ran a request")
 }
 
 // putQuarantine takes the requests that are watched or held.
@@ -100,7 +100,7 @@
 // answered: it has not run, and comes back in vain before it is let go. It costs nothing
 // while nothing is known of any request.
 func (c *call) passQuarantine() bool {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return true
 	}
 	if !c.takeBody() {
@@ -142,19 +142,19 @@
 // canRepeat reports whether the request may go to a further target as far as targets
 // that ended under it are concerned.
 func (c *call) canRepeat() bool {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return true
 	}
 	id := c.identity()
-	return !c.probation && c.gateway.isolation.MayRepeat(id.digest, id.caller)
+	return !c.probation && c.gateway.isolation.MayRetry(id.digest, id.caller)
 }
 
 // recordBroken takes that the connection of an attempt broke: its target may have ended.
 func (c *call) recordBroken(e attemptEnd) {
 	id := c.identity()
 	now := c.gateway.clock.Now()
-	c.gateway.isolation.Broke(isolation.Run{
-		End: quarantine.End{
+	c.gateway.isolation.ConnectionBroke(isolation.BrokenRun{
+		Crash: quarantine.End{
 			Request: id.digest, Caller: id.caller, Life: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
 			Began: e.began, Ended: now,
 		},
@@ -165,11 +165,11 @@
 
 // recordAnswer takes that a target gave a whole answer.
 func (c *call) recordAnswer() {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return
 	}
 	id := c.identity()
-	c.gateway.isolation.Answered(id.digest, id.caller)
+	c.gateway.isolation.RecordAnswer(id.digest, id.caller)
 }
 
 // otherTargets are the targets that got the request besides the last one, and what became
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -241,8 +241,8 @@
 				return m.scene.daemon.connections.dial(ctx, "tcp4", address)
 			},
 			DialTimeout: time.Second, Leaving: func(string) bool { return false }, Replicas: func() []string { return []string{"a"} },
-			Tell:  func(_ context.Context, _ string, e *wire.Evidence) error { told <- e; return nil },
-			Ended: func(isolation.Run) {}, Looked: func(isolation.Look) {},
+			SendEvidence: func(_ context.Context, _ string, e *wire.Evidence) error { told <- e; return nil },
+			OnCrash:      func(isolation.BrokenRun) {}, OnProbe: func(isolation.ProbeResult) {},
 		})
 		m.scene.daemon.isolation = own
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -28,26 +28,26 @@
 	maxLooks  = 64
 )
 
-// Run is a run whose connection broke after the request was sent.
-type Run struct {
-	End quarantine.End
+// BrokenRun is a run whose connection broke after the request was sent.
+type BrokenRun struct {
+	Crash quarantine.End
 	// Address is that of the target, and Request the id of the request.
 	Address string
 	Request string
 }
 
-// Look is what a look at a target gave: that it has ended, that it serves, or why that is
+// ProbeResult is what a look at a target gave: that it has ended, that it serves, or why that is
 // not known.
-type Look struct {
-	Life  string
-	Ended bool
-	Err   error
+type ProbeResult struct {
+	Incarnation string
+	Crashed     bool
+	Err         error
 }
 
 // String returns what was found, as it stands in metrics.
-func (l Look) String() string {
+func (l ProbeResult) String() string {
 	switch {
-	case l.Ended:
+	case l.Crashed:
 		return "ended"
 	case l.Err != nil:
 		return "unknown"
@@ -66,18 +66,18 @@
 	// Leaving tells targets that end as planned.
 	Leaving func(life string) bool
 	// Replicas are the control replicas, and Tell hands evidence to one of them.
-	Replicas func() []string
-	Tell     func(ctx context.Context, address string, e *wire.Evidence) error
-	// Ended and Looked are told of what was found out, for log and metrics.
-	Ended  func(Run)
-	Looked func(Look)
+	Replicas     func() []string
+	SendEvidence func(ctx context.Context, address string, e *wire.Evidence) error
+	// OnCrash and Looked are told of what was found out, for log and metrics.
+	OnCrash func(BrokenRun)
+	OnProbe func(ProbeResult)
 }
 
 // Isolation keeps requests from targets that end each target that runs them. It is safe
 // for concurrent use; Run must be running for it to learn anything by itself.
 type Isolation struct {
 	config Config
-	broken chan Run
+	broken chan BrokenRun
 	// due holds a token when there is evidence to tell.
 	due chan struct{}
 	// idle tells that nothing is known of any request.
@@ -91,14 +91,14 @@
 // New returns an isolation that knows of nothing.
 func New(c Config) *Isolation {
 	i := &Isolation{
-		config: c, guard: quarantine.NewGuard(), outbox: quarantine.NewOutbox(), broken: make(chan Run, maxBroken), due: make(chan struct{}, 1),
+		config: c, guard: quarantine.NewGuard(), outbox: quarantine.NewOutbox(), broken: make(chan BrokenRun, maxBroken), due: make(chan struct{}, 1),
 	}
 	i.idle.Store(true)
 	return i
 }
 
-// Idle reports whether nothing is known of any request, so that none needs a digest.
-func (i *Isolation) Idle() bool { return i.idle.Load() }
+// IsIdle reports whether nothing is known of any request, so that none needs a digest.
+func (i *Isolation) IsIdle() bool { return i.idle.Load() }
 
 // toldReplica tells that a call to a replica has ended.
 type toldReplica struct {
@@ -109,15 +109,15 @@
 // loop is the state of the loop: the runs whose targets are looked at, and what
 // goroutines report.
 type loop struct {
-	pending map[string][]Run
-	looks   chan Look
+	pending map[string][]BrokenRun
+	looks   chan ProbeResult
 	told    chan toldReplica
 	running sync.WaitGroup
 }
 
 // Run finds out which targets have ended, and tells control, until the context ends.
 func (i *Isolation) Run(ctx context.Context) error {
-	l := &loop{pending: make(map[string][]Run), looks: make(chan Look), told: make(chan toldReplica)}
+	l := &loop{pending: make(map[string][]BrokenRun), looks: make(chan ProbeResult), told: make(chan toldReplica)}
 	defer l.running.Wait()
 	forget := time.NewTicker(quarantine.Memory / 10)
 	defer forget.Stop()
@@ -130,8 +130,8 @@
 		case r := <-i.broken:
 			i.lookAt(ctx, l, r)
 		case done := <-l.looks:
-			i.take(done, l.pending[done.Life])
-			delete(l.pending, done.Life)
+			i.take(done, l.pending[done.Incarnation])
+			delete(l.pending, done.Incarnation)
 		case <-i.due:
 			tell.Reset(i.tellDue(ctx, l))
 		case <-tell.C:
@@ -148,8 +148,8 @@
 }
 
 // lookAt has a target looked at whose connection broke; one look serves all runs there.
-func (i *Isolation) lookAt(ctx context.Context, l *loop, r Run) {
-	life := r.End.Life
+func (i *Isolation) lookAt(ctx context.Context, l *loop, r BrokenRun) {
+	life := r.Crash.Life
 	if len(l.pending[life]) == 0 {
 		if len(l.pending) >= maxLooks {
 			return
@@ -174,7 +174,7 @@
 	i.mu.Unlock()
 	for _, b := range batches {
 		e := evidence(now, b.Items)
-		l.running.Go(func() { report(ctx, l.told, toldReplica{b.Address, i.config.Tell(ctx, b.Address, e)}) })
+		l.running.Go(func() { report(ctx, l.told, toldReplica{b.Address, i.config.SendEvidence(ctx, b.Address, e)}) })
 	}
 	if next.IsZero() {
 		return tellInterval
@@ -208,9 +208,9 @@
 }
 
 // look finds out whether a target has ended: it refuses connections twice.
-func (i *Isolation) look(ctx context.Context, life, address string) Look {
+func (i *Isolation) look(ctx context.Context, life, address string) ProbeResult {
 	if i.config.Leaving(life) {
-		return Look{Life: life}
+		return ProbeResult{Incarnation: life}
 	}
 	for n := range 2 {
 		if n > 0 {
@@ -221,13 +221,13 @@
 		cancel()
 		if err == nil {
 			_ = c.Close() // nothing was sent on it
-			return Look{Life: life}
+			return ProbeResult{Incarnation: life}
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			return Look{Life: life, Err: err}
+			return ProbeResult{Incarnation: life, Err: err}
 		}
 	}
-	return Look{Life: life, Ended: !i.config.Leaving(life)}
+	return ProbeResult{Incarnation: life, Crashed: !i.config.Leaving(life)}
 }
 
 func pause(ctx context.Context, d time.Duration) {
@@ -240,37 +240,37 @@
 }
 
 // take takes what a look at a target gave for the runs that broke there.
-func (i *Isolation) take(l Look, runs []Run) {
-	i.config.Looked(l)
-	if !l.Ended {
+func (i *Isolation) take(l ProbeResult, runs []BrokenRun) {
+	i.config.OnProbe(l)
+	if !l.Crashed {
 		return
 	}
 	now := i.config.Clock.Now()
 	for _, r := range runs {
 		i.mu.Lock()
-		news := i.guard.Ended(now, r.End)
+		news := i.guard.Ended(now, r.Crash)
 		i.idle.Store(i.guard.IsIdle())
 		if news {
-			i.outbox.Add(now, quarantine.Item{End: &r.End})
+			i.outbox.Add(now, quarantine.Item{End: &r.Crash})
 		}
 		i.mu.Unlock()
 		if news {
-			i.config.Ended(r)
+			i.config.OnCrash(r)
 		}
 	}
 	i.wake()
 }
 
-// Broke takes a run whose connection broke after the request was sent.
-func (i *Isolation) Broke(r Run) {
+// ConnectionBroke takes a run whose connection broke after the request was sent.
+func (i *Isolation) ConnectionBroke(r BrokenRun) {
 	select {
 	case i.broken <- r:
 	default: // where so many break at once the network does
 	}
 }
 
-// Answered takes a whole answer to a request.
-func (i *Isolation) Answered(d quarantine.Digest, c quarantine.Caller) {
+// RecordAnswer takes a whole answer to a request.
+func (i *Isolation) RecordAnswer(d quarantine.Digest, c quarantine.Caller) {
 	now := i.config.Clock.Now()
 	i.mu.Lock()
 	tell := i.guard.Answered(now, d, c)
@@ -306,8 +306,8 @@
 	i.idle.Store(i.guard.IsIdle())
 }
 
-// Suspects returns how many requests the box itself has evidence against.
-func (i *Isolation) Suspects() int {
+// SuspectCount returns how many requests the box itself has evidence against.
+func (i *Isolation) SuspectCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.guard.Suspects()
@@ -329,8 +329,8 @@
 	i.guard.Finish(d)
 }
 
-// MayRepeat reports whether a further target may get a request that has been let in.
-func (i *Isolation) MayRepeat(d quarantine.Digest, c quarantine.Caller) bool {
+// MayRetry reports whether a further target may get a request that has been let in.
+func (i *Isolation) MayRetry(d quarantine.Digest, c quarantine.Caller) bool {
 	now, wall := i.config.Clock.Now(), time.Now() // time of day: the list tells by it until when it holds
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -28,11 +28,11 @@
 	if c.Replicas == nil {
 		c.Replicas = func() []string { return nil }
 	}
-	if c.Ended == nil {
-		c.Ended = func(Run) {}
+	if c.OnCrash == nil {
+		c.OnCrash = func(BrokenRun) {}
 	}
-	if c.Looked == nil {
-		c.Looked = func(Look) {}
+	if c.OnProbe == nil {
+		c.OnProbe = func(ProbeResult) {}
 	}
 	i := New(c)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -65,18 +65,18 @@
 		name    string
 		dials   []error // nil: the connection comes up
 		leaving bool
-		want    Look
+		want    ProbeResult
 	}{
-		{"it has ended", []error{refused, refused}, false, Look{Life: "1", Ended: true}},
-		{"it serves", []error{nil}, false, Look{Life: "1"}},
-		{"it is full for a moment", []error{refused, nil}, false, Look{Life: "1"}},
-		{"it can't be reached", []error{silent}, false, Look{Life: "1", Err: silent}},
-		{"it leaves as planned", []error{refused, refused}, true, Look{Life: "1"}},
+		{"it has ended", []error{refused, refused}, false, ProbeResult{Incarnation: "1", Crashed: true}},
+		{"it serves", []error{nil}, false, ProbeResult{Incarnation: "1"}},
+		{"it is full for a moment", []error{refused, nil}, false, ProbeResult{Incarnation: "1"}},
+		{"it can't be reached", []error{silent}, false, ProbeResult{Incarnation: "1", Err: silent}},
+		{"it leaves as planned", []error{refused, refused}, true, ProbeResult{Incarnation: "1"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				dials := c.dials
-				looks := make(chan Look, 4)
+				looks := make(chan ProbeResult, 4)
 				var ended atomic.Int32
 				i := start(t, Config{
 					Dial: func(context.Context, string) (net.Conn, error) {
@@ -88,23 +88,23 @@
 						return open()
 					},
 					Leaving: func(string) bool { return c.leaving },
-					Looked:  func(l Look) { looks <- l },
-					Ended:   func(Run) { ended.Add(1) },
+					OnProbe: func(l ProbeResult) { looks <- l },
+					OnCrash: func(BrokenRun) { ended.Add(1) },
 				})
 				// Two requests broke at the target: one look serves both.
-				i.Broke(Run{End: end("/a", "1")})
-				i.Broke(Run{End: end("/b", "1")})
+				i.ConnectionBroke(BrokenRun{Crash: end("/a", "1")})
+				i.ConnectionBroke(BrokenRun{Crash: end("/b", "1")})
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if got := <-looks; got != c.want || len(looks) > 0 {
 					t.Errorf("got %+v and %d more, want %+v", got, len(looks), c.want)
 				}
 				want := 0
-				if c.want.Ended {
+				if c.want.Crashed {
 					want = 2
 				}
-				if int(ended.Load()) != want || i.Suspects() != want || i.Idle() != (want == 0) {
-					t.Errorf("%d runs were booked to their requests, %d are suspects, want %d", ended.Load(), i.Suspects(), want)
+				if int(ended.Load()) != want || i.SuspectCount() != want || i.IsIdle() != (want == 0) {
+					t.Errorf("%d runs were booked to their requests, %d are suspects, want %d", ended.Load(), i.SuspectCount(), want)
 				}
 			})
 		})
@@ -141,9 +141,9 @@
 		var boxes []*Isolation
 		for range 9 {
 			boxes = append(boxes, start(t, Config{
-				Dial:     func(context.Context, string) (net.Conn, error) { return nil, refused },
-				Replicas: func() []string { return []string{"leader", "other"} },
-				Tell:     tell,
+				Dial:         func(context.Context, string) (net.Conn, error) { return nil, refused },
+				Replicas:     func() []string { return []string{"leader", "other"} },
+				SendEvidence: tell,
 			}))
 		}
 		var reached []time.Time
@@ -154,7 +154,7 @@
 				reached = append(reached, time.Now())
 				time.Sleep(20 * time.Millisecond)
 				one.Ended = time.Now()
-				b.Broke(Run{End: one})
+				b.ConnectionBroke(BrokenRun{Crash: one})
 				if v.Decision == quarantine.OnProbation {
 					b.Finish(one.Request)
 				}
