--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -270,7 +270,7 @@
 	d.publishing.Serve(ctx, m)
 }
 
-func (d *Daemon) serveForward(c net.Conn) { d.forwarded.Put(c) }
+func (d *Daemon) serveForward(c net.Conn) { d.forwarded.Deliver(c) }
 
 func (d *Daemon) serveCall(_ context.Context, _ string, request *wire.CallRequest) *wire.CallAnswer {
 	switch {
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -166,7 +166,7 @@
 
 func (d *Daemon) listen() error {
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	d.node = link.Dialer(id, d.process.Clock, nil)
+	d.node = link.NewClient(id, d.process.Clock, nil)
 	callers, err := newCallers(d)
 	if err != nil {
 		return err
--- a/internal/link/call_bench_test.go
+++ b/internal/link/call_bench_test.go
@@ -21,7 +21,7 @@
 		b.Fatal(err)
 	}
 	defer server.Close()
-	client := Dialer(Identity{Name: "client"}, clock, nil)
+	client := NewClient(Identity{Name: "client"}, clock, nil)
 	defer client.Close()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -49,8 +49,8 @@
 	return &StreamListener{streams: make(chan net.Conn), done: make(chan struct{}), address: address}
 }
 
-// Put hands a stream to the server.
-func (l *StreamListener) Put(c net.Conn) {
+// Deliver hands a stream to the server.
+func (l *StreamListener) Deliver(c net.Conn) {
 	select {
 	case l.streams <- c:
 	case <-l.done:
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -89,9 +89,9 @@
 	return written, nil
 }
 
-// Arriving returns how many bytes of the next message have come so far; zero
+// PartialBytes returns how many bytes of the next message have come so far; zero
 // if none is on its way. It is safe for concurrent use.
-func (m *Messages) Arriving() uint64 { return m.arriving.Load() }
+func (m *Messages) PartialBytes() uint64 { return m.arriving.Load() }
 
 // Read reads the next message.
 func (m *Messages) Read(into proto.Message) error {
--- a/internal/link/linktest/linktest.go
+++ b/internal/link/linktest/linktest.go
@@ -26,17 +26,17 @@
 
 // Network connects everyone who dials with the one who listens at the address.
 type Network struct {
-	// BytesPerSecond is what all connections together carry towards those that
+	// DownBytesPerSecond is what all connections together carry towards those that
 	// dialled; SentPerSecond the other way, as fast as can be where it is zero.
-	BytesPerSecond int
-	SentPerSecond  int
+	DownBytesPerSecond int
+	UpBytesPerSecond   int
 	// SocketBuffer is how many bytes a write leaves behind that are not yet
 	// carried.
 	SocketBuffer int
-	// LateBy returns how much later than it is carried the nth write towards
+	// ExtraDelay returns how much later than it is carried the nth write towards
 	// one that dialled arrives, as after a loss; what follows it arrives after
 	// it. It may be nil.
-	LateBy func(n int) time.Duration
+	ExtraDelay func(n int) time.Duration
 
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -81,8 +81,8 @@
 	if l == nil {
 		return nil, net.ErrClosed
 	}
-	down, up := newLane(&n.down, n.BytesPerSecond, n.SocketBuffer), newLane(&n.up, n.SentPerSecond, n.SocketBuffer)
-	down.lateBy = n.LateBy
+	down, up := newLane(&n.down, n.DownBytesPerSecond, n.SocketBuffer), newLane(&n.up, n.UpBytesPerSecond, n.SocketBuffer)
+	down.lateBy = n.ExtraDelay
 	down.greeted = true // only the one that dials opens a link with a byte
 	near, far := &Conn{in: down, out: up}, &Conn{in: up, out: down}
 	select {
@@ -201,9 +201,9 @@
 	rest    []byte
 }
 
-// GoSilent loses all that is written to the connection from now on, at both
+// DropTraffic loses all that is written to the connection from now on, at both
 // ends.
-func (c *Conn) GoSilent() {
+func (c *Conn) DropTraffic() {
 	c.in.silent.Store(true)
 	c.out.silent.Store(true)
 }
--- a/internal/link/node.go
+++ b/internal/link/node.go
@@ -129,8 +129,8 @@
 	return n.listener.Addr().String()
 }
 
-// Dialer returns a node that only dials, for operators' commands.
-func Dialer(id Identity, clock *timeline.Clock, tls func() (*tls.Config, error)) *Node {
+// NewClient returns a node that only dials, for operators' commands.
+func NewClient(id Identity, clock *timeline.Clock, tls func() (*tls.Config, error)) *Node {
 	return newNode(TCP(), id, clock, Handlers{}, tls)
 }
 
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := Dialer(Identity{Name: "client"}, clock, secure)
+		n := NewClient(Identity{Name: "client"}, clock, secure)
 		defer n.Close()
 		_, err = n.Call(t.Context(), address, &wire.CallRequest{})
 		return err
--- a/internal/link/transfer_test.go
+++ b/internal/link/transfer_test.go
@@ -68,7 +68,7 @@
 // stays, as data arrives.
 func TestConnectionWithATransferIsKept(t *testing.T) {
 	const length, rate = 1 << 20, 600_000 / 8
-	network := &linktest.Network{BytesPerSecond: rate, SocketBuffer: 1 << 20}
+	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		took, err := receive(t, caller)
 		if err != nil {
@@ -83,7 +83,7 @@
 // The same for the one that sends: what it receives then is little.
 func TestConnectionIsKeptByTheOneThatSends(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
-	network := &linktest.Network{SentPerSecond: rate, SocketBuffer: 1 << 20}
+	network := &linktest.Network{UpBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	transferNodes(t, network, 0, func(t *testing.T, caller *Node) {
 		m, err := caller.Subscribe(t.Context(), "server", longMessage(length))
 		if err != nil {
@@ -109,7 +109,7 @@
 		late         = 200*time.Millisecond + 3*way
 	)
 	for _, each := range []int{2, 3, 5, 7} {
-		network := &linktest.Network{SentPerSecond: rate, SocketBuffer: 1 << 20, LateBy: func(n int) time.Duration {
+		network := &linktest.Network{UpBytesPerSecond: rate, SocketBuffer: 1 << 20, ExtraDelay: func(n int) time.Duration {
 			if n%each == 0 {
 				return late
 			}
@@ -134,7 +134,7 @@
 // buffers. The write of a long message succeeds all the same.
 func TestLongMessageIsWrittenOverASlowLink(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
-	network := &linktest.Network{BytesPerSecond: rate, SocketBuffer: 1 << 12}
+	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 12}
 	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		took, err := receive(t, caller)
 		if err != nil {
@@ -151,7 +151,7 @@
 // one that rests.
 func TestSilenceWithinATransferIsNoticed(t *testing.T) {
 	const length, rate = 3 << 20, 4_000_000 / 8
-	network := &linktest.Network{BytesPerSecond: rate, SocketBuffer: 1 << 20}
+	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		m, err := caller.Subscribe(t.Context(), "server", &wire.Subscribe{})
 		if err != nil {
@@ -160,7 +160,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- m.Read(&wire.Subscribe{}) }()
 		time.Sleep(time.Second)
-		network.Dialled()[0].GoSilent()
+		network.Dialled()[0].DropTraffic()
 		silent := time.Now()
 		if err := <-ended; err == nil {
 			t.Error("a message came over a silent connection")
--- a/internal/relay/following.go
+++ b/internal/relay/following.go
@@ -191,7 +191,7 @@
 	if f.reading.stream == nil {
 		return
 	}
-	if n := f.reading.stream.Arriving(); n > 0 {
+	if n := f.reading.stream.PartialBytes(); n > 0 {
 		f.handle(ctx, distribution.Progress{Attempt: f.reading.attempt, Bytes: n})
 	}
 }
--- a/internal/relay/following_test.go
+++ b/internal/relay/following_test.go
@@ -105,7 +105,7 @@
 		p.follow(1, 2*updateSpacing)
 		time.Sleep(heartbeatInterval)
 		for _, c := range p.network.Dialled() {
-			c.GoSilent()
+			c.DropTraffic()
 		}
 		silent := time.Now()
 		<-inForce
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -73,7 +73,7 @@
 	emptyPools()
 	defer emptyPools()
 	synctest.Test(t, func(t *testing.T) {
-		p := &replicaPair{network: linktest.Network{BytesPerSecond: boxBytes, SocketBuffer: 1 << 16}}
+		p := &replicaPair{network: linktest.Network{DownBytesPerSecond: boxBytes, SocketBuffer: 1 << 16}}
 		seam := link.Network{Listen: p.network.Listen, Dial: p.network.Dial}
 		clock := timeline.NewClock(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
