--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -106,7 +106,7 @@
 // some have a line in the log.
 func (d *Daemon) NoteUnread(id string, cause error) {
 	d.unreadUpdates.Inc()
-	if !d.unreadLines.Take(d.clock.Now()) {
+	if !d.unreadLines.Allow(d.clock.Now()) {
 		return
 	}
 	d.process.Log.Warn().Str("kind", "registration").Str("target", id).Err(cause).Msg("registration update rejected")
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -49,7 +49,7 @@
 	// unreadUpdates counts registration updates that can't be used, and unreadLines
 	// bounds their log lines.
 	unreadUpdates prometheus.Counter
-	unreadLines   *process.LineLimit
+	unreadLines   *process.LineLimiter
 	operators     net.Listener
 	extra         []process.Service
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("opening the data folder: %w", err), p.Close())
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d := &Daemon{
 		config:    c,
 		clock:     c.Clock,
@@ -124,7 +124,7 @@
 	d.learning = lookup.NewLearning(len(r.machine.Membership().GetVoters()) > 0)
 	if found.CutBytes > 0 {
 		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.CutBytes)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
 	d.publishing = relay.NewPublisher(r.state, d.age, d.process.Clock.Stamp)
 	d.targetLimits = newTargetLimits(d.config.PeerAddress)
@@ -145,7 +145,7 @@
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.LinkRefused}
+	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.RecordRefusedLink}
 	listen := cmp.Or(d.config.PeerListen, d.config.PeerAddress)
 	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, secure); err != nil {
 		return err
@@ -163,7 +163,7 @@
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
 	d.unreadUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
-	d.unreadLines = process.NewLineLimit(unreadLinesPerSecond)
+	d.unreadLines = process.NewLineLimiter(unreadLinesPerSecond)
 	settled := d.process.Counter("changes_settled_total", "Changes that got a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
@@ -185,7 +185,7 @@
 			d.recordContact(0) // what subscribers are told would else lag by viewInterval
 		}
 		detail := fmt.Sprintf("%s in term %d: %s", n.Role, n.Term, n.Reason)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
 	}
 	d.replica.settled = func(c *wire.Command, result steering.Result) {
 		d.recordSettled(c, result)
@@ -243,7 +243,7 @@
 	root.Add(process.Service{Name: "publishing", Run: d.publishing.Run})
 	root.Add(process.Service{Name: "words", Run: d.registrations.run})
 	root.Add(process.Service{Name: "quarantine", Run: d.keepQuarantine})
-	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
+	root.Add(process.Service{Name: "suspensions", Run: d.process.LogSuspensions})
 	root.Add(process.Service{Name: "forming", Run: d.form})
 	root.Add(process.Service{Name: "repair", Run: d.every(repairInterval, d.repair)})
 	root.Add(process.Service{Name: "shifts", Run: d.planShifts})
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -27,13 +27,13 @@
 	clock  *boottime.Clock
 	mu     sync.Mutex
 	issuer *quota.TargetIssuer
-	lines  *process.LineLimit
+	lines  *process.LineLimiter
 	// kept is when lives that are over were forgotten last.
 	kept time.Time
 }
 
 func newTargetLimits(ownAddress string) *targetLimits {
-	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimit(limitLinesPerSecond)}
+	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimiter(limitLinesPerSecond)}
 }
 
 // setReplicas takes the membership.
@@ -134,7 +134,7 @@
 }
 
 func (d *Daemon) logChange(c targetstatus.Change) {
-	if !d.targetLimits.lines.Take(d.clock.Now()) {
+	if !d.targetLimits.lines.Allow(d.clock.Now()) {
 		return
 	}
 	if c.Leaving {
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -111,7 +111,7 @@
 	}
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d := &Daemon{config: c, clock: c.Clock, process: p, seed: seed.Sum64(), network: network}
 	d.votes.voter = lease.NewVoter(d.clock.Now(), c.Name, longestLease)
 	d.budgets.byService = make(map[string]*retry.Budget)
@@ -139,7 +139,7 @@
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	handlers := link.Handlers{Subscribe: d.serveSubscriber, Call: d.serveCall, Forward: d.serveForward, Refused: d.process.LinkRefused}
+	handlers := link.Handlers{Subscribe: d.serveSubscriber, Call: d.serveCall, Forward: d.serveForward, Refused: d.process.RecordRefusedLink}
 	if d.callers, err = d.network.Listen(d.config.CallerAddress); err != nil {
 		return fmt.Errorf("listening for callers: %w", err)
 	}
@@ -219,7 +219,7 @@
 	root.Add(process.Service{Name: "peers", Run: d.peers.run})
 	root.Add(process.Service{Name: "health", Run: d.probeTargets})
 	root.Add(process.Service{Name: "isolation", Run: d.isolation.Run})
-	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
+	root.Add(process.Service{Name: "suspensions", Run: d.process.LogSuspensions})
 	root.Add(process.Service{Name: "platform", Run: d.watchPlatform})
 	if d.operators != nil {
 		root.Add(process.Service{Name: "operators", Run: d.serveOperators})
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -58,8 +58,8 @@
 	reportWord  silences
 	permitWord  silences
 	metrics     *metrics
-	servedLines *process.LineLimit
-	otherLines  *process.LineLimit
+	servedLines *process.LineLimiter
+	otherLines  *process.LineLimiter
 	callers     *callers
 	ready       net.Listener
 	exposed     net.Listener
@@ -103,11 +103,11 @@
 		started:     c.Clock.Now(),
 		clock:       c.Clock,
 		metrics:     newMetrics(p.Metrics),
-		servedLines: process.NewLineLimit(servedLines),
-		otherLines:  process.NewLineLimit(otherLines),
+		servedLines: process.NewLineLimiter(servedLines),
+		otherLines:  process.NewLineLimiter(otherLines),
 		reportDue:   make(chan struct{}, 1),
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
 	d.balancing.budgets = make(map[string]*retry.Window)
 	d.balancing.splits = make(map[string]*balance.Split)
@@ -161,7 +161,7 @@
 		d.process.Event(e)
 		return
 	}
-	d.process.StateChange(e)
+	d.process.RecordStateChange(e)
 }
 
 func (d *Daemon) listen() error {
@@ -235,7 +235,7 @@
 			return process.ServeHTTP(ctx, d.ready, d.config.ReadyHandler(d.isReady))
 		}},
 		process.Service{Name: "sweep", Run: d.sweep},
-		process.Service{Name: "suspensions", Run: d.process.NoteSuspensions},
+		process.Service{Name: "suspensions", Run: d.process.LogSuspensions},
 	}
 	if d.exposed != nil {
 		out = append(out, process.Service{Name: "metrics", Run: d.serveMetrics})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -100,7 +100,7 @@
 // logPanic logs a panic of the attempt, ends its connection and returns its failure.
 func (a *attempt) logPanic(value any) *attemptError {
 	a.gateway.process.CountPanic("attempt")
-	if a.gateway.otherLines.Take(a.gateway.clock.Now()) {
+	if a.gateway.otherLines.Allow(a.gateway.clock.Now()) {
 		a.gateway.log.Error().Str("kind", "panic").Str("request", a.id).Str("target", a.target.ID).
 			Str("panic", fmt.Sprint(value)).Bytes("stack", process.Stack()).Msg("an attempt panicked")
 	}
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -18,7 +18,7 @@
 	if served {
 		limit = d.servedLines
 	}
-	if !limit.Take(d.clock.Now()) {
+	if !limit.Allow(d.clock.Now()) {
 		return nil
 	}
 	if served {
@@ -29,7 +29,7 @@
 
 // logDroppedLines tells how many lines were left out.
 func (d *Daemon) logDroppedLines() {
-	served, others := d.servedLines.LeftOut(), d.otherLines.LeftOut()
+	served, others := d.servedLines.TakeSuppressed(), d.otherLines.TakeSuppressed()
 	if served+others == 0 {
 		return
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -37,7 +37,7 @@
 
 func (d *Daemon) recordEnded(r isolation.BrokenRun) {
 	d.metrics.endedRuns.Inc()
-	if !d.otherLines.Take(d.clock.Now()) {
+	if !d.otherLines.Allow(d.clock.Now()) {
 		return
 	}
 	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.Crash.Request.String()).
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -192,7 +192,7 @@
 
 // logTarget tells that a target was lost or is back.
 func (d *Daemon) logTarget(change balance.Change, r balance.Report) {
-	if change == balance.Unchanged || !d.otherLines.Take(d.clock.Now()) {
+	if change == balance.Unchanged || !d.otherLines.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -304,7 +304,7 @@
 }
 
 func (d *Daemon) logLimit(c targetstatus.Change, request string) {
-	if !d.otherLines.Take(d.clock.Now()) {
+	if !d.otherLines.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "targetLimit").Str("target", c.Incarnation)
@@ -323,7 +323,7 @@
 
 func (d *Daemon) logLeaving(c targetstatus.Change, request string) {
 	d.metrics.targetsLeaving.Inc()
-	if !d.otherLines.Take(d.clock.Now()) {
+	if !d.otherLines.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation)
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -54,7 +54,7 @@
 		return
 	}
 	d.metrics.backOffs.Inc()
-	if d.otherLines.Take(now) {
+	if d.otherLines.Allow(now) {
 		d.log.Warn().Str("kind", "backOff").Str("target", a.target.ID).Str("targetZone", a.target.Zone).
 			Str("request", a.id).Dur("retryAfter", status.BackOff).Msg("target asked for a back-off")
 	}
@@ -75,7 +75,7 @@
 	d.balancing.Unlock()
 	for _, e := range ended {
 		d.metrics.backOffSkips.Add(float64(e.Skipped))
-		if d.otherLines.Take(now) {
+		if d.otherLines.Allow(now) {
 			d.log.Info().Str("kind", "backOff").Str("target", e.TargetID).Int("skipped", e.Skipped).Msg("back-off ended")
 		}
 	}
@@ -90,7 +90,7 @@
 
 // logUnread logs headers of a target that could not be read; the answer counts as without.
 func (d *Daemon) logUnread(a *attempt, headers []string) {
-	if d.otherLines.Take(d.clock.Now()) {
+	if d.otherLines.Allow(d.clock.Now()) {
 		d.log.Warn().Str("kind", "unreadHeaders").Str("target", a.target.ID).Str("request", a.id).Strs("headers", headers).
 			Msg("headers of a target can't be read")
 	}
--- a/internal/process/linelimit.go
+++ b/internal/process/linelimit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// LineLimit bounds the log lines of one kind: what goes beyond it is counted.
-type LineLimit struct {
+// LineLimiter bounds the log lines of one kind: what goes beyond it is counted.
+type LineLimiter struct {
 	rate   float64
 	mu     sync.Mutex
 	tokens float64
@@ -14,13 +14,13 @@
 	left   uint64
 }
 
-// NewLineLimit returns a limit of a number of lines a second, and as many at once.
-func NewLineLimit(rate float64) *LineLimit {
-	return &LineLimit{rate: rate, tokens: rate}
+// NewLineLimiter returns a limit of a number of lines a second, and as many at once.
+func NewLineLimiter(rate float64) *LineLimiter {
+	return &LineLimiter{rate: rate, tokens: rate}
 }
 
-// Take reports whether a line may be written.
-func (l *LineLimit) Take(now time.Time) bool {
+// Allow reports whether a line may be written.
+func (l *LineLimiter) Allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tokens = min(l.tokens+l.rate*now.Sub(l.at).Seconds(), l.rate)
@@ -33,8 +33,8 @@
 	return true
 }
 
-// LeftOut returns how many lines were left out since the last call.
-func (l *LineLimit) LeftOut() uint64 {
+// TakeSuppressed returns how many lines were left out since the last call.
+func (l *LineLimiter) TakeSuppressed() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.left
--- a/internal/process/panics.go
+++ b/internal/process/panics.go
@@ -19,7 +19,7 @@
 // goroutine, which recovers it.
 func (p *Process) RecordPanic(part, request string, value any) {
 	p.CountPanic(part)
-	if !p.panicLines.Take(p.Time.Now()) {
+	if !p.panicLines.Allow(p.BootClock.Now()) {
 		return
 	}
 	p.Log.Error().Str("kind", "panic").Str("part", part).Str("request", request).
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -44,13 +44,13 @@
 	Log         zerolog.Logger
 	Metrics     *prometheus.Registry
 	Clock       *timeline.Clock
-	// Time tells spans of time; nil for the machine at hand.
-	Time   *boottime.Clock
-	Ring   *timeline.Ring
-	events *prometheus.CounterVec
-	panics *prometheus.CounterVec
+	// BootClock tells spans of time; nil for the machine at hand.
+	BootClock *boottime.Clock
+	Ring      *timeline.Ring
+	events    *prometheus.CounterVec
+	panics    *prometheus.CounterVec
 	// panicLines bounds the log lines of panics.
-	panicLines *LineLimit
+	panicLines *LineLimiter
 	file       *eventFile
 }
 
@@ -71,7 +71,7 @@
 	}, []string{"kind"})
 	p.Metrics.MustRegister(p.events)
 	p.panics = p.Counter("panics_total", "Panics that ended one request, by the part of the process.", "part")
-	p.panicLines = NewLineLimit(panicLines)
+	p.panicLines = NewLineLimiter(panicLines)
 	var sink func(*wire.TimelineEvent)
 	if folder != "" {
 		f, err := openEventFile(filepath.Join(folder, timelineName))
@@ -97,15 +97,15 @@
 	p.Ring.Add(e)
 }
 
-// StateChange adds an event and a line to the log.
-func (p *Process) StateChange(e *wire.TimelineEvent) {
+// RecordStateChange adds an event and a line to the log.
+func (p *Process) RecordStateChange(e *wire.TimelineEvent) {
 	p.Event(e)
 	p.Log.Info().Str("kind", e.Kind).Str("box", e.Box).Str("change", e.Change).Str("shift", e.Shift).Msg(e.Detail)
 }
 
-// LinkRefused notes that another process was refused for its certificate.
-func (p *Process) LinkRefused(remote string, err error) {
-	p.StateChange(&wire.TimelineEvent{Kind: "linkRefused", Detail: "from " + remote + ": " + err.Error()})
+// RecordRefusedLink notes that another process was refused for its certificate.
+func (p *Process) RecordRefusedLink(remote string, err error) {
+	p.RecordStateChange(&wire.TimelineEvent{Kind: "linkRefused", Detail: "from " + remote + ": " + err.Error()})
 }
 
 // Counter returns a registered counter.
--- a/internal/process/suspensions.go
+++ b/internal/process/suspensions.go
@@ -9,18 +9,18 @@
 // for people only: decisions go by a clock that counts suspensions at once.
 const suspensionInterval = time.Second
 
-// NoteSuspensions logs each suspension of the machine until the context ends.
-func (p *Process) NoteSuspensions(ctx context.Context) error {
+// LogSuspensions logs each suspension of the machine until the context ends.
+func (p *Process) LogSuspensions(ctx context.Context) error {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
-	known := p.Time.Suspended()
+	known := p.BootClock.Suspended()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if all := p.Time.Suspended(); all > known {
+		if all := p.BootClock.Suspended(); all > known {
 			p.Log.Warn().Str("kind", "suspended").Dur("took", all-known).Dur("inAll", all).Msg("the machine was suspended")
 			known = all
 		}
--- a/internal/process/suspensions_test.go
+++ b/internal/process/suspensions_test.go
@@ -26,7 +26,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- p.NoteSuspensions(ctx) }()
+		go func() { ended <- p.LogSuspensions(ctx) }()
 		time.Sleep(3 * time.Second)
 		asleep.Store(int64(5 * time.Second))
 		time.Sleep(3 * time.Second)
