--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -223,7 +223,7 @@
 	for _, e := range quarantine.EntriesOf(state.Quarantined()) {
 		out = append(out, operator.Quarantined{
 			Digest: e.Request.String(), AllCallers: e.Caller == quarantine.AnyCaller, Held: e.Held, Route: e.Route, Service: e.Service,
-			EndedTargets: e.Lives, UntilUnixMilli: e.Until.UnixMilli(),
+			CrashedTargets: e.Lives, UntilUnixMilli: e.Until.UnixMilli(),
 		})
 	}
 	_ = c.JSON(out) // the client sees a broken answer
--- a/internal/operator/catalog.go
+++ b/internal/operator/catalog.go
@@ -14,12 +14,12 @@
 	Software string `json:"software,omitempty"`
 	Slots    uint32 `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// ColdMillis is how much longer the target stays cold, as of its last word.
-	ColdMillis int64 `json:"coldMillis,omitempty"`
+	// WarmupMillis is how much longer the target stays cold, as of its last word.
+	WarmupMillis int64 `json:"coldMillis,omitempty"`
 	// Sequence grows with every word of the target.
 	Sequence uint64 `json:"sequence"`
-	// BornMillis is when the target started, in Unix milliseconds; 0 if not told.
-	BornMillis int64 `json:"bornMillis,omitempty"`
+	// StartedMillis is when the target started, in Unix milliseconds; 0 if not told.
+	StartedMillis int64 `json:"bornMillis,omitempty"`
 	// Leaving tells that the target said in an answer that it leaves.
 	Leaving bool `json:"leaving,omitempty"`
 	// Limit is set while the target names how much it takes from all boxes together.
@@ -30,10 +30,10 @@
 // the target first named one. Three replicas issue for a target.
 type TargetLimit struct {
 	PerSecond float64 `json:"perSecond"`
-	// SaidAgoMillis is how long ago a change of it was heard of.
-	SaidAgoMillis int64  `json:"saidAgoMillis"`
-	Issued        uint64 `json:"issued"`
-	RefusedAsks   uint64 `json:"refusedAsks"`
+	// ReportedAgoMillis is how long ago a change of it was heard of.
+	ReportedAgoMillis int64  `json:"saidAgoMillis"`
+	Issued            uint64 `json:"issued"`
+	DeniedRequests    uint64 `json:"refusedAsks"`
 }
 
 // Evacuations are the zones whose targets get nothing.
@@ -63,24 +63,24 @@
 	Burst     float64 `json:"burst"`
 	// IssuedPerSecond are the permits of the last window that is over, and
 	// RefusedPerSecond the asks of boxes that got none, over all replicas.
-	IssuedPerSecond  float64 `json:"issuedPerSecond"`
-	RefusedPerSecond float64 `json:"refusedPerSecond"`
+	IssuedPerSecond float64 `json:"issuedPerSecond"`
+	DeniedPerSecond float64 `json:"refusedPerSecond"`
 	// Issued and Refused count them since the replicas' starts.
-	Issued  uint64          `json:"issued"`
-	Refused uint64          `json:"refused"`
-	Parts   []WorkspacePart `json:"parts"`
+	Issued uint64           `json:"issued"`
+	Denied uint64           `json:"refused"`
+	Shares []WorkspaceShare `json:"parts"`
 }
 
-// WorkspacePart is what one replica holds of a limit.
-type WorkspacePart struct {
+// WorkspaceShare is what one replica holds of a limit.
+type WorkspaceShare struct {
 	Replica string `json:"replica"`
 	// Number is that of the document of routes whose limits the replica goes by, and
 	// AgeMillis how long ago it heard of a leader.
 	Number    uint64 `json:"number"`
 	AgeMillis int64  `json:"ageMillis"`
 	// PerSecond is its part, and Room what it could issue at once now.
-	PerSecond        float64 `json:"perSecond"`
-	Room             float64 `json:"room"`
-	IssuedPerSecond  float64 `json:"issuedPerSecond"`
-	RefusedPerSecond float64 `json:"refusedPerSecond"`
+	PerSecond       float64 `json:"perSecond"`
+	Available       float64 `json:"room"`
+	IssuedPerSecond float64 `json:"issuedPerSecond"`
+	DeniedPerSecond float64 `json:"refusedPerSecond"`
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -116,7 +116,7 @@
 		return false
 	}
 	switch f.Failure.Code {
-	case CodeNotLeader, CodeNoQuorum, CodeNotKnown:
+	case CodeNotLeader, CodeNoQuorum, CodeOutcomeUnknown:
 		return false
 	}
 	return true
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -34,11 +34,11 @@
 
 // Verdict is the answer to a change.
 type Verdict struct {
-	ID      string   `json:"id"`
-	Verdict string   `json:"verdict"`
-	Version uint64   `json:"version"`
-	Clashes []string `json:"clashes,omitempty"`
-	Detail  string   `json:"detail,omitempty"`
+	ID        string   `json:"id"`
+	Verdict   string   `json:"verdict"`
+	Version   uint64   `json:"version"`
+	Conflicts []string `json:"clashes,omitempty"`
+	Detail    string   `json:"detail,omitempty"`
 }
 
 // Setting is one key set at one path.
@@ -93,7 +93,7 @@
 	SilentMillis int64  `json:"silentMillis"`
 	// LagMillis is for how long the box has lacked the present version.
 	LagMillis int64  `json:"lagMillis"`
-	Seen      bool   `json:"seen"`
+	Reported  bool   `json:"seen"`
 	Stopping  bool   `json:"stopping,omitempty"`
 	Pools     []Pool `json:"pools,omitempty"`
 }
@@ -110,18 +110,18 @@
 // Status is what a control replica knows of the system. NeedsAttention lists
 // what a person should look at, worst first; it is empty when all is well.
 type Status struct {
-	NeedsAttention []string  `json:"needsAttention"`
-	Process        string    `json:"process"`
-	Role           string    `json:"role"`
-	Leader         string    `json:"leader"`
-	CutOff         bool      `json:"cutOff"`
-	Term           uint64    `json:"term"`
-	Commit         uint64    `json:"commit"`
-	Version        uint64    `json:"version"`
-	SettingsAt     uint64    `json:"settingsVersion"`
-	Replicas       []Replica `json:"replicas,omitempty"`
-	Repairs        []Repair  `json:"repairs,omitempty"`
-	Boxes          []Box     `json:"boxes"`
+	NeedsAttention  []string  `json:"needsAttention"`
+	Process         string    `json:"process"`
+	Role            string    `json:"role"`
+	Leader          string    `json:"leader"`
+	CutOff          bool      `json:"cutOff"`
+	Term            uint64    `json:"term"`
+	Commit          uint64    `json:"commit"`
+	Version         uint64    `json:"version"`
+	SettingsVersion uint64    `json:"settingsVersion"`
+	Replicas        []Replica `json:"replicas,omitempty"`
+	Repairs         []Repair  `json:"repairs,omitempty"`
+	Boxes           []Box     `json:"boxes"`
 }
 
 // Shift is a shift of traffic.
@@ -169,7 +169,7 @@
 	Held           bool     `json:"held"`
 	Route          string   `json:"route"`
 	Service        string   `json:"service"`
-	EndedTargets   []string `json:"endedTargets"`
+	CrashedTargets []string `json:"endedTargets"`
 	UntilUnixMilli int64    `json:"untilUnixMilli"`
 }
 
@@ -185,14 +185,14 @@
 
 // Codes of failures.
 const (
-	CodeNotLeader    = "notLeader"
-	CodeNoQuorum     = "noQuorum"
-	CodeBadRequest   = "badRequest"
-	CodeUnauthorized = "unauthorized"
-	CodeNotKnown     = "outcomeNotKnown"
-	CodeNotFound     = "notFound"
-	CodeConflict     = "conflict"
-	CodeInvalid      = "invalid"
+	CodeNotLeader      = "notLeader"
+	CodeNoQuorum       = "noQuorum"
+	CodeBadRequest     = "badRequest"
+	CodeUnauthorized   = "unauthorized"
+	CodeOutcomeUnknown = "outcomeNotKnown"
+	CodeNotFound       = "notFound"
+	CodeConflict       = "conflict"
+	CodeInvalid        = "invalid"
 )
 
 // ParseEdit reads an edit in the form "path key=value" or "path key" for one
