--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -12,7 +12,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// A subscriber is told at once of a limit that has changed, and of each change once.
+// A subscriber gets a changed limit at once, and each change once.
 func TestSubscribersAreToldOfLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -41,20 +41,20 @@
 			return u.Limits
 		}
 		if got := read(); len(got) != 0 {
-			t.Errorf("first %v", got)
+			t.Errorf("first update has limits %v, want none", got)
 		}
 		synctest.Wait()
 		began := time.Now()
 		changed = append(changed, &wire.TargetLimit{Life: "t", Limited: true, PerSecond: 5})
 		p.LimitsChanged()
 		if got := read(); len(got) != 1 || got[0].Life != "t" {
-			t.Errorf("told %v", got)
+			t.Errorf("got limits %v, want the changed one", got)
 		}
-		if took := time.Since(began); took > updateSpacing {
-			t.Errorf("told after %s", took)
+		if took := time.Since(began); took > minUpdateInterval {
+			t.Errorf("the limit was sent after %s", took)
 		}
-		if got := read(); len(got) != 0 { // with the next beat
-			t.Errorf("told again %v", got)
+		if got := read(); len(got) != 0 { // with the next heartbeat
+			t.Errorf("limits were sent again: %v", got)
 		}
 		cancel()
 		_ = subscriber.Close()
--- a/internal/relay/publishing_test.go
+++ b/internal/relay/publisher_test.go
@@ -14,8 +14,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Changes that come close together travel in few updates: the first at once,
-// the others after the spacing, and none is missing.
+// Changes in quick succession are sent in few updates: the first at once, the
+// others after the minimum interval, and none is lost.
 func TestUpdatesAreSpaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -35,7 +35,7 @@
 		}
 		joined := &wire.Update{}
 		if err := subscriber.Read(joined); err != nil || joined.Version != 0 {
-			t.Fatalf("first %v, %v", joined, err) // all changes are to come as commands
+			t.Fatalf("first update %v, %v", joined, err) // all changes must follow as commands
 		}
 		const changes = 100
 		began := time.Now()
@@ -57,11 +57,11 @@
 			updates++
 			got += len(u.Commands)
 		}
-		if most := changes*int(time.Millisecond)/int(updateSpacing) + 2; updates > most {
-			t.Errorf("%d updates for %d changes, want at most %d", updates, changes, most)
+		if maxUpdates := changes*int(time.Millisecond)/int(minUpdateInterval) + 2; updates > maxUpdates {
+			t.Errorf("%d updates for %d changes, want at most %d", updates, changes, maxUpdates)
 		}
-		if took := time.Since(began); took > changes*time.Millisecond+2*updateSpacing {
-			t.Errorf("the last change came after %s", took)
+		if took := time.Since(began); took > changes*time.Millisecond+2*minUpdateInterval {
+			t.Errorf("the last change was sent after %s", took)
 		}
 		cancel()
 		_ = subscriber.Close()
@@ -70,8 +70,8 @@
 	})
 }
 
-// A subscriber that asks with version 0 gets the whole state, also if all
-// commands are kept, and then what follows as commands.
+// A subscriber at version 0 gets the full state, even if all commands are still
+// kept, and then the following changes as commands.
 func TestSubscriptionWithoutAStateGetsTheWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -99,11 +99,11 @@
 		}
 		first, second := &wire.Update{}, &wire.Update{}
 		if err := subscriber.Read(first); err != nil || first.State == nil || first.Version != 1 {
-			t.Errorf("first %v, %v", first, err)
+			t.Errorf("first update %v, %v", first, err)
 		}
 		put("b")
 		if err := subscriber.Read(second); err != nil || len(second.Commands) != 1 || second.FromVersion != 1 {
-			t.Errorf("then %v, %v", second, err)
+			t.Errorf("second update %v, %v", second, err)
 		}
 		cancel()
 		_ = subscriber.Close()
@@ -112,48 +112,48 @@
 	})
 }
 
-// Put waits for nothing and keeps the order; Run ends with its context, and
-// nothing that waits then is published.
+// SetState does not block and keeps the order. Run ends with its context, and
+// drops pending states.
 func TestPublishingEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		state := steering.State{}
 		put := func(n int) {
 			for range n {
-				c := bulky(100 + int(state.Version()))
+				c := commandOfLength(100 + int(state.Version()))
 				state, _ = state.Apply(c)
 				p.SetState(state, []*wire.Command{c})
 			}
 		}
-		version := func() uint64 { return p.update(p.publisher.Update, 0).Version }
+		version := func() uint64 { return p.buildUpdate(p.publisher.Update, 0).Version }
 		put(100)
 		if v := version(); v != 0 {
-			t.Errorf("version %d is published without Run", v)
+			t.Errorf("version %d was published without Run", v)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ran := make(chan error, 1)
 		go func() { ran <- p.Run(ctx) }()
 		synctest.Wait()
-		if u := p.update(p.publisher.Update, 0); u.Version != 100 || len(u.Commands) != 100 {
-			t.Errorf("version %d with %d commands is published, want 100", u.Version, len(u.Commands))
+		if u := p.buildUpdate(p.publisher.Update, 0); u.Version != 100 || len(u.Commands) != 100 {
+			t.Errorf("version %d with %d commands was published, want 100", u.Version, len(u.Commands))
 		}
 		cancel()
 		if err := <-ran; !errors.Is(err, context.Canceled) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v", err)
 		}
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
 		put(100)
 		if err := p.Run(ended); !errors.Is(err, context.Canceled) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v", err)
 		}
-		if v := version(); v != 100 || len(p.waiting) != 0 {
-			t.Errorf("version %d, %d states wait after the end", v, len(p.waiting))
+		if v := version(); v != 100 || len(p.pending) != 0 {
+			t.Errorf("version %d, %d pending states after the end", v, len(p.pending))
 		}
 	})
 }
 
-// Guards against a publishing that starts again and tells an old version as fresh.
+// Guards against a publisher that announces an old version as current after Run was started again.
 func TestPublishingThatStartsAgainHasTheLatestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
@@ -162,13 +162,13 @@
 		p.SetState(state, []*wire.Command{c})
 		over, end := context.WithCancel(t.Context())
 		end()
-		_ = p.Run(over) // its context had ended
+		_ = p.Run(over) // returns at once: its context has ended
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- p.Run(ctx) }()
 		synctest.Wait()
-		if got := p.update(p.publisher.Update, 0).Version; got != state.Version() {
-			t.Errorf("published version %d of %d", got, state.Version())
+		if got := p.buildUpdate(p.publisher.Update, 0).Version; got != state.Version() {
+			t.Errorf("published version %d, want %d", got, state.Version())
 		}
 		cancel()
 		<-ended
--- a/internal/relay/reportfilter.go
+++ b/internal/relay/reportfilter.go
@@ -8,41 +8,41 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// RefreshInterval is how often a report that says nothing new is repeated.
+// RefreshInterval is how often a report without significant changes is repeated.
 const RefreshInterval = 5 * time.Second
 
-// loadChange is the part of a pool's capacity by which its load must differ to
-// be news.
-const loadChange = 10
+// loadChangeDivisor makes a change of a pool's load significant from a tenth of
+// its capacity on.
+const loadChangeDivisor = 10
 
-// ReportFilter leaves out reports that the upstream already has. It is a state
+// ReportFilter drops reports that the upstream already has. It is a state
 // machine without I/O.
 type ReportFilter struct {
 	sent map[string]sentReport
 }
 
 type sentReport struct {
-	report *wire.BoxReport
-	made   time.Time
-	sentAt time.Time
+	report    *wire.BoxReport
+	createdAt time.Time
+	sentAt    time.Time
 }
 
-// NewReportFilter returns a filter for an upstream that has nothing.
+// NewReportFilter returns a filter for an upstream that has no reports yet.
 func NewReportFilter() *ReportFilter { return &ReportFilter{sent: make(map[string]sentReport)} }
 
-// Filter returns the reports that are to be sent at now: those with news, and
-// those last sent a refresh interval ago. A report that is no newer than the
-// one that was sent is never repeated, so that a silent box is seen to be
-// silent. If eager is true, as while a shift runs, every newer report is sent.
+// Filter returns the reports to send at now: those that changed significantly,
+// and those last sent a refresh interval ago. A report that is no newer than the
+// one sent before is never repeated, so that the upstream notices a silent box.
+// If eager is set, as during a shift, every newer report is sent.
 func (f *ReportFilter) Filter(now time.Time, reports []*wire.BoxReport, eager bool) []*wire.BoxReport {
 	var out []*wire.BoxReport
 	for _, r := range reports {
 		made := now.Add(-time.Duration(r.AgeMilli) * time.Millisecond)
 		last, ok := f.sent[r.Box]
-		if ok && !made.After(last.made) {
+		if ok && !made.After(last.createdAt) {
 			continue
 		}
-		if ok && !eager && now.Sub(last.sentAt) < RefreshInterval && !isNews(last.report, r) {
+		if ok && !eager && now.Sub(last.sentAt) < RefreshInterval && !isSignificant(last.report, r) {
 			continue
 		}
 		f.sent[r.Box] = sentReport{proto.CloneOf(r), made, now}
@@ -51,8 +51,8 @@
 	return out
 }
 
-// isNews reports whether a report says something else than the one before.
-func isNews(a, b *wire.BoxReport) bool {
+// isSignificant reports whether a report differs enough from the one sent before.
+func isSignificant(a, b *wire.BoxReport) bool {
 	same := a.Incarnation == b.Incarnation && a.Version == b.Version && a.Stopping == b.Stopping && len(a.Pools) == len(b.Pools)
 	if !same {
 		return true
@@ -63,7 +63,7 @@
 			return true
 		}
 		change := max(p.Busy, q.Busy) - min(p.Busy, q.Busy)
-		if change*loadChange > max(p.Capacity, loadChange) {
+		if change*loadChangeDivisor > max(p.Capacity, loadChangeDivisor) {
 			return true
 		}
 	}
--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -10,7 +10,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against word of control, and reports of boxes, that do not age in a suspension.
+// Guards against a control age, and an age of reports, that do not grow while the machine is suspended.
 func TestWordAndReportsAgeInASuspension(t *testing.T) {
 	const length = 5 * time.Second
 	followPair(t, func(t *testing.T, p *replicaPair, _ <-chan uint64) {
@@ -19,13 +19,13 @@
 		time.Sleep(3 * heartbeatInterval)
 		publishing := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		publishing.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: "b"}}})
-		before := p.following.ControlAge()
+		before := p.follower.ControlAge()
 		asleep.Add(int64(length))
-		if age := p.following.ControlAge(); age < before+length {
-			t.Errorf("word of control that was %s old is %s old after a suspension of %s", before, age, length)
+		if age := p.follower.ControlAge(); age < before+length {
+			t.Errorf("control age was %s before a suspension of %s and is %s after it", before, length, age)
 		}
 		if n := len(publishing.RecentReports(length - time.Second)); n != 0 {
-			t.Errorf("a report counts as fresh %s after it came", length)
+			t.Errorf("a report counts as recent %s after it was received", length)
 		}
 	})
 }
