--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -1,6 +1,6 @@
-// Package isolation hosts at an entry box what package quarantine decides: it finds out
-// whether targets whose connections broke have ended, keeps requests under which they did
-// from targets, and tells control.
+// Package isolation runs the decisions of package quarantine at an entry box or
+// gateway: it finds out whether targets whose connections broke have crashed, keeps
+// the requests that crashed them from other targets, and sends evidence to control.
 package isolation
 
 import (
@@ -18,69 +18,69 @@
 )
 
 const (
-	// lookPause is between the two looks at a target that broke a connection. A full
-	// target resets new connections for a moment; one that has ended refuses them until
-	// it starts again, which takes it seconds.
-	lookPause = 100 * time.Millisecond
-	// maxBroken bounds the broken runs that wait to be looked at, and maxLooks the targets
-	// looked at at once: more break together only where the network does.
-	maxBroken = 256
-	maxLooks  = 64
+	// probeInterval is the time between the two connection attempts of a probe. A
+	// target that is full resets new connections for a moment; one that has crashed
+	// refuses them until it has restarted, which takes seconds.
+	probeInterval = 100 * time.Millisecond
+	// maxBrokenRuns bounds the queue of broken runs, and maxProbes the concurrent
+	// probes. More connections break together only when the network fails.
+	maxBrokenRuns = 256
+	maxProbes     = 64
 )
 
 // BrokenRun is a run whose connection broke after the request was sent.
 type BrokenRun struct {
+	// Crash describes the run; it counts only if a probe finds that the target crashed.
 	Crash quarantine.End
-	// Address is that of the target, and Request the id of the request.
+	// Address is that of the target, and Request the ID of the request.
 	Address string
 	Request string
 }
 
-// ProbeResult is what a look at a target gave: that it has ended, that it serves, or why that is
-// not known.
+// ProbeResult tells whether a target crashed or serves, or why that could not be found out.
 type ProbeResult struct {
 	Incarnation string
 	Crashed     bool
 	Err         error
 }
 
-// String returns what was found, as it stands in metrics.
-func (l ProbeResult) String() string {
+// String returns the result as a metric label.
+func (r ProbeResult) String() string {
 	switch {
-	case l.Crashed:
+	case r.Crashed:
 		return "ended"
-	case l.Err != nil:
+	case r.Err != nil:
 		return "unknown"
 	}
 	return "serves"
 }
 
-// Config is what an Isolation needs of its box.
+// Config configures an Isolation.
 type Config struct {
-	// Clock is that of the box's machine; nil for the one at hand.
+	// Clock is the clock of the box's machine; nil for that of the local machine.
 	Clock *boottime.Clock
 	// Dial opens a connection to a target.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// DialTimeout bounds it.
+	// DialTimeout bounds each call of Dial.
 	DialTimeout time.Duration
-	// Leaving tells targets that end as planned.
-	Leaving func(life string) bool
-	// Replicas are the control replicas, and Tell hands evidence to one of them.
+	// Leaving reports whether a target is shutting down as planned.
+	Leaving func(incarnation string) bool
+	// Replicas returns the control replicas, and SendEvidence sends evidence to one.
 	Replicas     func() []string
 	SendEvidence func(ctx context.Context, address string, e *wire.Evidence) error
-	// OnCrash and Looked are told of what was found out, for log and metrics.
+	// OnCrash and OnProbe are called with each result, for logs and metrics.
 	OnCrash func(BrokenRun)
 	OnProbe func(ProbeResult)
 }
 
-// Isolation keeps requests from targets that end each target that runs them. It is safe
-// for concurrent use; Run must be running for it to learn anything by itself.
+// Isolation keeps requests that crash the targets that run them from further targets.
+// It is safe for concurrent use. It gathers its own evidence only while Run is running.
 type Isolation struct {
 	config Config
 	broken chan BrokenRun
-	// due holds a token when there is evidence to tell.
-	due chan struct{}
-	// idle tells that nothing is known of any request.
+	// evidenceDue holds a token when there is evidence to send.
+	evidenceDue chan struct{}
+	// idle is set while there is no evidence about any request.
 	idle atomic.Bool
 
 	mu     sync.Mutex
@@ -88,83 +88,83 @@
 	outbox *quarantine.Outbox
 }
 
-// New returns an isolation that knows of nothing.
+// New returns an isolation without evidence.
 func New(c Config) *Isolation {
 	i := &Isolation{
-		config: c, guard: quarantine.NewGuard(), outbox: quarantine.NewOutbox(), broken: make(chan BrokenRun, maxBroken), due: make(chan struct{}, 1),
+		config: c, guard: quarantine.NewGuard(), outbox: quarantine.NewOutbox(), broken: make(chan BrokenRun, maxBrokenRuns), evidenceDue: make(chan struct{}, 1),
 	}
 	i.idle.Store(true)
 	return i
 }
 
-// IsIdle reports whether nothing is known of any request, so that none needs a digest.
+// IsIdle reports whether there is no evidence about any request, so that no digest is needed.
 func (i *Isolation) IsIdle() bool { return i.idle.Load() }
 
-// toldReplica tells that a call to a replica has ended.
-type toldReplica struct {
+// sendResult is the result of a call that sent evidence to a replica.
+type sendResult struct {
 	address string
 	err     error
 }
 
-// loop is the state of the loop: the runs whose targets are looked at, and what
-// goroutines report.
+// loop is the state of Run: the broken runs by the target that is probed for them, and
+// the results of its goroutines.
 type loop struct {
 	pending map[string][]BrokenRun
-	looks   chan ProbeResult
-	told    chan toldReplica
+	probes  chan ProbeResult
+	sent    chan sendResult
 	running sync.WaitGroup
 }
 
-// Run finds out which targets have ended, and tells control, until the context ends.
+// Run probes targets and sends evidence to control until the context ends.
 func (i *Isolation) Run(ctx context.Context) error {
-	l := &loop{pending: make(map[string][]BrokenRun), looks: make(chan ProbeResult), told: make(chan toldReplica)}
+	l := &loop{pending: make(map[string][]BrokenRun), probes: make(chan ProbeResult), sent: make(chan sendResult)}
 	defer l.running.Wait()
-	forget := time.NewTicker(quarantine.Memory / 10)
-	defer forget.Stop()
-	tell := time.NewTimer(0)
-	defer tell.Stop()
+	expire := time.NewTicker(quarantine.Memory / 10)
+	defer expire.Stop()
+	send := time.NewTimer(0)
+	defer send.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case r := <-i.broken:
-			i.lookAt(ctx, l, r)
-		case done := <-l.looks:
-			i.take(done, l.pending[done.Incarnation])
-			delete(l.pending, done.Incarnation)
-		case <-i.due:
-			tell.Reset(i.tellDue(ctx, l))
-		case <-tell.C:
-			tell.Reset(i.tellDue(ctx, l))
-		case t := <-l.told:
+			i.startProbe(ctx, l, r)
+		case result := <-l.probes:
+			i.handleProbe(result, l.pending[result.Incarnation])
+			delete(l.pending, result.Incarnation)
+		case <-i.evidenceDue:
+			send.Reset(i.sendDue(ctx, l))
+		case <-send.C:
+			send.Reset(i.sendDue(ctx, l))
+		case s := <-l.sent:
 			i.mu.Lock()
-			i.outbox.Ended(i.config.Clock.Now(), t.address, t.err == nil)
+			i.outbox.Ended(i.config.Clock.Now(), s.address, s.err == nil)
 			i.mu.Unlock()
-			tell.Reset(i.tellDue(ctx, l))
-		case <-forget.C:
-			i.forget(i.config.Clock.Now())
+			send.Reset(i.sendDue(ctx, l))
+		case <-expire.C:
+			i.removeExpired(i.config.Clock.Now())
 		}
 	}
 }
 
-// lookAt has a target looked at whose connection broke; one look serves all runs there.
-func (i *Isolation) lookAt(ctx context.Context, l *loop, r BrokenRun) {
-	life := r.Crash.Life
-	if len(l.pending[life]) == 0 {
-		if len(l.pending) >= maxLooks {
+// startProbe probes the target of a broken run. One probe serves all broken runs of a target.
+func (i *Isolation) startProbe(ctx context.Context, l *loop, r BrokenRun) {
+	incarnation := r.Crash.Life
+	if len(l.pending[incarnation]) == 0 {
+		if len(l.pending) >= maxProbes {
 			return
 		}
-		l.running.Go(func() { report(ctx, l.looks, i.look(ctx, life, r.Address)) })
+		l.running.Go(func() { deliver(ctx, l.probes, i.probe(ctx, incarnation, r.Address)) })
 	}
-	l.pending[life] = append(l.pending[life], r)
+	l.pending[incarnation] = append(l.pending[incarnation], r)
 }
 
-// tellInterval is when it is looked at the latest whether there is something to tell:
-// replicas that are new are told what is known.
-const tellInterval = time.Minute
+// maxSendInterval is the maximum time between two checks for evidence to send: new
+// replicas are sent all that is known.
+const maxSendInterval = time.Minute
 
-// tellDue tells the replicas what they lack and returns when to look again.
-func (i *Isolation) tellDue(ctx context.Context, l *loop) time.Duration {
+// sendDue sends the replicas the evidence they lack and returns when to check again.
+func (i *Isolation) sendDue(ctx context.Context, l *loop) time.Duration {
 	now := i.config.Clock.Now()
 	replicas := i.config.Replicas()
 	i.mu.Lock()
@@ -173,17 +173,17 @@
 	next := i.outbox.Next()
 	i.mu.Unlock()
 	for _, b := range batches {
-		e := evidence(now, b.Items)
-		l.running.Go(func() { report(ctx, l.told, toldReplica{b.Address, i.config.SendEvidence(ctx, b.Address, e)}) })
+		e := encodeEvidence(now, b.Items)
+		l.running.Go(func() { deliver(ctx, l.sent, sendResult{b.Address, i.config.SendEvidence(ctx, b.Address, e)}) })
 	}
 	if next.IsZero() {
-		return tellInterval
+		return maxSendInterval
 	}
 	return max(i.config.Clock.Until(next), 0)
 }
 
-// evidence returns items as a message.
-func evidence(now time.Time, items []quarantine.Item) *wire.Evidence {
+// encodeEvidence encodes items as a message.
+func encodeEvidence(now time.Time, items []quarantine.Item) *wire.Evidence {
 	out := &wire.Evidence{}
 	for _, i := range items {
 		if e := i.End; e != nil {
@@ -199,38 +199,38 @@
 	return out
 }
 
-// report sends what a goroutine has come to, unless its owner has gone.
-func report[T any](ctx context.Context, out chan<- T, result T) {
+// deliver sends the result of a goroutine, unless the context has ended.
+func deliver[T any](ctx context.Context, out chan<- T, result T) {
 	select {
 	case out <- result:
 	case <-ctx.Done():
 	}
 }
 
-// look finds out whether a target has ended: it refuses connections twice.
-func (i *Isolation) look(ctx context.Context, life, address string) ProbeResult {
-	if i.config.Leaving(life) {
-		return ProbeResult{Incarnation: life}
+// probe reports a target as crashed if it refuses connections twice.
+func (i *Isolation) probe(ctx context.Context, incarnation, address string) ProbeResult {
+	if i.config.Leaving(incarnation) {
+		return ProbeResult{Incarnation: incarnation}
 	}
 	for n := range 2 {
 		if n > 0 {
-			pause(ctx, lookPause)
+			sleep(ctx, probeInterval)
 		}
 		dialing, cancel := context.WithTimeout(ctx, i.config.DialTimeout)
 		c, err := i.config.Dial(dialing, address)
 		cancel()
 		if err == nil {
 			_ = c.Close() // nothing was sent on it
-			return ProbeResult{Incarnation: life}
+			return ProbeResult{Incarnation: incarnation}
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) {
-			return ProbeResult{Incarnation: life, Err: err}
+			return ProbeResult{Incarnation: incarnation, Err: err}
 		}
 	}
-	return ProbeResult{Incarnation: life, Crashed: !i.config.Leaving(life)}
+	return ProbeResult{Incarnation: incarnation, Crashed: !i.config.Leaving(incarnation)}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -239,59 +239,59 @@
 	}
 }
 
-// take takes what a look at a target gave for the runs that broke there.
-func (i *Isolation) take(l ProbeResult, runs []BrokenRun) {
-	i.config.OnProbe(l)
-	if !l.Crashed {
+// handleProbe records the broken runs of a target as crashes if it has crashed.
+func (i *Isolation) handleProbe(result ProbeResult, runs []BrokenRun) {
+	i.config.OnProbe(result)
+	if !result.Crashed {
 		return
 	}
 	now := i.config.Clock.Now()
 	for _, r := range runs {
 		i.mu.Lock()
-		news := i.guard.Ended(now, r.Crash)
+		isNew := i.guard.Ended(now, r.Crash)
 		i.idle.Store(i.guard.IsIdle())
-		if news {
+		if isNew {
 			i.outbox.Add(now, quarantine.Item{End: &r.Crash})
 		}
 		i.mu.Unlock()
-		if news {
+		if isNew {
 			i.config.OnCrash(r)
 		}
 	}
-	i.wake()
+	i.notifySender()
 }
 
-// ConnectionBroke takes a run whose connection broke after the request was sent.
+// ConnectionBroke queues a run for a probe of its target.
 func (i *Isolation) ConnectionBroke(r BrokenRun) {
 	select {
 	case i.broken <- r:
-	default: // where so many break at once the network does
+	default: // so many connections break at once only when the network fails
 	}
 }
 
-// RecordAnswer takes a whole answer to a request.
+// RecordAnswer records that a request was answered in full.
 func (i *Isolation) RecordAnswer(d quarantine.Digest, c quarantine.Caller) {
 	now := i.config.Clock.Now()
 	i.mu.Lock()
-	tell := i.guard.Answered(now, d, c)
-	if tell {
+	isNew := i.guard.Answered(now, d, c)
+	if isNew {
 		i.outbox.Add(now, quarantine.Item{Answer: &quarantine.Answer{Request: d, Caller: c, At: now}})
 	}
 	i.idle.Store(i.guard.IsIdle())
 	i.mu.Unlock()
-	if tell {
-		i.wake()
+	if isNew {
+		i.notifySender()
 	}
 }
 
-func (i *Isolation) wake() {
+func (i *Isolation) notifySender() {
 	select {
-	case i.due <- struct{}{}:
+	case i.evidenceDue <- struct{}{}:
 	default:
 	}
 }
 
-// SetList takes the requests that control has watched or held.
+// SetList sets the requests that control has put on probation or quarantined.
 func (i *Isolation) SetList(list []quarantine.Entry) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -299,39 +299,39 @@
 	i.idle.Store(i.guard.IsIdle())
 }
 
-func (i *Isolation) forget(now time.Time) {
+func (i *Isolation) removeExpired(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.guard.Forget(now)
 	i.idle.Store(i.guard.IsIdle())
 }
 
-// SuspectCount returns how many requests the box itself has evidence against.
+// SuspectCount returns the number of requests that this box itself has evidence against.
 func (i *Isolation) SuspectCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.guard.Suspects()
 }
 
-// Admit decides on a request that arrives. One that is let in on probation must be
-// finished by Finish.
+// Admit decides on a request that arrives. One admitted on probation must be passed to
+// Finish.
 func (i *Isolation) Admit(d quarantine.Digest, c quarantine.Caller) quarantine.Verdict {
-	now, wall := i.config.Clock.Now(), time.Now() // time of day: the list tells by it until when it holds
+	now, wall := i.config.Clock.Now(), time.Now() // time of day: entries of the list expire by it
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.guard.Admit(now, wall, d, c)
 }
 
-// Finish ends a request that was let in on probation.
+// Finish ends a request that was admitted on probation.
 func (i *Isolation) Finish(d quarantine.Digest) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.guard.Finish(d)
 }
 
-// MayRetry reports whether a further target may get a request that has been let in.
+// MayRetry reports whether an admitted request may be sent to another target.
 func (i *Isolation) MayRetry(d quarantine.Digest, c quarantine.Caller) bool {
-	now, wall := i.config.Clock.Now(), time.Now() // time of day: the list tells by it until when it holds
+	now, wall := i.config.Clock.Now(), time.Now() // time of day: entries of the list expire by it
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.guard.MayRepeat(now, wall, d, c)
