--- a/internal/link/call_bench_test.go
+++ b/internal/link/call_bench_test.go
@@ -9,7 +9,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// BenchmarkCall is one call between two processes and its answer, both ends together.
+// BenchmarkCall measures one call and its answer, with both processes in this one.
 func BenchmarkCall(b *testing.B) {
 	clock := timeline.NewClock(time.Now)
 	server, err := Listen(TCP(), "127.0.0.1:0", Identity{Name: "server"}, clock, Handlers{
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -6,37 +6,37 @@
 	"sync"
 )
 
-// counted counts the bytes of a connection.
-type counted struct {
+// countingConn counts the bytes that a connection carries.
+type countingConn struct {
 	net.Conn
 	traffic *Traffic
 }
 
 // Read implements net.Conn.
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Sent.Add(uint64(n))
 	return n, err
 }
 
-// readAhead is a connection whose first bytes are already in a reader.
-type readAhead struct {
+// bufferedConn is a connection whose first bytes were already read into a buffer.
+type bufferedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
 // Read implements net.Conn.
-func (c *readAhead) Read(b []byte) (int, error) { return c.reader.Read(b) }
+func (c *bufferedConn) Read(b []byte) (int, error) { return c.reader.Read(b) }
 
-// StreamListener is a net.Listener fed with streams, so that a net/http server
-// can serve what other processes forward.
+// StreamListener is a net.Listener that accepts streams of a Node, so that a
+// net/http server can serve the requests that other processes forward.
 type StreamListener struct {
 	streams chan net.Conn
 	done    chan struct{}
@@ -44,12 +44,12 @@
 	address net.Addr
 }
 
-// NewStreamListener returns a listener that says it listens on an address.
+// NewStreamListener returns a listener with an address to report.
 func NewStreamListener(address net.Addr) *StreamListener {
 	return &StreamListener{streams: make(chan net.Conn), done: make(chan struct{}), address: address}
 }
 
-// Deliver hands a stream to the server.
+// Deliver hands a stream to Accept. It closes the stream if the listener is closed.
 func (l *StreamListener) Deliver(c net.Conn) {
 	select {
 	case l.streams <- c:
--- a/internal/link/dial.go
+++ b/internal/link/dial.go
@@ -10,11 +10,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// open opens a stream of a kind to the process at an address.
-func (n *Node) open(ctx context.Context, address string, kind wire.StreamHello_Kind) (net.Conn, *Messages, error) {
-	use := useControl
+// openStream opens a stream of a kind to the process at an address, and its session if needed.
+func (n *Node) openStream(ctx context.Context, address string, kind wire.StreamHello_Kind) (net.Conn, *Messages, error) {
+	use := controlSession
 	if kind == wire.StreamHello_KIND_FORWARD {
-		use = useForward
+		use = forwardSession
 	}
 	s, err := n.session(ctx, sessionKey{address, use})
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	d := n.sessions[key]
 	if d == nil {
-		d = newDialled()
+		d = newDialledSession()
 		n.sessions[key] = d
 	}
 	n.mu.Unlock()
@@ -58,10 +58,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := c.Write([]byte{byte(key.use)}); err != nil {
+	if _, err := c.Write([]byte{byte(key.kind)}); err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
-	s, err := openSession(&counted{Conn: c, traffic: n.traffic(key.use)}, true)
+	s, err := openSession(&countingConn{Conn: c, traffic: n.traffic(key.kind)}, true)
 	if err != nil {
 		return nil, errors.Join(err, c.Close())
 	}
@@ -75,7 +75,7 @@
 func (n *Node) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	c, err := dialRepeatedly(ctx, n.network.Dial, address)
+	c, err := dialStaggered(ctx, n.network.Dial, address)
 	if err != nil {
 		return nil, fmt.Errorf("reaching %s: %w", address, err)
 	}
@@ -96,13 +96,13 @@
 
 // Consensus opens a stream of consensus messages.
 func (n *Node) Consensus(ctx context.Context, address string) (*Messages, error) {
-	_, m, err := n.open(ctx, address, wire.StreamHello_KIND_CONSENSUS)
+	_, m, err := n.openStream(ctx, address, wire.StreamHello_KIND_CONSENSUS)
 	return m, err
 }
 
 // Subscribe opens a stream of updates and reports.
 func (n *Node) Subscribe(ctx context.Context, address string, s *wire.Subscribe) (*Messages, error) {
-	_, m, err := n.open(ctx, address, wire.StreamHello_KIND_SUBSCRIBE)
+	_, m, err := n.openStream(ctx, address, wire.StreamHello_KIND_SUBSCRIBE)
 	if err != nil {
 		return nil, err
 	}
@@ -112,21 +112,21 @@
 	return m, nil
 }
 
-// Permits opens a stream of requests for permits and their answers.
+// Permits opens a stream of permit requests and their answers.
 func (n *Node) Permits(ctx context.Context, address string) (*Messages, error) {
-	_, m, err := n.open(ctx, address, wire.StreamHello_KIND_PERMITS)
+	_, m, err := n.openStream(ctx, address, wire.StreamHello_KIND_PERMITS)
 	return m, err
 }
 
-// Call asks the process at an address one question.
+// Call sends one request to the process at an address and returns its answer.
 func (n *Node) Call(ctx context.Context, address string, request *wire.CallRequest) (*wire.CallAnswer, error) {
-	stream, m, err := n.open(ctx, address, wire.StreamHello_KIND_CALL)
+	stream, m, err := n.openStream(ctx, address, wire.StreamHello_KIND_CALL)
 	if err != nil {
 		return nil, err
 	}
 	defer m.Close()
 	if at, ok := ctx.Deadline(); ok { // steady clock: deadlines of connections go by it
-		_ = stream.SetDeadline(at) // one that has ended fails at the write
+		_ = stream.SetDeadline(at) // on a stream that has ended the write fails
 	}
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
 	defer stop()
@@ -145,7 +145,7 @@
 	return answer, nil
 }
 
-// RemoteError is an error that another process answered with.
+// RemoteError is an error that another process returned.
 type RemoteError struct {
 	Address string
 	Text    string
@@ -156,6 +156,6 @@
 
 // Forward opens a stream that carries HTTP to the process at an address.
 func (n *Node) Forward(ctx context.Context, address string) (net.Conn, error) {
-	c, _, err := n.open(ctx, address, wire.StreamHello_KIND_FORWARD)
+	c, _, err := n.openStream(ctx, address, wire.StreamHello_KIND_FORWARD)
 	return c, err
 }
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -1,5 +1,6 @@
-// Package link connects the processes of the system: one yamux session per
-// pair over TCP, and on its streams length-prefixed protobuf messages or HTTP.
+// Package link connects the processes of the system: one yamux session per pair
+// of processes over TCP, whose streams carry length-prefixed protobuf messages
+// or HTTP.
 package link
 
 import (
@@ -14,26 +15,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxMessage bounds one message; a snapshot of the largest tree fits.
-const maxMessage = 64 << 20
+// maxMessageBytes bounds one message; a snapshot of the largest tree fits.
+const maxMessageBytes = 64 << 20
 
-// mostWritten is how much of a message is written to its stream at once, in
-// bytes: 33 ms on a link of 4 Mbit/s. What else travels on the connection waits
-// behind so much of each stream, the reader sees a message grow by it, and it
-// must be written within writeTimeout, which 64 kbit/s are enough for.
-const mostWritten = 16 << 10
+// maxWriteBytes is how much of a message is written to its stream at once: 33 ms
+// on a link of 4 Mbit/s. It is what the other streams of the connection wait
+// for, the step in which the reader sees a message grow, and what must be
+// written within writeTimeout, for which 64 kbit/s suffice.
+const maxWriteBytes = 16 << 10
 
 const (
-	// readBuffer holds most messages of calls whole. Longer ones are read past it.
+	// readBuffer holds most messages of calls whole. Longer ones bypass it.
 	readBuffer = 512
-	// pooledWrite is the longest message whose buffer is kept for the next one, in
-	// bytes: those of calls and most updates.
-	pooledWrite = 4 << 10
+	// maxPooledBuffer is the largest write buffer that is reused: it holds the
+	// messages of calls and most updates.
+	maxPooledBuffer = 4 << 10
 )
 
-// writeBuffers are those of messages that were written: an entry box makes tens of calls a
-// second, and its collector stops it for tens of milliseconds each time where it has a small
-// part of a core.
+// writeBuffers reuses write buffers to reduce garbage: an entry box makes tens of calls a
+// second, and where it has a small part of a core each garbage collection stops it for tens
+// of milliseconds.
 var writeBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
 // Messages reads and writes protobuf messages on one stream. Write is safe for
@@ -41,46 +42,46 @@
 type Messages struct {
 	stream io.ReadWriteCloser
 	reader *bufio.Reader
-	// writing holds one token while a message is written.
-	writing chan struct{}
-	// failed is the first failure to write: after a part of a message nothing
-	// that follows could be read.
-	failed error
-	// arriving counts the bytes that have come since the last whole message.
-	arriving *atomic.Uint64
+	// writeLock holds a token while a message is written.
+	writeLock chan struct{}
+	// writeErr is the first write error. Nothing is written after it: the reader
+	// could not decode what follows a partial message.
+	writeErr error
+	// partialBytes counts the bytes received since the last complete message.
+	partialBytes *atomic.Uint64
 }
 
-// NewMessages returns the messages of a stream.
+// NewMessages returns a reader and writer of the messages on a stream.
 func NewMessages(stream io.ReadWriteCloser) *Messages {
 	arriving := &atomic.Uint64{}
 	return &Messages{
-		stream:   stream,
-		reader:   bufio.NewReaderSize(&arrivals{stream, arriving}, readBuffer),
-		writing:  make(chan struct{}, 1),
-		arriving: arriving,
+		stream:       stream,
+		reader:       bufio.NewReaderSize(&countingReader{stream, arriving}, readBuffer),
+		writeLock:    make(chan struct{}, 1),
+		partialBytes: arriving,
 	}
 }
 
-// arrivals counts what is read.
-type arrivals struct {
+// countingReader counts the bytes that are read.
+type countingReader struct {
 	io.Reader
-	bytes *atomic.Uint64
+	count *atomic.Uint64
 }
 
 // Read implements io.Reader.
-func (a *arrivals) Read(b []byte) (int, error) {
+func (a *countingReader) Read(b []byte) (int, error) {
 	n, err := a.Reader.Read(b)
-	a.bytes.Add(uint64(n))
+	a.count.Add(uint64(n))
 	return n, err
 }
 
-// parts hands what is written on in parts of at most mostWritten.
-type parts struct{ io.Writer }
+// chunkedWriter writes in chunks of at most maxWriteBytes.
+type chunkedWriter struct{ io.Writer }
 
 // Write implements io.Writer.
-func (p parts) Write(b []byte) (written int, err error) {
+func (p chunkedWriter) Write(b []byte) (written int, err error) {
 	for written < len(b) {
-		n, err := p.Writer.Write(b[written:min(written+mostWritten, len(b))])
+		n, err := p.Writer.Write(b[written:min(written+maxWriteBytes, len(b))])
 		written += n
 		if err != nil {
 			return written, err
@@ -89,33 +90,33 @@
 	return written, nil
 }
 
-// PartialBytes returns how many bytes of the next message have come so far; zero
-// if none is on its way. It is safe for concurrent use.
-func (m *Messages) PartialBytes() uint64 { return m.arriving.Load() }
+// PartialBytes returns how many bytes of the next message have been received. It
+// is safe for concurrent use.
+func (m *Messages) PartialBytes() uint64 { return m.partialBytes.Load() }
 
 // Read reads the next message.
 func (m *Messages) Read(into proto.Message) error {
-	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessage}).UnmarshalFrom(m.reader, into); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}).UnmarshalFrom(m.reader, into); err != nil {
 		return fmt.Errorf("reading a message: %w", err)
 	}
-	m.arriving.Store(0)
+	m.partialBytes.Store(0)
 	return nil
 }
 
 // Write writes one message.
 func (m *Messages) Write(message proto.Message) error {
-	m.writing <- struct{}{}
-	defer func() { <-m.writing }()
-	if m.failed == nil {
-		m.failed = m.write(message)
+	m.writeLock <- struct{}{}
+	defer func() { <-m.writeLock }()
+	if m.writeErr == nil {
+		m.writeErr = m.write(message)
 	}
-	return m.failed
+	return m.writeErr
 }
 
 func (m *Messages) write(message proto.Message) error {
 	buffer := writeBuffers.Get().(*[]byte)
 	defer func() {
-		if cap(*buffer) <= pooledWrite {
+		if cap(*buffer) <= maxPooledBuffer {
 			writeBuffers.Put(buffer)
 		}
 	}()
@@ -125,11 +126,11 @@
 		return fmt.Errorf("writing a message: %w", err)
 	}
 	*buffer = data
-	if _, err := (parts{m.stream}).Write(data); err != nil {
+	if _, err := (chunkedWriter{m.stream}).Write(data); err != nil {
 		return fmt.Errorf("writing a message: %w", err)
 	}
 	return nil
 }
 
-// Close ends the stream; a Read that waits returns.
+// Close closes the stream; a blocked Read returns.
 func (m *Messages) Close() error { return m.stream.Close() }
--- a/internal/link/linktest/linktest.go
+++ b/internal/link/linktest/linktest.go
@@ -1,7 +1,7 @@
-// Package linktest is a network of slow connections in memory for tests in
-// virtual time. It carries whole frames of yamux: a yamux stream holds a mutex
-// while it waits for the rest of a frame, and virtual time stands still while
-// anyone waits for that mutex.
+// Package linktest is an in-memory network of slow connections for tests in virtual
+// time. It delivers whole yamux frames: a yamux stream holds a mutex while it waits
+// for the rest of a frame, and virtual time does not advance while a goroutine is
+// blocked on a mutex.
 package linktest
 
 import (
@@ -15,50 +15,47 @@
 )
 
 const (
-	// frameHeader is the length of the header of a yamux frame; its last four
-	// bytes hold the length of the data that follows where its second byte,
-	// the type, is dataFrame.
+	// frameHeader is the length of a yamux frame's header. If the second byte, the
+	// type, is dataFrame, the last four hold the length of the data that follows.
 	frameHeader = 12
 	dataFrame   = 0
-	// mostFrames is how many frames may be on their way in one direction.
-	mostFrames = 1 << 16
+	// maxFrames bounds the frames in transit in one direction.
+	maxFrames = 1 << 16
 )
 
-// Network connects everyone who dials with the one who listens at the address.
+// Network connects clients with the listener at an address.
 type Network struct {
-	// DownBytesPerSecond is what all connections together carry towards those that
-	// dialled; SentPerSecond the other way, as fast as can be where it is zero.
+	// DownBytesPerSecond is the rate of all connections together towards the dialling
+	// ends, UpBytesPerSecond that of the other direction; zero for no limit.
 	DownBytesPerSecond int
 	UpBytesPerSecond   int
-	// SocketBuffer is how many bytes a write leaves behind that are not yet
-	// carried.
+	// SocketBuffer is how many bytes a write may leave untransmitted when it returns.
 	SocketBuffer int
-	// ExtraDelay returns how much later than it is carried the nth write towards
-	// one that dialled arrives, as after a loss; what follows it arrives after
-	// it. It may be nil.
+	// ExtraDelay returns the additional delay of the nth write towards a dialling end,
+	// as after a loss. Later data arrives after it. It may be nil.
 	ExtraDelay func(n int) time.Duration
 
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     []*Conn
-	down, up  road
+	down, up  sharedLink
 }
 
-// road is what the connections of a network share in one direction.
-type road struct {
-	mu   sync.Mutex
-	free time.Time
+// sharedLink is the capacity that the connections of a network share in one direction.
+type sharedLink struct {
+	mu        sync.Mutex
+	busyUntil time.Time
 }
 
-// carry returns when what takes some time has been carried.
-func (r *road) carry(takes time.Duration) time.Time {
+// transmit reserves the link for some time and returns when the transmission ends.
+func (r *sharedLink) transmit(duration time.Duration) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); r.free.Before(now) {
-		r.free = now
+	if now := time.Now(); r.busyUntil.Before(now) {
+		r.busyUntil = now
 	}
-	r.free = r.free.Add(takes)
-	return r.free
+	r.busyUntil = r.busyUntil.Add(duration)
+	return r.busyUntil
 }
 
 // Listen listens at an address.
@@ -73,7 +70,7 @@
 	return l, nil
 }
 
-// Dial connects with the listener at an address.
+// Dial connects to the listener at an address.
 func (n *Network) Dial(ctx context.Context, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
@@ -81,9 +78,9 @@
 	if l == nil {
 		return nil, net.ErrClosed
 	}
-	down, up := newLane(&n.down, n.DownBytesPerSecond, n.SocketBuffer), newLane(&n.up, n.UpBytesPerSecond, n.SocketBuffer)
-	down.lateBy = n.ExtraDelay
-	down.greeted = true // only the one that dials opens a link with a byte
+	down, up := newDirection(&n.down, n.DownBytesPerSecond, n.SocketBuffer), newDirection(&n.up, n.UpBytesPerSecond, n.SocketBuffer)
+	down.extraDelay = n.ExtraDelay
+	down.prefaced = true // only the dialling side sends a first byte
 	near, far := &Conn{in: down, out: up}, &Conn{in: up, out: down}
 	select {
 	case l.conns <- far:
@@ -98,7 +95,7 @@
 	return near, nil
 }
 
-// Dialled returns the dialling ends of all connections so far.
+// Dialled returns the dialling ends of all connections, in the order in which they were opened.
 func (n *Network) Dialled() []*Conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,59 +128,59 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return &net.UnixAddr{Name: l.address, Net: "memory"} }
 
-// lane is one direction of a connection.
-type lane struct {
-	road           *road
+// direction is one direction of a connection.
+type direction struct {
+	link           *sharedLink
 	bytesPerSecond int
 	socketBuffer   int
-	lateBy         func(n int) time.Duration
+	extraDelay     func(n int) time.Duration
 	frames         chan frame
 	closed         chan struct{}
 	once           sync.Once
-	silent         atomic.Bool
-	// What follows belongs to the writer: what is not yet a whole frame after
-	// the byte that opens a link.
-	greeted bool
-	pending []byte
-	writes  int
+	dropping       atomic.Bool
+	// The following belong to the writer. prefaced is set after the byte that opens a
+	// link; pending holds an incomplete frame.
+	prefaced bool
+	pending  []byte
+	writes   int
 }
 
 type frame struct {
-	at   time.Time
-	data []byte
+	arrivesAt time.Time
+	data      []byte
 }
 
-func newLane(r *road, bytesPerSecond, socketBuffer int) *lane {
-	return &lane{
-		road:           r,
+func newDirection(r *sharedLink, bytesPerSecond, socketBuffer int) *direction {
+	return &direction{
+		link:           r,
 		bytesPerSecond: bytesPerSecond,
 		socketBuffer:   socketBuffer,
-		frames:         make(chan frame, mostFrames),
+		frames:         make(chan frame, maxFrames),
 		closed:         make(chan struct{}),
 	}
 }
 
-// carries returns how long the lane takes for some bytes.
-func (l *lane) carries(bytes int) time.Duration {
+// transmitTime returns how long the transmission of a number of bytes takes.
+func (l *direction) transmitTime(bytes int) time.Duration {
 	if l.bytesPerSecond == 0 {
 		return 0
 	}
 	return time.Duration(float64(bytes) / float64(l.bytesPerSecond) * float64(time.Second))
 }
 
-// late returns how much later the next write arrives than it is carried.
-func (l *lane) late() time.Duration {
-	if l.lateBy == nil {
+// nextDelay returns the additional delay of the next write.
+func (l *direction) nextDelay() time.Duration {
+	if l.extraDelay == nil {
 		return 0
 	}
 	l.writes++
-	return l.lateBy(l.writes)
+	return l.extraDelay(l.writes)
 }
 
-func (l *lane) next() (length int, whole bool) {
-	if !l.greeted {
-		l.greeted = len(l.pending) > 0
-		return 1, l.greeted
+func (l *direction) nextFrame() (length int, whole bool) {
+	if !l.prefaced {
+		l.prefaced = len(l.pending) > 0
+		return 1, l.prefaced
 	}
 	if len(l.pending) < frameHeader {
 		return 0, false
@@ -197,29 +194,28 @@
 
 // Conn is one end of a connection.
 type Conn struct {
-	in, out *lane
-	rest    []byte
+	in, out *direction
+	unread  []byte
 }
 
-// DropTraffic loses all that is written to the connection from now on, at both
-// ends.
+// DropTraffic drops all data written to the connection from now on, in both directions.
 func (c *Conn) DropTraffic() {
-	c.in.silent.Store(true)
-	c.out.silent.Store(true)
+	c.in.dropping.Store(true)
+	c.out.dropping.Store(true)
 }
 
-// Write implements net.Conn. It waits while more than the socket's buffer is
-// still to be carried.
+// Write implements net.Conn. It blocks while more than the socket's buffer is
+// untransmitted.
 func (c *Conn) Write(b []byte) (int, error) {
 	l := c.out
-	if l.silent.Load() {
+	if l.dropping.Load() {
 		return len(b), nil
 	}
-	carried := l.road.carry(l.carries(len(b)))
-	arrives := carried.Add(l.late())
+	transmitted := l.link.transmit(l.transmitTime(len(b)))
+	arrives := transmitted.Add(l.nextDelay())
 	l.pending = append(l.pending, b...)
 	for {
-		n, whole := l.next()
+		n, whole := l.nextFrame()
 		if !whole {
 			break
 		}
@@ -229,14 +225,14 @@
 	select {
 	case <-l.closed:
 		return 0, net.ErrClosed
-	case <-time.After(time.Until(carried) - l.carries(l.socketBuffer)):
+	case <-time.After(time.Until(transmitted) - l.transmitTime(l.socketBuffer)):
 		return len(b), nil
 	}
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(b []byte) (int, error) {
-	for len(c.rest) == 0 {
+	for len(c.unread) == 0 {
 		select {
 		case <-c.in.closed:
 			return 0, io.EOF
@@ -244,21 +240,21 @@
 			select {
 			case <-c.in.closed:
 				return 0, io.EOF
-			case <-time.After(time.Until(f.at)):
+			case <-time.After(time.Until(f.arrivesAt)):
 			}
-			if !c.in.silent.Load() {
-				c.rest = f.data
+			if !c.in.dropping.Load() {
+				c.unread = f.data
 			}
 		}
 	}
-	n := copy(b, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// Close implements net.Conn; it ends both directions.
+// Close implements net.Conn; it closes both directions.
 func (c *Conn) Close() error {
-	for _, l := range []*lane{c.in, c.out} {
+	for _, l := range []*direction{c.in, c.out} {
 		l.once.Do(func() { close(l.closed) })
 	}
 	return nil
@@ -270,11 +266,11 @@
 // RemoteAddr implements net.Conn.
 func (c *Conn) RemoteAddr() net.Addr { return &net.UnixAddr{Name: "far", Net: "memory"} }
 
-// SetDeadline implements net.Conn; deadlines are not kept.
+// SetDeadline implements net.Conn; deadlines are not supported.
 func (c *Conn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline implements net.Conn; deadlines are not kept.
+// SetReadDeadline implements net.Conn; deadlines are not supported.
 func (c *Conn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline implements net.Conn; deadlines are not kept.
+// SetWriteDeadline implements net.Conn; deadlines are not supported.
 func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/link/network.go
+++ b/internal/link/network.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// Network opens listeners and connections. Its functions are a seam at which
-// tests put a network of their own.
+// Network opens listeners and connections. Tests replace its functions by those
+// of a simulated network.
 type Network struct {
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
--- a/internal/link/node.go
+++ b/internal/link/node.go
@@ -24,14 +24,14 @@
 	maxStreams = 4096
 )
 
-// Identity is who this process says it is.
+// Identity is what a process tells its peers about itself.
 type Identity struct {
 	Name        string
 	Incarnation string
 }
 
-// Handlers serve the streams that other processes open. Each returns when its
-// stream has ended; a nil handler refuses.
+// Handlers serve the streams that other processes open. A handler returns when its
+// stream has ended; streams without a handler are refused.
 type Handlers struct {
 	Consensus func(ctx context.Context, from string, m *Messages)
 	Subscribe func(ctx context.Context, from string, m *Messages)
@@ -39,18 +39,18 @@
 	Permits   func(ctx context.Context, from string, m *Messages)
 	// Forward takes over a stream that carries HTTP.
 	Forward func(c net.Conn)
-	// Refused is told of each connection whose certificate was refused, or
-	// that had none.
+	// Refused is called for each connection that was refused because its
+	// certificate is missing or invalid.
 	Refused func(remote string, err error)
 }
 
-// Traffic counts the bytes of all streams of a node.
+// Traffic counts the bytes that a node has sent and received.
 type Traffic struct {
 	Sent     atomic.Uint64
 	Received atomic.Uint64
 }
 
-// Node is the end of all links of one process.
+// Node holds the links of one process to all others.
 type Node struct {
 	network  Network
 	identity Identity
@@ -59,13 +59,13 @@
 	tls      func() (*tls.Config, error)
 	listener net.Listener
 
-	// Control counts the bytes between processes, less forwarded requests,
-	// which have sessions of their own and are counted by Forwarded.
+	// Control counts the traffic between processes. Forwarded requests have
+	// sessions of their own and are counted by Forwarded instead.
 	Control   Traffic
 	Forwarded Traffic
 
 	mu       sync.Mutex
-	sessions map[sessionKey]*dialled
+	sessions map[sessionKey]*dialledSession
 	accepted map[*session]bool
 	closed   bool
 	running  sync.WaitGroup
@@ -73,42 +73,42 @@
 	cancel   context.CancelFunc
 }
 
-// sessionKey names a session that this node dials.
+// sessionKey identifies a session that this node dials.
 type sessionKey struct {
 	address string
-	use     sessionUse
+	kind    sessionKind
 }
 
-// sessionUse is the first byte of a connection.
-type sessionUse byte
+// sessionKind is the first byte sent on a connection.
+type sessionKind byte
 
 const (
-	useControl sessionUse = 'c'
-	useForward sessionUse = 'f'
+	controlSession sessionKind = 'c'
+	forwardSession sessionKind = 'f'
 )
 
-func (n *Node) traffic(use sessionUse) *Traffic {
-	if use == useForward {
+func (n *Node) traffic(use sessionKind) *Traffic {
+	if use == forwardSession {
 		return &n.Forwarded
 	}
 	return &n.Control
 }
 
-// dialled is one session that this node opens. Its lock, a channel that holds
-// one token, keeps two callers from dialling at once; a caller that gives up
-// need not wait for it.
-type dialled struct {
+// dialledSession is a session that this node dials. Its lock, a channel of
+// capacity one, prevents concurrent dialling; unlike with a mutex, a caller can
+// give up waiting for it.
+type dialledSession struct {
 	lock    chan struct{}
 	session *session
 }
 
-func newDialled() *dialled { return &dialled{lock: make(chan struct{}, 1)} }
+func newDialledSession() *dialledSession { return &dialledSession{lock: make(chan struct{}, 1)} }
 
 // ErrClosed is returned by a closed node.
 var ErrClosed = errors.New("the node is closed")
 
-// Listen returns a node that listens on an address. If tls is not nil, its
-// configuration is fetched for every connection, so that keys can be renewed.
+// Listen returns a node that listens on an address. If tls is not nil, it is
+// called for the configuration of each connection, so that keys can be renewed.
 func Listen(network Network, address string, id Identity, clock *timeline.Clock, h Handlers, tls func() (*tls.Config, error)) (*Node, error) {
 	l, err := network.Listen(address)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return n, nil
 }
 
-// Address is where the node listens; empty for one that only dials.
+// Address returns the address the node listens on; empty for one that only dials.
 func (n *Node) Address() string {
 	if n.listener == nil {
 		return ""
@@ -129,7 +129,7 @@
 	return n.listener.Addr().String()
 }
 
-// NewClient returns a node that only dials, for operators' commands.
+// NewClient returns a node that only dials, as used by operators' commands.
 func NewClient(id Identity, clock *timeline.Clock, tls func() (*tls.Config, error)) *Node {
 	return newNode(TCP(), id, clock, Handlers{}, tls)
 }
@@ -141,7 +141,7 @@
 		clock:    clock,
 		handlers: h,
 		tls:      tls,
-		sessions: make(map[sessionKey]*dialled),
+		sessions: make(map[sessionKey]*dialledSession),
 		accepted: make(map[*session]bool),
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -171,21 +171,21 @@
 		return
 	}
 	use := make([]byte, 1)
-	_ = c.SetReadDeadline(time.Now().Add(helloTimeout)) // steady clock: deadlines of connections go by it; one that has ended fails at the read
+	_ = c.SetReadDeadline(time.Now().Add(helloTimeout)) // steady clock: deadlines of connections go by it; on one that has ended the read fails
 	if _, err := io.ReadFull(c, use); err != nil {
-		_ = c.Close() // its peer has left or says nothing, and dials again if it wants to
+		_ = c.Close() // the peer has left or sends nothing; it can dial again
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	s, err := openSession(&counted{Conn: c, traffic: n.traffic(sessionUse(use[0]))}, false)
+	s, err := openSession(&countingConn{Conn: c, traffic: n.traffic(sessionKind(use[0]))}, false)
 	if err != nil {
 		_ = c.Close()
 		return
 	}
-	if !n.keep(s) {
+	if !n.addAccepted(s) {
 		return
 	}
-	defer n.forget(s)
+	defer n.removeAccepted(s)
 	for {
 		stream, err := s.Accept()
 		if err != nil {
@@ -213,7 +213,7 @@
 	return secured, nil
 }
 
-func (n *Node) keep(s *session) bool {
+func (n *Node) addAccepted(s *session) bool {
 	n.mu.Lock()
 	closed := n.closed
 	if !closed {
@@ -221,25 +221,25 @@
 	}
 	n.mu.Unlock()
 	if closed {
-		_ = s.Close() // nothing is under way on it
+		_ = s.Close() // it carries no streams yet
 	}
 	return !closed
 }
 
-func (n *Node) forget(s *session) {
+func (n *Node) removeAccepted(s *session) {
 	n.mu.Lock()
 	delete(n.accepted, s)
 	n.mu.Unlock()
-	_ = s.Close() // it has ended
+	_ = s.Close() // the session has ended
 }
 
 func (n *Node) serveStream(stream net.Conn) {
 	defer n.running.Done()
 	m := NewMessages(stream)
 	hello := &wire.StreamHello{}
-	_ = stream.SetReadDeadline(time.Now().Add(helloTimeout)) // steady clock: deadlines of connections go by it; one that has ended fails at the read
+	_ = stream.SetReadDeadline(time.Now().Add(helloTimeout)) // steady clock: deadlines of connections go by it; on one that has ended the read fails
 	if err := m.Read(hello); err != nil {
-		_ = stream.Close() // the side that opened it sees its end
+		_ = stream.Close() // the peer that opened it sees it closed
 		return
 	}
 	_ = stream.SetReadDeadline(time.Time{})
@@ -254,7 +254,7 @@
 	case hello.Kind == wire.StreamHello_KIND_CALL && n.handlers.Call != nil:
 		n.serveCall(hello.From, m)
 	case hello.Kind == wire.StreamHello_KIND_FORWARD && n.handlers.Forward != nil:
-		n.handlers.Forward(&readAhead{Conn: stream, reader: m.reader})
+		n.handlers.Forward(&bufferedConn{Conn: stream, reader: m.reader})
 		return
 	}
 	_ = stream.Close()
@@ -268,10 +268,10 @@
 	n.clock.Observe(request.Clock)
 	answer := n.handlers.Call(n.ctx, from, request)
 	answer.Clock = n.clock.Stamp()
-	_ = m.Write(answer) // the caller sees a broken stream
+	_ = m.Write(answer) // if it fails, the caller sees a broken stream
 }
 
-// Close ends all links and waits for the handlers.
+// Close closes all links and waits for the handlers to return.
 func (n *Node) Close() error {
 	n.mu.Lock()
 	if n.closed {
@@ -288,7 +288,7 @@
 	dialled := n.sessions
 	n.mu.Unlock()
 	for _, s := range accepted {
-		_ = s.Close() // what its peer had under way is of no use
+		_ = s.Close() // calls in flight on it are abandoned
 	}
 	for _, d := range dialled {
 		d.lock <- struct{}{}
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -11,80 +11,80 @@
 )
 
 const (
-	// keepAliveInterval is how often the one that dialled asks whether its peer is
-	// there, and answerTimeout how long it may hear nothing at all then, more than
-	// the second retransmission of a lost packet on the longest way. A connection
-	// that has gone silent without a reset is closed after 1 s to 2 s, and the next
-	// call goes over a new one. A question and its answer are 24 bytes.
+	// keepAliveInterval is how often the dialling side pings its peer, and
+	// keepAliveTimeout how long it then waits to receive anything at all: longer than
+	// the second retransmission of a lost packet takes on the longest route. A
+	// connection that goes silent without a reset is closed after 1 s to 2 s, and the
+	// next call opens a new one. A ping and its answer take 24 bytes.
 	keepAliveInterval = time.Second
-	answerTimeout     = time.Second
-	// acceptedInterval and acceptedTimeout are those of the other side, which has
-	// nothing to send by itself and only lets go of what is lost, after 2 s to
-	// 2.4 s. Each side's questions are what the other hears while it sends much
-	// and its own questions wait behind that, so each asks more often than the
-	// other's timeout. Between two questions of which the second is lost once lie
-	// the interval, the retransmission of 200 ms and a round trip of 140 ms on the
-	// longest way: 740 ms of answerTimeout.
-	acceptedInterval = 400 * time.Millisecond
-	acceptedTimeout  = 2 * time.Second
-	// writeTimeout bounds how long a part of a message waits to be written. yamux
-	// must not write to a stream again after it: the part still waits to be sent,
-	// but is not counted against the peer's window.
+	keepAliveTimeout  = time.Second
+	// acceptedKeepAliveInterval and acceptedKeepAliveTimeout apply to the accepting
+	// side. It sends nothing on its own and only releases dead connections, after 2 s
+	// to 2.4 s. While one side sends much data, its own pings wait behind that, and
+	// the other side's pings are all it receives; so each side pings more often than
+	// the other's timeout. If the second of two pings is lost once, they arrive at
+	// most the interval, a retransmission timeout of 200 ms and a round trip of 140 ms
+	// on the longest route apart: 740 ms, within keepAliveTimeout.
+	acceptedKeepAliveInterval = 400 * time.Millisecond
+	acceptedKeepAliveTimeout  = 2 * time.Second
+	// writeTimeout bounds how long a chunk of a message waits to be written. After a
+	// timeout nothing may be written to the stream any more: yamux still sends the
+	// chunk, but does not count it against the peer's window.
 	writeTimeout = 2 * time.Second
 )
 
-// session is a yamux session that ends only by its connection.
+// session is a yamux session that is only ever ended through its connection.
 //
-// When yamux closes a session from anywhere but its reading goroutine, every
-// reader of a stream runs in a loop without rest until the reading goroutine has
-// ended: the session counts as shut down and the stream as open. On a box with
-// one processor the readers then keep the reading goroutine from running. So
+// When yamux closes a session from any goroutine but the one that reads the
+// connection, all readers of streams spin until the reading goroutine has ended:
+// the session is marked as shut down while the streams are still open. On a box
+// with one processor these readers keep the reading goroutine from running. So
 // nothing here closes a session: its connection is closed, the reading goroutine
 // fails, and that closes the session and its streams in one step.
 type session struct {
 	*yamux.Session
-	connection *endingConn
-	ended      context.CancelFunc
-	watching   sync.WaitGroup
+	conn    *readErrorConn
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 }
 
-// openSession starts a session on a connection, as the one that dialled or not.
+// openSession starts a session on a connection; dialled tells which side this is.
 func openSession(c net.Conn, dialled bool) (*session, error) {
-	conn := &endingConn{Conn: c, heard: make(chan struct{}, 1)}
-	start, interval, timeout := yamux.Server, acceptedInterval, acceptedTimeout
+	conn := &readErrorConn{Conn: c, received: make(chan struct{}, 1)}
+	start, interval, timeout := yamux.Server, acceptedKeepAliveInterval, acceptedKeepAliveTimeout
 	if dialled {
-		start, interval, timeout = yamux.Client, keepAliveInterval, answerTimeout
+		start, interval, timeout = yamux.Client, keepAliveInterval, keepAliveTimeout
 	}
 	y, err := start(conn, sessionConfig())
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &session{Session: y, connection: conn, ended: cancel}
-	s.watching.Go(func() { s.keepAlive(ctx, interval, timeout) })
+	s := &session{Session: y, conn: conn, cancel: cancel}
+	s.running.Go(func() { s.keepAlive(ctx, interval, timeout) })
 	return s, nil
 }
 
 func sessionConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.LogOutput = io.Discard
-	c.EnableKeepAlive = false // keepAlive does it
+	c.EnableKeepAlive = false // keepAlive replaces it
 	c.StreamOpenTimeout = 0   // streams have deadlines of their own
 	c.ConnectionWriteTimeout = writeTimeout
 	c.AcceptBacklog = maxStreams
 	return c
 }
 
-// Close closes the connection and waits for the session's end.
+// Close closes the connection and waits until the session has ended.
 func (s *session) Close() error {
-	err := s.connection.Close()
+	err := s.conn.Close()
 	<-s.CloseChan()
-	s.ended()
-	s.watching.Wait()
+	s.cancel()
+	s.running.Wait()
 	return err
 }
 
-// keepAlive closes the connection when nothing is heard of the peer any more.
+// keepAlive closes the connection once the peer is no longer alive.
 func (s *session) keepAlive(ctx context.Context, interval, timeout time.Duration) {
 	for {
 		select {
@@ -94,22 +94,22 @@
 			return
 		case <-time.After(interval):
 		}
-		if !s.answers(timeout) {
-			_ = s.connection.Close() // the session's readers report the end
+		if !s.isPeerAlive(timeout) {
+			_ = s.conn.Close() // the session's readers report the end
 			return
 		}
 	}
 }
 
-// answers asks the peer whether it is there. Whatever comes after the question
-// shows that it is: the answer itself may wait behind seconds of data.
-func (s *session) answers(timeout time.Duration) bool {
-	s.connection.forget()
-	s.watching.Go(func() {
-		_, _ = s.Ping() // what is heard counts
+// isPeerAlive pings the peer. Any data received after the ping counts, since the
+// answer itself may wait behind seconds of data.
+func (s *session) isPeerAlive(timeout time.Duration) bool {
+	s.conn.clearReceived()
+	s.running.Go(func() {
+		_, _ = s.Ping() // any data counts, not this answer
 	})
 	select {
-	case <-s.connection.heard:
+	case <-s.conn.received:
 		return true
 	case <-s.CloseChan():
 		return false
@@ -118,28 +118,28 @@
 	}
 }
 
-// endingConn is a connection whose end is told to its reader only: a write that
-// fails closes it and counts as done.
-type endingConn struct {
+// readErrorConn is a connection that reports errors to its reader only: a failed
+// write closes it and is reported as successful.
+type readErrorConn struct {
 	net.Conn
-	// heard holds a token when bytes have come since forget.
-	heard chan struct{}
+	// received holds a token if data was received since clearReceived.
+	received chan struct{}
 }
 
-// forget lets go of what was heard.
-func (c *endingConn) forget() {
+// clearReceived drops the token of data received before.
+func (c *readErrorConn) clearReceived() {
 	select {
-	case <-c.heard:
+	case <-c.received:
 	default:
 	}
 }
 
 // Read implements net.Conn.
-func (c *endingConn) Read(b []byte) (int, error) {
+func (c *readErrorConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		select {
-		case c.heard <- struct{}{}:
+		case c.received <- struct{}{}:
 		default:
 		}
 	}
@@ -147,9 +147,9 @@
 }
 
 // Write implements net.Conn.
-func (c *endingConn) Write(b []byte) (int, error) {
+func (c *readErrorConn) Write(b []byte) (int, error) {
 	if _, err := c.Conn.Write(b); err != nil {
-		_ = c.Close() // the reader reports the end
+		_ = c.Close() // the reader reports the error
 	}
 	return len(b), nil
 }
--- a/internal/link/session_test.go
+++ b/internal/link/session_test.go
@@ -14,14 +14,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// pipes is a network of connections in memory.
-type pipes struct {
+// pipeNetwork is a network of in-memory connections.
+type pipeNetwork struct {
 	accept chan net.Conn
-	// wrap is put around the dialling end of each connection.
+	// wrap wraps the dialling end of each connection.
 	wrap func(net.Conn) net.Conn
 }
 
-func (p *pipes) network() Network {
+func (p *pipeNetwork) network() Network {
 	return Network{
 		Listen: func(string) (net.Listener, error) { return &pipeListener{p, make(chan struct{})}, nil },
 		Dial: func(context.Context, string) (net.Conn, error) {
@@ -33,13 +33,13 @@
 }
 
 type pipeListener struct {
-	pipes *pipes
-	done  chan struct{}
+	network *pipeNetwork
+	done    chan struct{}
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.pipes.accept:
+	case c := <-l.network.accept:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -53,25 +53,25 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
 
-// faulty is a connection that can lose what is written, or fail it; its reads
-// end a second after its closing.
-type faulty struct {
+// faultyConn is a connection whose writes can be dropped or fail. Its reads return
+// a second after it is closed.
+type faultyConn struct {
 	net.Conn
-	silent atomic.Bool
-	fails  atomic.Bool
+	dropWrites atomic.Bool
+	failWrites atomic.Bool
 }
 
-func (c *faulty) Write(b []byte) (int, error) {
+func (c *faultyConn) Write(b []byte) (int, error) {
 	switch {
-	case c.fails.Load():
+	case c.failWrites.Load():
 		return 0, errors.New("broken pipe")
-	case c.silent.Load():
+	case c.dropWrites.Load():
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-func (c *faulty) Read(b []byte) (int, error) {
+func (c *faultyConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil {
 		time.Sleep(time.Second)
@@ -79,23 +79,23 @@
 	return n, err
 }
 
-// emptyPools lets go of the timers that yamux keeps in a pool, which must not
-// enter or leave a bubble; that takes two collections.
-func emptyPools() {
+// drainPools drops the timers that yamux keeps in a sync.Pool: they must not
+// cross the boundary of a synctest bubble. That takes two garbage collections.
+func drainPools() {
 	runtime.GC()
 	runtime.GC()
 }
 
-// linkPair runs a function in virtual time with a node that dials and one that
-// answers; last returns the connection that was opened last.
-func linkPair(t *testing.T, run func(t *testing.T, caller *Node, last func() *faulty)) {
+// withNodes runs a function in virtual time with a client and a server node; last
+// returns the most recently opened connection.
+func withNodes(t *testing.T, run func(t *testing.T, caller *Node, last func() *faultyConn)) {
 	t.Helper()
-	emptyPools()
-	defer emptyPools()
+	drainPools()
+	defer drainPools()
 	synctest.Test(t, func(t *testing.T) {
-		var conns []*faulty
-		p := &pipes{accept: make(chan net.Conn), wrap: func(c net.Conn) net.Conn {
-			f := &faulty{Conn: c}
+		var conns []*faultyConn
+		p := &pipeNetwork{accept: make(chan net.Conn), wrap: func(c net.Conn) net.Conn {
+			f := &faultyConn{Conn: c}
 			conns = append(conns, f)
 			return f
 		}}
@@ -114,16 +114,16 @@
 			t.Fatal(err)
 		}
 		caller := newNode(p.network(), Identity{Name: "caller"}, clock, Handlers{}, nil)
-		run(t, caller, func() *faulty { return conns[len(conns)-1] })
+		run(t, caller, func() *faultyConn { return conns[len(conns)-1] })
 		_ = caller.Close()
 		_ = server.Close()
 	})
 }
 
-// While a session ends that a write has failed on, the readers of its streams
-// rest. If they ran in a loop, virtual time would stand still and the test hang.
+// Guards against readers of streams that spin while a session ends after a failed
+// write. Virtual time would not advance then, and the test would hang.
 func TestReadersRestWhileASessionEnds(t *testing.T) {
-	linkPair(t, func(t *testing.T, caller *Node, last func() *faulty) {
+	withNodes(t, func(t *testing.T, caller *Node, last func() *faultyConn) {
 		m, err := caller.Subscribe(t.Context(), "server", &wire.Subscribe{})
 		if err != nil {
 			t.Fatal(err)
@@ -131,21 +131,21 @@
 		ended := make(chan error, 1)
 		go func() { ended <- m.Read(&wire.Update{}) }()
 		synctest.Wait()
-		last().fails.Store(true)
+		last().failWrites.Store(true)
 		began := time.Now()
 		if err := <-ended; err == nil {
-			t.Error("the stream goes on over a broken connection")
+			t.Error("the stream survived a broken connection")
 		}
-		if took := time.Since(began); took > keepAliveInterval+answerTimeout+2*time.Second {
-			t.Errorf("the end was noticed after %v", took)
+		if took := time.Since(began); took > keepAliveInterval+keepAliveTimeout+2*time.Second {
+			t.Errorf("the broken connection was detected after %v", took)
 		}
 	})
 }
 
-// A connection that goes silent for good is left, and calls work again over a
-// new one.
+// A connection that goes silent for good is abandoned, and calls succeed again over
+// a new one.
 func TestSilentConnectionIsLeft(t *testing.T) {
-	linkPair(t, func(t *testing.T, caller *Node, last func() *faulty) {
+	withNodes(t, func(t *testing.T, caller *Node, last func() *faultyConn) {
 		call := func() error {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			defer cancel()
@@ -155,13 +155,13 @@
 		if err := call(); err != nil {
 			t.Fatal(err)
 		}
-		last().silent.Store(true)
+		last().dropWrites.Store(true)
 		if call() == nil {
 			t.Fatal("a call was answered over a silent connection")
 		}
-		time.Sleep(keepAliveInterval + answerTimeout + time.Second) // and the closing
+		time.Sleep(keepAliveInterval + keepAliveTimeout + time.Second) // the last second is for closing
 		if err := call(); err != nil {
-			t.Errorf("after the silence was noticed: %v", err)
+			t.Errorf("call after the dead connection was detected: %v", err)
 		}
 	})
 }
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -20,7 +20,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for a test.
 type authority struct {
 	t           *testing.T
 	certificate *x509.Certificate
@@ -56,8 +56,8 @@
 	return c, key
 }
 
-// issue writes the files of a process's certificate into a folder.
-func (a *authority) issue(folder string, notAfter time.Time) config.Common {
+// issue writes the certificate files of a process into a directory.
+func (a *authority) issue(dir string, notAfter time.Time) config.Common {
 	c, key := a.sign(&x509.Certificate{
 		SerialNumber: big.NewInt(2), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: notAfter,
@@ -68,7 +68,7 @@
 		a.t.Fatal(err)
 	}
 	out := config.Common{
-		Certificate: filepath.Join(folder, "certificate"), CertificateKey: filepath.Join(folder, "key"), Authority: filepath.Join(folder, "authority"),
+		Certificate: filepath.Join(dir, "certificate"), CertificateKey: filepath.Join(dir, "key"), Authority: filepath.Join(dir, "authority"),
 	}
 	for path, block := range map[string]*pem.Block{
 		out.Certificate:    {Type: "CERTIFICATE", Bytes: c.Raw},
@@ -111,9 +111,9 @@
 		_, err = n.Call(t.Context(), address, &wire.CallRequest{})
 		return err
 	}
-	folder := t.TempDir()
-	if err := call(ours.issue(folder, time.Now().Add(time.Hour))); err != nil {
-		t.Errorf("a good certificate: %v", err)
+	dir := t.TempDir()
+	if err := call(ours.issue(dir, time.Now().Add(time.Hour))); err != nil {
+		t.Errorf("a valid certificate was refused: %v", err)
 	}
 	for name, files := range map[string]config.Common{
 		"expired":              ours.issue(t.TempDir(), time.Now().Add(-time.Minute)),
@@ -121,19 +121,19 @@
 		"none":                 {},
 	} {
 		if err := call(files); err == nil {
-			t.Errorf("a certificate that is %s was let in", name)
+			t.Errorf("certificate %s: accepted, want it refused", name)
 		}
 		if <-refused == nil {
-			t.Errorf("%s: no event", name)
+			t.Errorf("certificate %s: Refused was not called", name)
 		}
 	}
-	// The server's files are renewed in place; no restart is needed.
+	// The server's files are renewed in place, without a restart.
 	ours.issue(filepath.Dir(serverFiles.Certificate), time.Now().Add(-time.Minute))
-	if err := call(ours.issue(folder, time.Now().Add(time.Hour))); err == nil {
-		t.Error("the server's expired certificate was taken")
+	if err := call(ours.issue(dir, time.Now().Add(time.Hour))); err == nil {
+		t.Error("the server's expired certificate was accepted")
 	}
 	ours.issue(filepath.Dir(serverFiles.Certificate), time.Now().Add(time.Hour))
-	if err := call(ours.issue(folder, time.Now().Add(time.Hour))); err != nil {
+	if err := call(ours.issue(dir, time.Now().Add(time.Hour))); err != nil {
 		t.Errorf("after the server's certificate was renewed: %v", err)
 	}
 }
@@ -144,6 +144,6 @@
 		t.Fatal(err)
 	}
 	if _, err := files.TLS(); err == nil {
-		t.Error("an authority without a certificate was taken")
+		t.Error("an authority without a certificate was accepted")
 	}
 }
--- a/internal/link/transfer_test.go
+++ b/internal/link/transfer_test.go
@@ -16,30 +16,29 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-func longMessage(length int) *wire.Subscribe {
+func messageOfLength(length int) *wire.Subscribe {
 	return &wire.Subscribe{Box: strings.Repeat("x", length)}
 }
 
-// transferNodes runs a function in virtual time with a node that dials, one
-// that answers each subscription with a message of a length, and the network
-// between them.
-func transferNodes(t *testing.T, network *linktest.Network, length int, run func(t *testing.T, caller *Node)) {
+// withTransferNodes runs a function in virtual time with a client of a server that
+// answers each subscription with a message of a length, over the given network.
+func withTransferNodes(t *testing.T, network *linktest.Network, length int, run func(t *testing.T, caller *Node)) {
 	t.Helper()
-	emptyPools()
-	defer emptyPools()
+	drainPools()
+	defer drainPools()
 	synctest.Test(t, func(t *testing.T) {
 		clock := timeline.NewClock(time.Now)
-		seam := Network{Listen: network.Listen, Dial: network.Dial}
+		simulated := Network{Listen: network.Listen, Dial: network.Dial}
 		handlers := Handlers{Subscribe: func(_ context.Context, _ string, m *Messages) {
 			_ = m.Read(&wire.Subscribe{})
-			_ = m.Write(longMessage(length)) // the reader sees a failure
+			_ = m.Write(messageOfLength(length)) // the reader sees a failure
 			_ = m.Read(&wire.Subscribe{})
 		}}
-		server, err := Listen(seam, "server", Identity{Name: "server"}, clock, handlers, nil)
+		server, err := Listen(simulated, "server", Identity{Name: "server"}, clock, handlers, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		caller := newNode(seam, Identity{Name: "caller"}, clock, Handlers{}, nil)
+		caller := newNode(simulated, Identity{Name: "caller"}, clock, Handlers{}, nil)
 		defer func() {
 			_ = caller.Close()
 			_ = server.Close()
@@ -48,7 +47,7 @@
 	})
 }
 
-// receive subscribes, reads one message and returns how long that took.
+// receive subscribes, reads one message and returns how long reading took.
 func receive(t *testing.T, caller *Node) (took time.Duration, err error) {
 	t.Helper()
 	m, err := caller.Subscribe(t.Context(), "server", &wire.Subscribe{})
@@ -62,46 +61,46 @@
 	return took, err
 }
 
-// Guards against a connection that is closed as dead while a long message arrives on it.
-// The answer waits behind a stream's window of data in the socket's buffer,
-// 3.5 s at the 600 kbit/s that callers may leave of a link. The connection
-// stays, as data arrives.
+// Guards against closing a connection as dead while a long message arrives on it.
+// The answer to a ping waits behind a stream's window of data in the socket's
+// buffer: 3.5 s at 600 kbit/s, which is what callers may leave of a link. The
+// connection must stay open, as data arrives.
 func TestConnectionWithATransferIsKept(t *testing.T) {
 	const length, rate = 1 << 20, 600_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
-	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
+	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		took, err := receive(t, caller)
 		if err != nil {
-			t.Errorf("the transfer was broken off after %v: %v", took, err)
+			t.Errorf("the transfer failed after %v: %v", took, err)
 		}
 		if n := len(network.Dialled()); n != 1 {
-			t.Errorf("%d connections for one transfer", n)
+			t.Errorf("%d connections for one transfer, want 1", n)
 		}
 	})
 }
 
-// The same for the one that sends: what it receives then is little.
+// The same for the sending side, which receives little meanwhile.
 func TestConnectionIsKeptByTheOneThatSends(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
 	network := &linktest.Network{UpBytesPerSecond: rate, SocketBuffer: 1 << 20}
-	transferNodes(t, network, 0, func(t *testing.T, caller *Node) {
-		m, err := caller.Subscribe(t.Context(), "server", longMessage(length))
+	withTransferNodes(t, network, 0, func(t *testing.T, caller *Node) {
+		m, err := caller.Subscribe(t.Context(), "server", messageOfLength(length))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := m.Read(&wire.Subscribe{}); err != nil {
-			t.Errorf("the transfer was broken off: %v", err)
+			t.Errorf("the transfer failed: %v", err)
 		}
 		if n := len(network.Dialled()); n != 1 {
-			t.Errorf("%d connections for one transfer", n)
+			t.Errorf("%d connections for one transfer, want 1", n)
 		}
 		_ = m.Close()
 	})
 }
 
-// One that only sends hears little, and of that a packet may be lost: it then
-// comes by the first retransmission, 200 ms and a round trip later. The
-// connection stays, whichever it is.
+// A side that only sends receives little, and a packet of that may be lost: it then
+// arrives with the first retransmission, 200 ms and a round trip later. The
+// connection must stay open whichever packet is lost.
 func TestConnectionIsKeptWhereAQuestionIsLost(t *testing.T) {
 	const (
 		length, rate = 4 << 20, 400_000 / 8
@@ -115,44 +114,43 @@
 			}
 			return way
 		}}
-		transferNodes(t, network, 0, func(t *testing.T, caller *Node) {
+		withTransferNodes(t, network, 0, func(t *testing.T, caller *Node) {
 			began := time.Now()
-			m, err := caller.Subscribe(t.Context(), "server", longMessage(length))
+			m, err := caller.Subscribe(t.Context(), "server", messageOfLength(length))
 			if err != nil {
-				t.Errorf("one packet of %d is lost: the transfer was broken off after %v: %v", each, time.Since(began), err)
+				t.Errorf("with each %dth packet lost the transfer failed after %v: %v", each, time.Since(began), err)
 				return
 			}
 			if err := m.Read(&wire.Subscribe{}); err != nil {
-				t.Errorf("one packet of %d is lost: the transfer was broken off after %v: %v", each, time.Since(began), err)
+				t.Errorf("with each %dth packet lost the transfer failed after %v: %v", each, time.Since(began), err)
 			}
 			_ = m.Close()
 		})
 	}
 }
 
-// A link that carries 400 kbit/s takes 5 s for a window of 256 KB and hardly
-// buffers. The write of a long message succeeds all the same.
+// A link of 400 kbit/s takes 5 s for a window of 256 KB and buffers little. Writing
+// a long message must still succeed.
 func TestLongMessageIsWrittenOverASlowLink(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 12}
-	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
+	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		took, err := receive(t, caller)
 		if err != nil {
-			t.Fatalf("the transfer was broken off after %v: %v", took, err)
+			t.Fatalf("the transfer failed after %v: %v", took, err)
 		}
-		sent := proto.Size(longMessage(length))
-		if longest := time.Duration(float64(sent)/rate*1.1*float64(time.Second)) + time.Second; took > longest {
-			t.Errorf("took %v, want at most %v", took, longest)
+		sent := proto.Size(messageOfLength(length))
+		if maxTime := time.Duration(float64(sent)/rate*1.1*float64(time.Second)) + time.Second; took > maxTime {
+			t.Errorf("took %v, want at most %v", took, maxTime)
 		}
 	})
 }
 
-// A connection that goes silent in the middle of a transfer is left as soon as
-// one that rests.
+// A connection that goes silent during a transfer is detected as soon as an idle one.
 func TestSilenceWithinATransferIsNoticed(t *testing.T) {
 	const length, rate = 3 << 20, 4_000_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
-	transferNodes(t, network, length, func(t *testing.T, caller *Node) {
+	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
 		m, err := caller.Subscribe(t.Context(), "server", &wire.Subscribe{})
 		if err != nil {
 			t.Fatal(err)
@@ -163,21 +161,21 @@
 		network.Dialled()[0].DropTraffic()
 		silent := time.Now()
 		if err := <-ended; err == nil {
-			t.Error("a message came over a silent connection")
+			t.Error("a message arrived over a silent connection")
 		}
-		if took := time.Since(silent); took > keepAliveInterval+answerTimeout {
-			t.Errorf("the silence was noticed after %v", took)
+		if took := time.Since(silent); took > keepAliveInterval+keepAliveTimeout {
+			t.Errorf("the silent connection was detected after %v", took)
 		}
 	})
 }
 
-// brokenOnce is a stream whose first write takes a part and fails.
-type brokenOnce struct {
+// partialWriter is a stream whose first write writes a part and fails.
+type partialWriter struct {
 	io.ReadWriteCloser
 	writes int
 }
 
-func (b *brokenOnce) Write(p []byte) (int, error) {
+func (b *partialWriter) Write(p []byte) (int, error) {
 	b.writes++
 	if b.writes == 1 {
 		return len(p) / 2, errors.New("no time left")
@@ -185,16 +183,16 @@
 	return len(p), nil
 }
 
-// After a part of a message nothing more is written to a stream.
+// Nothing may be written to a stream after a partial message.
 func TestNothingIsWrittenAfterAPartOfAMessage(t *testing.T) {
-	b := &brokenOnce{}
+	b := &partialWriter{}
 	m := NewMessages(b)
 	for range 2 {
-		if m.Write(longMessage(100)) == nil {
-			t.Error("a message after a part of another counts as written")
+		if m.Write(messageOfLength(100)) == nil {
+			t.Error("writing after a partial message succeeded")
 		}
 	}
 	if b.writes != 1 {
-		t.Errorf("%d writes", b.writes)
+		t.Errorf("%d writes, want 1", b.writes)
 	}
 }
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -74,7 +74,7 @@
 	defer drainPools()
 	synctest.Test(t, func(t *testing.T) {
 		p := &replicaPair{network: linktest.Network{DownBytesPerSecond: boxBytesPerSecond, SocketBuffer: 1 << 16}}
-		seam := link.Network{Listen: p.network.Listen, Dial: p.network.Dial}
+		simulated := link.Network{Listen: p.network.Listen, Dial: p.network.Dial}
 		clock := timeline.NewClock(time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 3)
@@ -88,7 +88,7 @@
 				defer func() { p.served[i].Add(-1) }()
 				p.publishers[i].Serve(ctx, m)
 			}}
-			n, err := link.Listen(seam, a, link.Identity{Name: a}, clock, handlers, nil)
+			n, err := link.Listen(simulated, a, link.Identity{Name: a}, clock, handlers, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -96,7 +96,7 @@
 			p.nodes[i] = n
 			sources = append(sources, distribution.Source{Name: a, Address: a, Control: true})
 		}
-		box, err := link.Listen(seam, "box", link.Identity{Name: "box"}, clock, link.Handlers{}, nil)
+		box, err := link.Listen(simulated, "box", link.Identity{Name: "box"}, clock, link.Handlers{}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
