--- a/internal/operator/catalog.go
+++ b/internal/operator/catalog.go
@@ -1,6 +1,6 @@
 package operator
 
-// RoutesVerdict tells which document of routes was accepted.
+// RoutesVerdict holds the number of the routes document that was accepted.
 type RoutesVerdict struct {
 	Number uint64 `json:"number"`
 }
@@ -14,34 +14,34 @@
 	Software string `json:"software,omitempty"`
 	Slots    uint32 `json:"slots"`
 	Draining bool   `json:"draining,omitempty"`
-	// WarmupMillis is how much longer the target stays cold, as of its last word.
+	// WarmupMillis is the remaining warm-up time of the target, as of its last update.
 	WarmupMillis int64 `json:"coldMillis,omitempty"`
-	// Sequence grows with every word of the target.
+	// Sequence grows with every update of the target.
 	Sequence uint64 `json:"sequence"`
-	// StartedMillis is when the target started, in Unix milliseconds; 0 if not told.
+	// StartedMillis is when the target started, in Unix milliseconds; 0 if unknown.
 	StartedMillis int64 `json:"bornMillis,omitempty"`
-	// Leaving tells that the target said in an answer that it leaves.
+	// Leaving is set if the target reported in a response that it is shutting down.
 	Leaving bool `json:"leaving,omitempty"`
-	// Limit is set while the target names how much it takes from all boxes together.
+	// Limit is set while the target reports a rate limit for all boxes together.
 	Limit *TargetLimit `json:"limit,omitempty"`
 }
 
-// TargetLimit is what a replica knows of a target's limit, and what it issued of it since
-// the target first named one. Three replicas issue for a target.
+// TargetLimit is a replica's view of a target's rate limit, with the permits that it
+// issued since the target first reported one. Three replicas issue permits for a target.
 type TargetLimit struct {
 	PerSecond float64 `json:"perSecond"`
-	// ReportedAgoMillis is how long ago a change of it was heard of.
+	// ReportedAgoMillis is the time since the last reported change of the limit.
 	ReportedAgoMillis int64  `json:"saidAgoMillis"`
 	Issued            uint64 `json:"issued"`
 	DeniedRequests    uint64 `json:"refusedAsks"`
 }
 
-// Evacuations are the zones whose targets get nothing.
+// Evacuations are the zones whose targets get no requests.
 type Evacuations struct {
 	Zones []string `json:"zones"`
 }
 
-// Gateways are the addresses that a caller is to use, best first.
+// Gateways are the addresses that a caller should use, best first.
 type Gateways struct {
 	Addresses []string `json:"addresses"`
 	TTLMillis int64    `json:"ttlMillis"`
@@ -50,35 +50,35 @@
 // Workspaces is what the control replicas know of workspaces and their limits.
 type Workspaces struct {
 	Workspaces []WorkspaceUsage `json:"workspaces"`
-	// Missing are the replicas that did not answer; their parts of the limits are not
-	// counted, and boxes that reach no other get nothing of them.
+	// Missing are the replicas that did not answer. Their shares of the limits are not
+	// counted, and boxes that reach no other replica get no permits of these shares.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// WorkspaceUsage is what is used of one workspace's limit.
+// WorkspaceUsage is the usage of one workspace's limit.
 type WorkspaceUsage struct {
 	Name string `json:"name"`
-	// PerSecond and Burst are the limit; no limit if they are 0.
+	// PerSecond and Burst are the limit; there is none if both are 0.
 	PerSecond float64 `json:"perSecond"`
 	Burst     float64 `json:"burst"`
-	// IssuedPerSecond are the permits of the last window that is over, and
-	// RefusedPerSecond the asks of boxes that got none, over all replicas.
+	// IssuedPerSecond and DeniedPerSecond are the permits issued, and the permit requests
+	// of boxes denied, in the last complete window, summed over all replicas.
 	IssuedPerSecond float64 `json:"issuedPerSecond"`
 	DeniedPerSecond float64 `json:"refusedPerSecond"`
-	// Issued and Refused count them since the replicas' starts.
+	// Issued and Denied count them since the replicas started.
 	Issued uint64           `json:"issued"`
 	Denied uint64           `json:"refused"`
 	Shares []WorkspaceShare `json:"parts"`
 }
 
-// WorkspaceShare is what one replica holds of a limit.
+// WorkspaceShare is the share of a limit that one replica holds.
 type WorkspaceShare struct {
 	Replica string `json:"replica"`
-	// Number is that of the document of routes whose limits the replica goes by, and
-	// AgeMillis how long ago it heard of a leader.
+	// Number is that of the routes document whose limits the replica applies, and
+	// AgeMillis the time since its last contact with a leader.
 	Number    uint64 `json:"number"`
 	AgeMillis int64  `json:"ageMillis"`
-	// PerSecond is its part, and Room what it could issue at once now.
+	// PerSecond is its share, and Available the permits that it could issue at once now.
 	PerSecond       float64 `json:"perSecond"`
 	Available       float64 `json:"room"`
 	IssuedPerSecond float64 `json:"issuedPerSecond"`
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Client asks the control replicas, going on to the next when one does not
-// answer or is not the leader.
+// Client sends requests to the control replicas. It tries the next one if a replica
+// does not answer or is not the leader.
 type Client struct {
 	addresses []string
 	token     string
@@ -21,15 +21,15 @@
 	http      *http.Client
 
 	mu sync.Mutex
-	// last is the replica that answered last; it is asked first.
-	last string
+	// preferred is the replica that answered last; it is tried first.
+	preferred string
 }
 
 const (
-	attemptTimeout = 5 * time.Second
-	retryPause     = 200 * time.Millisecond
-	rounds         = 10
-	maxAnswer      = 64 << 20
+	attemptTimeout   = 5 * time.Second
+	retryInterval    = 200 * time.Millisecond
+	maxRounds        = 10
+	maxResponseBytes = 64 << 20
 )
 
 // NewClient returns a client of the replicas' operator addresses. It uses TLS
@@ -43,7 +43,7 @@
 	return c
 }
 
-// FailureError is an error answer of a control replica.
+// FailureError is an error that a control replica returned.
 type FailureError struct {
 	Status  int
 	Failure Failure
@@ -52,7 +52,7 @@
 // Error implements error.
 func (e *FailureError) Error() string { return e.Failure.Message + " (" + e.Failure.Code + ")" }
 
-// UnreachableError says that no control replica gave an answer.
+// UnreachableError reports that no control replica answered.
 type UnreachableError struct {
 	Addresses []string
 	Last      error
@@ -63,54 +63,54 @@
 	return fmt.Sprintf("no control replica of %s answers: %v", strings.Join(e.Addresses, ", "), e.Last)
 }
 
-// Unwrap returns the last failure.
+// Unwrap returns the last error.
 func (e *UnreachableError) Unwrap() error { return e.Last }
 
-// Do sends a request to the leader and decodes its answer. A change is safe to
-// send again since it carries an id.
+// Do sends a request to the leader and decodes its answer. Changes carry an ID, so
+// that they can be sent again.
 func (c *Client) Do(ctx context.Context, method, path string, body, into any) error {
 	var last error
-	order := c.order()
-	for range rounds {
-		for i := 0; i < len(order); i++ {
-			leader, err := c.try(ctx, order[i], method, path, body, into)
-			if err == nil || final(err) {
-				c.answered(order[i])
+	candidates := c.candidates()
+	for range maxRounds {
+		for i := 0; i < len(candidates); i++ {
+			leader, err := c.attempt(ctx, candidates[i], method, path, body, into)
+			if err == nil || isFinal(err) {
+				c.setPreferred(candidates[i])
 				return err
 			}
 			last = err
-			if leader != "" && leader != order[i] {
-				order = append([]string{leader}, c.addresses...)
+			if leader != "" && leader != candidates[i] {
+				candidates = append([]string{leader}, c.addresses...)
 				break
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return &UnreachableError{c.addresses, last}
-		case <-time.After(retryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 	return &UnreachableError{c.addresses, last}
 }
 
-// order returns the addresses to ask, the replica that answered last first.
-func (c *Client) order() []string {
+// candidates returns the addresses to try, the replica that answered last first.
+func (c *Client) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last == "" {
+	if c.preferred == "" {
 		return c.addresses
 	}
-	return append([]string{c.last}, c.addresses...)
+	return append([]string{c.preferred}, c.addresses...)
 }
 
-func (c *Client) answered(address string) {
+func (c *Client) setPreferred(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last = address
+	c.preferred = address
 }
 
-// final reports whether another replica would answer the same.
-func final(err error) bool {
+// isFinal reports whether every replica would return the same error.
+func isFinal(err error) bool {
 	f, ok := err.(*FailureError)
 	if !ok {
 		return false
@@ -122,7 +122,7 @@
 	return true
 }
 
-func (c *Client) try(ctx context.Context, address, method, path string, body, into any) (leader string, err error) {
+func (c *Client) attempt(ctx context.Context, address, method, path string, body, into any) (leader string, err error) {
 	var reader io.Reader
 	if body != nil {
 		data, err := json.Marshal(body)
@@ -133,7 +133,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, c.scheme+address+path, reader)
 	if err != nil {
-		return "", fmt.Errorf("making the request: %w", err)
+		return "", fmt.Errorf("creating the request: %w", err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	if c.token != "" {
@@ -141,10 +141,10 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return "", fmt.Errorf("asking %s: %w", address, err)
+		return "", fmt.Errorf("sending the request to %s: %w", address, err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return "", fmt.Errorf("reading the answer of %s: %w", address, err)
 	}
@@ -156,7 +156,7 @@
 		return f.Failure.Leader, f
 	}
 	if err := json.Unmarshal(data, into); err != nil {
-		return "", fmt.Errorf("the answer of %s: %w", address, err)
+		return "", fmt.Errorf("decoding the answer of %s: %w", address, err)
 	}
 	return "", nil
 }
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestClientStaysWithTheLeader guards against asking a replica that is frozen
-// or no leader anew for every request.
+// Guards against trying a replica that is frozen or not the leader again at every
+// request.
 func TestClientStaysWithTheLeader(t *testing.T) {
 	asked := 0
 	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -1,5 +1,5 @@
-// Package operator is the operators' HTTP interface of the control replicas:
-// the bodies that travel and the client of the commands.
+// Package operator is the operators' HTTP interface of the control replicas: the
+// types of its bodies and a client.
 package operator
 
 import (
@@ -15,7 +15,7 @@
 	Unset bool   `json:"unset,omitempty"`
 }
 
-// Change is a change of the settings tree.
+// Change is a set of edits of the settings tree.
 type Change struct {
 	ID          string `json:"id"`
 	BaseVersion uint64 `json:"baseVersion"`
@@ -23,7 +23,9 @@
 	Author      string `json:"author,omitempty"`
 }
 
-// Verdicts on a change.
+// Verdicts on a change. Reused means that its ID was used for a different change, and
+// Forgotten that its base version is older than the remembered IDs: the change was not
+// applied now, but may have been accepted before.
 const (
 	Accepted  = "accepted"
 	Conflict  = "conflict"
@@ -32,7 +34,8 @@
 	Forgotten = "forgotten"
 )
 
-// Verdict is the answer to a change.
+// Verdict is the result of submitting a change. Conflicts are the keys that conflict
+// with later changes.
 type Verdict struct {
 	ID        string   `json:"id"`
 	Verdict   string   `json:"verdict"`
@@ -41,15 +44,15 @@
 	Detail    string   `json:"detail,omitempty"`
 }
 
-// Setting is one key set at one path.
+// Setting is the value of one key at one path.
 type Setting struct {
 	Path  string `json:"path"`
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Settings is the tree with its version. Fresh is false if the replica could
-// not confirm with a quorum that nothing newer is accepted.
+// Settings is the tree with its version. Fresh is false if the replica could not
+// confirm with a quorum that this is the latest version.
 type Settings struct {
 	Version   uint64    `json:"version"`
 	Fresh     bool      `json:"fresh"`
@@ -77,28 +80,28 @@
 	SilenceMillis int64  `json:"silenceMillis"`
 }
 
-// Repair is the admission of a replica that came with a new disk.
+// Repair is the admission of a replica that was started on a new disk.
 type Repair struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Step    string `json:"step"`
 }
 
-// Box is one entry box as control knows it.
+// Box is one entry box as control sees it.
 type Box struct {
 	Name         string `json:"name"`
 	Zone         string `json:"zone"`
 	Version      uint64 `json:"version"`
 	Behind       uint64 `json:"behind"`
 	SilentMillis int64  `json:"silentMillis"`
-	// LagMillis is for how long the box has lacked the present version.
+	// LagMillis is how long the box has lacked the current version.
 	LagMillis int64  `json:"lagMillis"`
 	Reported  bool   `json:"seen"`
 	Stopping  bool   `json:"stopping,omitempty"`
 	Pools     []Pool `json:"pools,omitempty"`
 }
 
-// Pool is the load of one pool as its lease holder counts it.
+// Pool is the load of one pool as counted by its lease holder.
 type Pool struct {
 	Service  string `json:"service"`
 	Capacity uint32 `json:"capacity"`
@@ -107,8 +110,8 @@
 	Draining uint32 `json:"draining"`
 }
 
-// Status is what a control replica knows of the system. NeedsAttention lists
-// what a person should look at, worst first; it is empty when all is well.
+// Status is a control replica's view of the system. NeedsAttention lists what an
+// operator should look into, most urgent first; it is empty if all is well.
 type Status struct {
 	NeedsAttention  []string  `json:"needsAttention"`
 	Process         string    `json:"process"`
@@ -124,7 +127,7 @@
 	Boxes           []Box     `json:"boxes"`
 }
 
-// Shift is a shift of traffic.
+// Shift is a shift of traffic between regions.
 type Shift struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
@@ -138,7 +141,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// Event is one event of the time line.
+// Event is one event of the timeline.
 type Event struct {
 	TimeUnixMilli int64  `json:"timeUnixMilli"`
 	Logical       uint32 `json:"logical"`
@@ -152,20 +155,19 @@
 	Detail        string `json:"detail,omitempty"`
 }
 
-// Timeline is the merged time line. Missing names the processes that did not
-// answer.
+// Timeline is the merged timeline. Missing names the processes that did not answer.
 type Timeline struct {
 	Events  []Event  `json:"events"`
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Quarantined is a request under which targets ended.
+// Quarantined is a request that crashed the targets that ran it.
 type Quarantined struct {
-	// Digest names the request, as it stands in logs.
+	// Digest identifies the request; it also appears in logs.
 	Digest string `json:"digest"`
-	// AllCallers tells that it is about whoever sends it, not one caller.
+	// AllCallers is set if it applies to the request from any caller, not from one.
 	AllCallers bool `json:"allCallers"`
-	// Held tells that it reaches no target; else it is watched.
+	// Held is set if the request reaches no target; otherwise it is on probation.
 	Held           bool     `json:"held"`
 	Route          string   `json:"route"`
 	Service        string   `json:"service"`
@@ -173,13 +175,13 @@
 	UntilUnixMilli int64    `json:"untilUnixMilli"`
 }
 
-// Failure is the body of every error answer.
+// Failure is the body of every error response.
 type Failure struct {
-	// Code is a short name of the error that does not change.
+	// Code is a stable short name of the error.
 	Code string `json:"code"`
-	// Message says what is wrong in words.
+	// Message describes the error.
 	Message string `json:"message"`
-	// Leader is the operator address to ask instead, if known.
+	// Leader is the operator address to use instead, if known.
 	Leader string `json:"leader,omitempty"`
 }
 
@@ -195,8 +197,8 @@
 	CodeInvalid        = "invalid"
 )
 
-// ParseEdit reads an edit in the form "path key=value" or "path key" for one
-// that unsets the key.
+// ParseEdit parses an edit in the form "path key=value", or "path key-" for one that
+// unsets the key.
 func ParseEdit(path, assignment string) (Edit, error) {
 	key, value, set := strings.Cut(assignment, "=")
 	if !strings.HasPrefix(path, "/") || key == "" {
--- a/internal/process/logwriter.go
+++ b/internal/process/logwriter.go
@@ -8,57 +8,56 @@
 )
 
 const (
-	// logBuffer bounds the log lines that wait for their reader.
-	logBuffer = 128 << 10
-	// logFlush is how often waiting lines are handed to the reader.
-	logFlush = 250 * time.Millisecond
-	// logLine is the least room kept for one line: what does not fit is left out.
-	logLine = 4 << 10
+	// maxBufferedBytes bounds the buffered log lines.
+	maxBufferedBytes = 128 << 10
+	// flushInterval is how often buffered lines are written to the destination.
+	flushInterval = 250 * time.Millisecond
+	// maxLineBytes bounds one line; longer lines are dropped.
+	maxLineBytes = 4 << 10
 )
 
-// LogWriter hands log lines to a reader without making the writers of the
-// lines wait for it: what the reader does not take in time is left out and
-// counted.
+// LogWriter buffers log lines, so that whoever logs never waits for the
+// destination. Lines that do not fit into the buffer are dropped and counted.
 type LogWriter struct {
-	to      io.Writer
-	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
-	dropped uint64
-	wake    chan struct{}
+	destination io.Writer
+	mu          sync.Mutex
+	buffered    []byte
+	spare       []byte
+	dropped     uint64
+	wake        chan struct{}
 }
 
-// NewLogWriter returns a writer of lines to a reader. Run must follow.
+// NewLogWriter returns a writer of lines to a destination. Call Run to write them.
 func NewLogWriter(to io.Writer) *LogWriter {
-	return &LogWriter{to: to, wake: make(chan struct{}, 1)}
+	return &LogWriter{destination: to, wake: make(chan struct{}, 1)}
 }
 
-// Write implements io.Writer for one line. It never waits and never fails.
+// Write implements io.Writer for one line. It never blocks and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(line) > logLine || len(w.waiting)+len(line) > logBuffer {
+	if len(line) > maxLineBytes || len(w.buffered)+len(line) > maxBufferedBytes {
 		w.dropped++
 		return len(line), nil
 	}
-	if len(w.waiting) == 0 {
+	if len(w.buffered) == 0 {
 		select {
 		case w.wake <- struct{}{}:
 		default:
 		}
 	}
-	w.waiting = append(w.waiting, line...)
+	w.buffered = append(w.buffered, line...)
 	return len(line), nil
 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (w *LogWriter) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// Run hands lines over until the context ends, and then those that still wait.
+// Run writes buffered lines until the context ends, and then the remaining ones.
 func (w *LogWriter) Run(ctx context.Context) error {
 	for {
 		select {
@@ -69,7 +68,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(logFlush):
+		case <-time.After(flushInterval):
 		}
 		w.flush()
 	}
@@ -77,12 +76,12 @@
 
 func (w *LogWriter) flush() {
 	w.mu.Lock()
-	out := w.waiting
-	w.waiting = w.spare[:0]
+	out := w.buffered
+	w.buffered = w.spare[:0]
 	w.spare = nil
 	w.mu.Unlock()
 	if len(out) > 0 {
-		_, _ = w.to.Write(out) // there is nowhere else to tell of it
+		_, _ = w.destination.Write(out) // there is nowhere to report the error
 	}
 	w.mu.Lock()
 	w.spare = out
--- a/internal/process/logwriter_test.go
+++ b/internal/process/logwriter_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// reader is a reader of log lines that may not read.
-type reader struct {
+// stallingWriter is a destination of log lines whose writes can be blocked.
+type stallingWriter struct {
 	mu     sync.Mutex
 	text   bytes.Buffer
 	stalls chan struct{}
 }
 
-func (r *reader) Write(p []byte) (int, error) {
+func (r *stallingWriter) Write(p []byte) (int, error) {
 	if r.stalls != nil {
 		<-r.stalls
 	}
@@ -28,7 +28,7 @@
 
 func TestLogWriterHandsLinesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{}
+		r := &stallingWriter{}
 		w := NewLogWriter(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -46,10 +46,10 @@
 	})
 }
 
-// A reader that does not read costs lines, and no time.
+// A destination that blocks must cost lines, but not delay whoever logs.
 func TestLogWriterDoesNotWaitForItsReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &reader{stalls: make(chan struct{})}
+		r := &stallingWriter{stalls: make(chan struct{})}
 		w := NewLogWriter(r)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -61,16 +61,16 @@
 			_, _ = w.Write(line)
 		}
 		if time.Since(began) != 0 {
-			t.Fatal("a writer of a line waited")
+			t.Fatal("writing a line blocked")
 		}
-		if w.Dropped() < lines-2*logBuffer/1001 {
-			t.Fatalf("%d lines dropped", w.Dropped())
+		if w.Dropped() < lines-2*maxBufferedBytes/1001 {
+			t.Fatalf("%d lines were dropped", w.Dropped())
 		}
 		close(r.stalls)
 		cancel()
 		<-ended
 		if kept := r.text.Len() / 1001; kept+int(w.Dropped()) != lines {
-			t.Fatalf("%d kept, %d dropped", kept, w.Dropped())
+			t.Fatalf("%d lines written, %d dropped", kept, w.Dropped())
 		}
 	})
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what every daemon is made of: a supervisor tree, a log, a
-// registry of metrics and a time line.
+// Package process holds what all daemons share: a supervisor tree, a log, a
+// metrics registry and a timeline.
 package process
 
 import (
@@ -27,36 +27,36 @@
 	ringSize         = 4096
 	incarnationBytes = 4
 	stopTimeout      = 30 * time.Second
-	timelineName     = "timeline"
-	// logTimeFormat tells milliseconds: what a box believes changes within them.
+	timelineFileName = "timeline"
+	// logTimeFormat includes milliseconds: the state of a box changes within them.
 	logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
-	// maxTimelineBytes is when the time line's file is begun anew; the file
-	// before is kept.
+	// maxTimelineBytes is the size at which the timeline file is rotated; one old
+	// file is kept.
 	maxTimelineBytes = 8 << 20
 )
 
 func init() { zerolog.TimeFieldFormat = logTimeFormat }
 
-// Process carries what all parts of a daemon share.
+// Process holds what all parts of a daemon share.
 type Process struct {
 	Name        string
 	Incarnation string
 	Log         zerolog.Logger
 	Metrics     *prometheus.Registry
 	Clock       *timeline.Clock
-	// BootClock tells spans of time; nil for the machine at hand.
+	// BootClock measures durations; nil for the clock of the local machine.
 	BootClock *boottime.Clock
 	Ring      *timeline.Ring
 	events    *prometheus.CounterVec
 	panics    *prometheus.CounterVec
-	// panicLines bounds the log lines of panics.
-	panicLines *LineLimiter
-	file       *eventFile
+	// panicLineLimiter limits the log lines about panics.
+	panicLineLimiter *LineLimiter
+	file             *eventFile
 }
 
-// New returns a process with a new incarnation. If folder is not empty, events
-// are also kept in a file there.
-func New(name string, log io.Writer, level zerolog.Level, folder string) (*Process, error) {
+// New returns a process with a new incarnation. If dir is not empty, events are also
+// stored in a file there.
+func New(name string, log io.Writer, level zerolog.Level, dir string) (*Process, error) {
 	p := &Process{
 		Name:        name,
 		Incarnation: newIncarnation(),
@@ -71,15 +71,15 @@
 	}, []string{"kind"})
 	p.Metrics.MustRegister(p.events)
 	p.panics = p.Counter("panics_total", "Panics that ended one request, by the part of the process.", "part")
-	p.panicLines = NewLineLimiter(panicLines)
+	p.panicLineLimiter = NewLineLimiter(panicLinesPerSecond)
 	var sink func(*wire.TimelineEvent)
-	if folder != "" {
-		f, err := openEventFile(filepath.Join(folder, timelineName))
+	if dir != "" {
+		f, err := openEventFile(filepath.Join(dir, timelineFileName))
 		if err != nil {
 			return nil, err
 		}
 		p.file = f
-		sink = f.add
+		sink = f.write
 	}
 	p.Ring = timeline.NewRing(name, p.Clock, ringSize, sink)
 	return p, nil
@@ -91,38 +91,38 @@
 	return hex.EncodeToString(b)
 }
 
-// Event adds an event to the time line.
+// Event adds an event to the timeline.
 func (p *Process) Event(e *wire.TimelineEvent) {
 	p.events.WithLabelValues(e.Kind).Inc()
 	p.Ring.Add(e)
 }
 
-// RecordStateChange adds an event and a line to the log.
+// RecordStateChange adds an event to the timeline and logs it.
 func (p *Process) RecordStateChange(e *wire.TimelineEvent) {
 	p.Event(e)
 	p.Log.Info().Str("kind", e.Kind).Str("box", e.Box).Str("change", e.Change).Str("shift", e.Shift).Msg(e.Detail)
 }
 
-// RecordRefusedLink notes that another process was refused for its certificate.
+// RecordRefusedLink records that the link of another process was refused for its certificate.
 func (p *Process) RecordRefusedLink(remote string, err error) {
 	p.RecordStateChange(&wire.TimelineEvent{Kind: "linkRefused", Detail: "from " + remote + ": " + err.Error()})
 }
 
-// Counter returns a registered counter.
+// Counter registers a counter and returns it.
 func (p *Process) Counter(name, help string, labels ...string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "ledgesill_" + name, Help: help}, labels)
 	p.Metrics.MustRegister(c)
 	return c
 }
 
-// Histogram returns a registered histogram.
+// Histogram registers a histogram and returns it.
 func (p *Process) Histogram(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "ledgesill_" + name, Help: help, Buckets: buckets}, labels)
 	p.Metrics.MustRegister(h)
 	return h
 }
 
-// Gauge registers a gauge that is read when it is asked for.
+// Gauge registers a gauge whose value is read at each scrape.
 func (p *Process) Gauge(name, help string, read func() float64) {
 	p.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "ledgesill_" + name, Help: help}, read))
 }
@@ -137,7 +137,7 @@
 	})
 }
 
-// Close closes the file of events.
+// Close closes the timeline file.
 func (p *Process) Close() error {
 	if p.file == nil {
 		return nil
@@ -145,7 +145,7 @@
 	return p.file.close()
 }
 
-// Service is a named part of a supervisor tree.
+// Service is a named service of a supervisor tree.
 type Service struct {
 	Name string
 	Run  func(ctx context.Context) error
@@ -154,11 +154,11 @@
 // Serve implements suture.Service.
 func (s Service) Serve(ctx context.Context) error { return s.Run(ctx) }
 
-// String names the service in the supervisor's messages.
+// String returns the name by which the supervisor logs the service.
 func (s Service) String() string { return s.Name }
 
-// eventFile keeps events on the disk. It is not synced: it helps to look back
-// and nothing depends on it.
+// eventFile stores events on disk. It is not synced: it serves diagnosis only and
+// nothing depends on it.
 type eventFile struct {
 	path string
 	file *os.File
@@ -170,14 +170,14 @@
 func openEventFile(path string) (*eventFile, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, eventFilePermissions)
 	if err != nil {
-		return nil, fmt.Errorf("opening the time line's file: %w", err)
+		return nil, fmt.Errorf("opening the timeline file: %w", err)
 	}
 	return &eventFile{path: path, file: f}, nil
 }
 
-func (f *eventFile) add(e *wire.TimelineEvent) {
+func (f *eventFile) write(e *wire.TimelineEvent) {
 	if f.size > maxTimelineBytes {
-		f.begin()
+		f.rotate()
 	}
 	n, err := protodelim.MarshalTo(f.file, e)
 	if err == nil {
@@ -185,13 +185,13 @@
 	}
 }
 
-// begin keeps the full file beside a new one.
-func (f *eventFile) begin() {
-	_ = f.file.Close()                 // nothing depends on what it holds
-	_ = os.Rename(f.path, f.path+".1") // else the new events follow the old ones
+// rotate renames the full file and opens a new one.
+func (f *eventFile) rotate() {
+	_ = f.file.Close()                 // nothing depends on the file
+	_ = os.Rename(f.path, f.path+".1") // if it fails, new events are appended to the old file
 	next, err := openEventFile(f.path)
 	if err != nil {
-		return // tried again at the next event
+		return // the next event tries again
 	}
 	*f = *next
 }
--- a/internal/process/suspensions.go
+++ b/internal/process/suspensions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// suspensionInterval is how often it is looked whether the machine was suspended. It is
-// for people only: decisions go by a clock that counts suspensions at once.
+// suspensionInterval is how often LogSuspensions checks for a suspension. It matters for the
+// log only: decisions use a clock that accounts for a suspension at once.
 const suspensionInterval = time.Second
 
 // LogSuspensions logs each suspension of the machine until the context ends.
--- a/internal/process/suspensions_test.go
+++ b/internal/process/suspensions_test.go
@@ -14,11 +14,11 @@
 	"ledgesill.dev/ledgesill/internal/boottime"
 )
 
-// An operator sees that a machine was suspended, and for how long, once.
+// A suspension of the machine is logged once, with its duration.
 func TestSuspensionIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep atomic.Int64
-		defer boottime.Simulate(func() time.Duration { return time.Duration(asleep.Load()) })()
+		var suspended atomic.Int64
+		defer boottime.Simulate(func() time.Duration { return time.Duration(suspended.Load()) })()
 		var lines bytes.Buffer
 		p, err := New("box", &lines, zerolog.InfoLevel, "")
 		if err != nil {
@@ -28,12 +28,12 @@
 		ended := make(chan error, 1)
 		go func() { ended <- p.LogSuspensions(ctx) }()
 		time.Sleep(3 * time.Second)
-		asleep.Store(int64(5 * time.Second))
+		suspended.Store(int64(5 * time.Second))
 		time.Sleep(3 * time.Second)
 		cancel()
 		<-ended
 		if got := strings.Count(lines.String(), `"kind":"suspended","took":5000`); got != 1 {
-			t.Errorf("%d lines: %s", got, lines.String())
+			t.Errorf("the suspension was logged %d times: %s", got, lines.String())
 		}
 	})
 }
