--- a/internal/relay/suspension_test.go
+++ b/internal/relay/suspension_test.go
@@ -14,13 +14,13 @@
 func TestWordAndReportsAgeInASuspension(t *testing.T) {
 	const length = 5 * time.Second
 	followPair(t, func(t *testing.T, p *replicaPair, _ <-chan uint64) {
-		var asleep atomic.Int64
-		defer boottime.Simulate(func() time.Duration { return time.Duration(asleep.Load()) })()
+		var suspended atomic.Int64
+		defer boottime.Simulate(func() time.Duration { return time.Duration(suspended.Load()) })()
 		time.Sleep(3 * heartbeatInterval)
 		publishing := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		publishing.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: "b"}}})
 		before := p.follower.ControlAge()
-		asleep.Add(int64(length))
+		suspended.Add(int64(length))
 		if age := p.follower.ControlAge(); age < before+length {
 			t.Errorf("control age was %s before a suspension of %s and is %s after it", before, length, age)
 		}
