--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// After five seconds of suspension the steady clock, by which the system went, said that
-// no time had passed: what had run out still counted.
+// Guards against what expired during a suspension and still counts: after five seconds of
+// suspension the monotonic clock says that no time has passed.
 func TestSuspensionCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		defer Simulate(func() time.Duration { return asleep })()
-		before, steady := Now(), time.Now()
+		var suspended time.Duration
+		defer Simulate(func() time.Duration { return suspended })()
+		before, monotonic := Now(), time.Now()
 		deadline := before.Add(3 * time.Second)
 		time.Sleep(time.Second)
-		asleep += 5 * time.Second
+		suspended += 5 * time.Second
 		if got := Since(before); got != 6*time.Second {
 			t.Errorf("%s have passed, want 6s", got)
 		}
 		if got := Until(deadline); got != -3*time.Second {
 			t.Errorf("%s are left, want -3s", got)
 		}
-		if got := time.Since(steady); got != time.Second {
-			t.Fatalf("the steady clock counted %s", got)
+		if got := time.Since(monotonic); got != time.Second {
+			t.Fatalf("the monotonic clock counted %s, want 1s", got)
 		}
 		ctx, cancel := WithDeadline(context.Background(), deadline)
 		defer cancel()
 		if ctx.Err() == nil {
-			t.Error("a context whose deadline has passed goes on")
+			t.Error("a context whose deadline has passed was not cancelled")
 		}
 		ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if at, ok := Deadline(ctx); !ok || Until(at) != time.Second {
-			t.Errorf("a context of one second ends in %s", Until(at))
+			t.Errorf("a context with a timeout of 1s ends in %s", Until(at))
 		}
 	})
 }
 
-// A context ends when its deadline passes in a suspension, at the next reading, and not
-// when what was left by the steady clock is over.
+// A context whose deadline passes during a suspension must end at the next reading, not
+// when the time that was left by the monotonic clock is over.
 func TestDeadlineEndsOnWaking(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		defer Simulate(func() time.Duration { return asleep })()
+		var suspended time.Duration
+		defer Simulate(func() time.Duration { return suspended })()
 		ctx, cancel := WithDeadline(context.Background(), Now().Add(3*time.Second))
 		defer cancel()
 		later, cancelLater := WithDeadline(context.Background(), Now().Add(time.Minute))
 		defer cancelLater()
-		asleep = 5 * time.Second
+		suspended = 5 * time.Second
 		Now()
 		if ctx.Err() == nil || context.Cause(ctx) != context.DeadlineExceeded {
-			t.Errorf("after the suspension: %v", context.Cause(ctx))
+			t.Errorf("cause after the suspension: %v", context.Cause(ctx))
 		}
 		if later.Err() != nil {
-			t.Errorf("one whose deadline lies ahead: %v", context.Cause(later))
+			t.Errorf("cause of a context with a later deadline: %v", context.Cause(later))
 		}
 		cancel()
 		cancelLater()
-		if n := len(machine.Load().deadlines.all); n != 0 {
-			t.Errorf("%d deadlines are kept", n)
+		if n := len(hostMeter.Load().deadlines.contexts); n != 0 {
+			t.Errorf("%d deadlines are kept, want none", n)
 		}
 	})
 }
 
-// A step of the time of day is no suspension, and what a busy process loses between two
-// readings is none.
+// Neither a step of the wall clock nor a delay between two readings in a busy process
+// counts as a suspension.
 func TestOnlySuspensionsCount(t *testing.T) {
 	reading := time.Duration(0)
-	m := newMeter(func() time.Duration { return reading })
+	m := newSuspensionMeter(func() time.Duration { return reading })
 	now := time.Now()
 	for _, c := range []struct {
 		name    string
@@ -78,7 +78,7 @@
 		want    time.Duration
 	}{
 		{"at first", now, 0, 0},
-		{"between looks", now.Add(time.Millisecond), 0, 0},
+		{"between comparisons", now.Add(time.Millisecond), 0, 0},
 		{"a reading that was held up", now.Add(time.Second), -30 * time.Millisecond, 0},
 		{"a suspension", now.Add(2 * time.Second), 5 * time.Second, 5 * time.Second},
 		{"a reading that was held up after it", now.Add(3 * time.Second), 5*time.Second - 30*time.Millisecond, 5 * time.Second},
@@ -91,22 +91,22 @@
 	}
 }
 
-// The clocks are compared as soon as the time of day is not where it was, which a
-// suspension brings about, and not at each reading.
+// The clocks are compared as soon as the wall clock differs from what is expected, as it
+// does after a suspension, and not at each reading.
 func TestSuspensionIsSeenAtOnce(t *testing.T) {
-	looks := 0
-	m := newMeter(func() time.Duration { looks++; return 0 })
+	comparisons := 0
+	m := newSuspensionMeter(func() time.Duration { comparisons++; return 0 })
 	now := time.Now()
 	m.suspended(now)
-	at := looks
-	m.suspended(now.Add(lookInterval / 2))
-	if looks != at {
-		t.Error("the clocks are compared although nothing speaks for a suspension")
+	at := comparisons
+	m.suspended(now.Add(compareInterval / 2))
+	if comparisons != at {
+		t.Error("the clocks were compared without a sign of a suspension")
 	}
-	m.gap.Add(-int64(5 * time.Second)) // as if the time of day had gone ahead
-	m.suspended(now.Add(lookInterval / 2))
-	if looks == at {
-		t.Error("the time of day went ahead and the clocks were not compared")
+	m.wallOffset.Add(-int64(5 * time.Second)) // as if the wall clock had gone ahead
+	m.suspended(now.Add(compareInterval / 2))
+	if comparisons == at {
+		t.Error("the wall clock went ahead and the clocks were not compared")
 	}
 }
 
@@ -116,7 +116,7 @@
 	}
 }
 
-// What a reading costs: time.Now, and Now as it is read between looks.
+// BenchmarkNow compares the cost of time.Now with that of Now between comparisons.
 func BenchmarkNow(b *testing.B) {
 	b.Run("steady", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/boottime/hosts_test.go
+++ b/internal/boottime/hosts_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// allowed are the places that go by the steady clock or the time of day on purpose; the
-// line holds a comment that says why.
-var allowed = regexp.MustCompile(`// (steady clock|time of day): `)
+// marked matches lines that use the monotonic clock or the wall clock on purpose: their
+// comment gives the reason after one of these markers.
+var marked = regexp.MustCompile(`// (steady clock|time of day): `)
 
-var steady = regexp.MustCompile(`\btime\.(Now|Since|Until)\b|context\.WithDeadline\(|\bctx\.Deadline\(\)|\bboottime\.(Now|Since|Until|Suspended|WithDeadline|Deadline)\b`)
+var clockCalls = regexp.MustCompile(`\btime\.(Now|Since|Until)\b|context\.WithDeadline\(|\bctx\.Deadline\(\)|\bboottime\.(Now|Since|Until|Suspended|WithDeadline|Deadline)\b`)
 
-// The hosts decide nothing by a clock that stands still in a suspension, and each goes by its
-// own machine's.
+// Hosts must decide nothing by a clock that stops during a suspension, and each must use
+// the clock of its own machine.
 func TestHostsGoByThisClock(t *testing.T) {
 	for _, root := range []string{"../../internal", "../../platform"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -31,7 +31,7 @@
 				return err
 			}
 			for i, line := range strings.Split(string(text), "\n") {
-				if steady.MatchString(line) && !allowed.MatchString(line) {
+				if clockCalls.MatchString(line) && !marked.MatchString(line) {
 					t.Errorf("%s:%d: %s", path, i+1, strings.TrimSpace(line))
 				}
 			}
