--- a/internal/link/linktest/linktest.go
+++ b/internal/link/linktest/linktest.go
@@ -48,14 +48,14 @@
 }
 
 // transmit reserves the link for some time and returns when the transmission ends.
-func (r *sharedLink) transmit(duration time.Duration) time.Time {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if now := time.Now(); r.busyUntil.Before(now) {
-		r.busyUntil = now
+func (l *sharedLink) transmit(duration time.Duration) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now := time.Now(); l.busyUntil.Before(now) {
+		l.busyUntil = now
 	}
-	r.busyUntil = r.busyUntil.Add(duration)
-	return r.busyUntil
+	l.busyUntil = l.busyUntil.Add(duration)
+	return l.busyUntil
 }
 
 // Listen listens at an address.
@@ -150,9 +150,9 @@
 	data      []byte
 }
 
-func newDirection(r *sharedLink, bytesPerSecond, socketBuffer int) *direction {
+func newDirection(link *sharedLink, bytesPerSecond, socketBuffer int) *direction {
 	return &direction{
-		link:           r,
+		link:           link,
 		bytesPerSecond: bytesPerSecond,
 		socketBuffer:   socketBuffer,
 		frames:         make(chan frame, maxFrames),
@@ -161,35 +161,36 @@
 }
 
 // transmitTime returns how long the transmission of a number of bytes takes.
-func (l *direction) transmitTime(bytes int) time.Duration {
-	if l.bytesPerSecond == 0 {
+func (d *direction) transmitTime(bytes int) time.Duration {
+	if d.bytesPerSecond == 0 {
 		return 0
 	}
-	return time.Duration(float64(bytes) / float64(l.bytesPerSecond) * float64(time.Second))
+	return time.Duration(float64(bytes) / float64(d.bytesPerSecond) * float64(time.Second))
 }
 
 // nextDelay returns the additional delay of the next write.
-func (l *direction) nextDelay() time.Duration {
-	if l.extraDelay == nil {
+func (d *direction) nextDelay() time.Duration {
+	if d.extraDelay == nil {
 		return 0
 	}
-	l.writes++
-	return l.extraDelay(l.writes)
+	d.writes++
+	return d.extraDelay(d.writes)
 }
 
-func (l *direction) nextFrame() (length int, whole bool) {
-	if !l.prefaced {
-		l.prefaced = len(l.pending) > 0
-		return 1, l.prefaced
+// nextFrame returns the length of the next pending frame and whether it is complete.
+func (d *direction) nextFrame() (length int, complete bool) {
+	if !d.prefaced {
+		d.prefaced = len(d.pending) > 0
+		return 1, d.prefaced
 	}
-	if len(l.pending) < frameHeader {
+	if len(d.pending) < frameHeader {
 		return 0, false
 	}
 	n := frameHeader
-	if l.pending[1] == dataFrame {
-		n += int(binary.BigEndian.Uint32(l.pending[frameHeader-4:]))
+	if d.pending[1] == dataFrame {
+		n += int(binary.BigEndian.Uint32(d.pending[frameHeader-4:]))
 	}
-	return n, len(l.pending) >= n
+	return n, len(d.pending) >= n
 }
 
 // Conn is one end of a connection.
@@ -207,25 +208,25 @@
 // Write implements net.Conn. It blocks while more than the socket's buffer is
 // untransmitted.
 func (c *Conn) Write(b []byte) (int, error) {
-	l := c.out
-	if l.dropping.Load() {
+	d := c.out
+	if d.dropping.Load() {
 		return len(b), nil
 	}
-	transmitted := l.link.transmit(l.transmitTime(len(b)))
-	arrives := transmitted.Add(l.nextDelay())
-	l.pending = append(l.pending, b...)
+	transmitted := d.link.transmit(d.transmitTime(len(b)))
+	arrives := transmitted.Add(d.nextDelay())
+	d.pending = append(d.pending, b...)
 	for {
-		n, whole := l.nextFrame()
-		if !whole {
+		n, complete := d.nextFrame()
+		if !complete {
 			break
 		}
-		l.frames <- frame{arrives, append([]byte(nil), l.pending[:n]...)}
-		l.pending = l.pending[n:]
+		d.frames <- frame{arrives, append([]byte(nil), d.pending[:n]...)}
+		d.pending = d.pending[n:]
 	}
 	select {
-	case <-l.closed:
+	case <-d.closed:
 		return 0, net.ErrClosed
-	case <-time.After(time.Until(transmitted) - l.transmitTime(l.socketBuffer)):
+	case <-time.After(time.Until(transmitted) - d.transmitTime(d.socketBuffer)):
 		return len(b), nil
 	}
 }
@@ -254,8 +255,8 @@
 
 // Close implements net.Conn; it closes both directions.
 func (c *Conn) Close() error {
-	for _, l := range []*direction{c.in, c.out} {
-		l.once.Do(func() { close(l.closed) })
+	for _, d := range []*direction{c.in, c.out} {
+		d.once.Do(func() { close(d.closed) })
 	}
 	return nil
 }
--- a/internal/link/node.go
+++ b/internal/link/node.go
@@ -87,8 +87,8 @@
 	forwardSession sessionKind = 'f'
 )
 
-func (n *Node) traffic(use sessionKind) *Traffic {
-	if use == forwardSession {
+func (n *Node) traffic(kind sessionKind) *Traffic {
+	if kind == forwardSession {
 		return &n.Forwarded
 	}
 	return &n.Control
@@ -170,14 +170,14 @@
 		}
 		return
 	}
-	use := make([]byte, 1)
+	kind := make([]byte, 1)
 	_ = c.SetReadDeadline(time.Now().Add(helloTimeout)) // steady clock: deadlines of connections go by it; on one that has ended the read fails
-	if _, err := io.ReadFull(c, use); err != nil {
+	if _, err := io.ReadFull(c, kind); err != nil {
 		_ = c.Close() // the peer has left or sends nothing; it can dial again
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	s, err := openSession(&countingConn{Conn: c, traffic: n.traffic(sessionKind(use[0]))}, false)
+	s, err := openSession(&countingConn{Conn: c, traffic: n.traffic(sessionKind(kind[0]))}, false)
 	if err != nil {
 		_ = c.Close()
 		return
--- a/internal/link/transfer_test.go
+++ b/internal/link/transfer_test.go
@@ -178,7 +178,7 @@
 func (b *partialWriter) Write(p []byte) (int, error) {
 	b.writes++
 	if b.writes == 1 {
-		return len(p) / 2, errors.New("no time left")
+		return len(p) / 2, errors.New("write timed out")
 	}
 	return len(p), nil
 }
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -139,16 +139,16 @@
 func (p *replicaPair) expectVersion(t *testing.T, applied <-chan uint64, version uint64, length int) {
 	t.Helper()
 	before, began := p.sentBytes(), time.Now()
-	carried := time.Duration(float64(length) / boxBytesPerSecond * float64(time.Second))
-	maxTime := carried*11/10 + time.Second
+	transferTime := time.Duration(float64(length) / boxBytesPerSecond * float64(time.Second))
+	maxTime := transferTime*11/10 + time.Second
 	select {
 	case got := <-applied:
 		if got != version {
 			t.Errorf("got version %d, want %d", got, version)
 		}
-	case <-time.After(6 * carried):
-		t.Errorf("version %d did not come within %v; %d bytes were sent, the update has %d; %v",
-			version, 6*carried, p.sentBytes()-before, length, p.notices)
+	case <-time.After(6 * transferTime):
+		t.Errorf("version %d did not arrive within %v; %d bytes were sent, the update has %d; %v",
+			version, 6*transferTime, p.sentBytes()-before, length, p.notices)
 		return
 	}
 	took := time.Since(began)
