--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -187,12 +187,12 @@
 }
 
 // servingNow returns the boxes that serve callers by their latest reports.
-func (d *Daemon) servingNow() []lookup.Nearby {
-	var out []lookup.Nearby
-	fresh := lookup.ReportFresh(len(d.Boxes(recentReports)))
+func (d *Daemon) servingNow() []lookup.BoxLocation {
+	var out []lookup.BoxLocation
+	fresh := lookup.ReportValidity(len(d.Boxes(recentReports)))
 	for _, b := range d.Boxes(fresh) {
 		if b.CallerAddress != "" && !b.Stopping {
-			out = append(out, lookup.Nearby{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
+			out = append(out, lookup.BoxLocation{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
 		}
 	}
 	return out
@@ -203,7 +203,7 @@
 func (d *Daemon) hasLearned() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.learning.Done(d.clock.Now())
+	return d.learning.Ready(d.clock.Now())
 }
 
 // collect takes the reports of boxes.
@@ -218,7 +218,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learning.Heard(d.clock.Now())
+	d.learning.BoxReported(d.clock.Now())
 }
 
 // forPublishing returns a command that led to a state as publishers take it: the
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -69,14 +69,14 @@
 	repairs   map[string]consensus.RepairStep
 	lagging   map[string]time.Time
 	shifts    map[string]string // why a shift waits
-	learning  *lookup.Learning
+	learning  *lookup.StartupGate
 }
 
 // Open recovers the replica and listens. Run must follow.
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
-	if err := journal.MakeFolder(c.Folder); err != nil {
+	if err := journal.MakeDir(c.Folder); err != nil {
 		return nil, fmt.Errorf("making the data folder: %w", err)
 	}
 	events := c.Folder
@@ -121,9 +121,9 @@
 	}
 	r.clock, r.inbox.clock = d.clock, d.clock
 	d.replica = r
-	d.learning = lookup.NewLearning(len(r.machine.Membership().GetVoters()) > 0)
-	if found.CutBytes > 0 {
-		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.CutBytes)
+	d.learning = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
+	if found.TruncatedBytes > 0 {
+		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
 		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
 	d.publishing = relay.NewPublisher(r.state, d.age, d.process.Clock.Stamp)
@@ -389,7 +389,7 @@
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.Filter(d.clock.Now(), d.publishing.Reports(), v.state.Shifting())}
+	report := &wire.Report{Boxes: d.filter.Filter(d.clock.Now(), d.publishing.Reports(), v.state.HasRunningShift())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/control/repeatedupdates_test.go
+++ b/internal/control/repeatedupdates_test.go
@@ -80,9 +80,9 @@
 func TestServingBoxesAreKeptForAMoment(t *testing.T) {
 	var s servingBoxes
 	made := 0
-	fill := func() []lookup.Nearby {
+	fill := func() []lookup.BoxLocation {
 		made++
-		return []lookup.Nearby{{Address: "a"}}
+		return []lookup.BoxLocation{{Address: "a"}}
 	}
 	now := time.Now()
 	check := func(want int, after time.Duration, why string) {
--- a/internal/control/workspaces.go
+++ b/internal/control/workspaces.go
@@ -25,11 +25,11 @@
 	for _, u := range p.issuer.Usage(now) {
 		out = append(out, &wire.WorkspaceUsage{
 			Workspace: u.Workspace, PerSecond: u.Limit.PerSecond, Burst: u.Limit.Burst,
-			PartPerSecond: u.PartPerSecond, Room: u.Room, Issued: u.Issued, Refused: u.Refused,
+			PartPerSecond: u.SharePerSecond, Room: u.Available, Issued: u.Issued, Refused: u.Refused,
 			IssuedPerSecond: u.IssuedPerSecond, RefusedPerSecond: u.RefusedPerSecond,
 		})
 	}
-	return p.issuer.Number(), out
+	return p.issuer.DocumentNumber(), out
 }
 
 func (d *Daemon) ownWorkspaces() *wire.WorkspacesAnswer {
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -23,7 +23,7 @@
 			looks.WithLabelValues(l.String()).Inc()
 		},
 		OnCrash: func(r isolation.BrokenRun) {
-			detail := fmt.Sprintf("target %s ended under request %s of %s", r.Crash.Life, r.Crash.Request, r.Crash.Service)
+			detail := fmt.Sprintf("target %s ended under request %s of %s", r.Crash.Incarnation, r.Crash.Request, r.Crash.Service)
 			d.process.Event(&wire.TimelineEvent{Kind: "targetEnded", Request: r.Request, Detail: detail})
 		},
 	})
@@ -56,11 +56,11 @@
 	}
 	now := e.box.clock.Now()
 	e.box.isolation.ConnectionBroke(isolation.BrokenRun{
-		Crash: quarantine.End{
+		Crash: quarantine.Crash{
 			Request: e.request.fingerprint(), Caller: e.request.caller(),
 			// Targets tell no births; only this box, which holds the pool, sends to them.
-			Life:    fmt.Sprintf("%s@%d", target, now.UnixMilli()),
-			Service: e.request.service, Began: s.began, Ended: now,
+			Incarnation: fmt.Sprintf("%s@%d", target, now.UnixMilli()),
+			Service:     e.request.service, Began: s.began, Ended: now,
 		},
 		Address: address,
 		Request: e.request.id,
@@ -84,7 +84,7 @@
 	verdict := d.isolation.Admit(digest, r.caller())
 	switch verdict.Decision {
 	case quarantine.Held, quarantine.Busy:
-		return refusal(verdict.Decision.String(), verdict.Wait)
+		return refusal(verdict.Decision.String(), verdict.RetryAfter)
 	case quarantine.OnProbation:
 		defer d.isolation.Finish(digest)
 		v.values.RetryAttempts = 1
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -132,14 +132,14 @@
 		left = c.gateway.clock.Until(c.ends) // late is better than not at all
 	}
 	return balance.Request{
-		Service:   c.service,
-		Route:     c.route.Name,
-		Key:       c.key(),
-		Regions:   c.regions,
-		Near:      c.route.Repeat == catalog.Download,
-		Objective: c.route.Objective,
-		Left:      left,
-		Tried:     c.tried,
+		Service:     c.service,
+		Route:       c.route.Name,
+		AffinityKey: c.key(),
+		Regions:     c.regions,
+		PreferLocal: c.route.Repeat == catalog.Download,
+		Objective:   c.route.Objective,
+		Remaining:   left,
+		Tried:       c.tried,
 	}
 }
 
@@ -208,7 +208,7 @@
 	c.mayHaveRun = true
 	c.possibleRuns++
 	expired := errors.Is(context.Cause(e.ctx), context.DeadlineExceeded)
-	late := e.overdue || (expired && e.took > e.choice.Patience)
+	late := e.overdue || (expired && e.took > e.choice.HedgeDelay)
 	if e.failure.outcome == balance.Dropped && late {
 		return balance.Stuck
 	}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -8,10 +8,10 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-func (d *Daemon) budget(service string) *retry.Window {
+func (d *Daemon) budget(service string) *retry.WindowBudget {
 	w := d.balancing.budgets[service]
 	if w == nil {
-		w = retry.NewWindow(d.config.RetryShare, d.config.RetryWindow)
+		w = retry.NewWindowBudget(d.config.RetryShare, d.config.RetryWindow)
 		d.balancing.budgets[service] = w
 	}
 	return w
@@ -20,7 +20,7 @@
 func (d *Daemon) countFirst(service string) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	d.budget(service).First(d.clock.Since(d.started))
+	d.budget(service).RecordFirst(d.clock.Since(d.started))
 }
 
 // allowsRetry reports whether a retry is left in this box's part of the budget of
--- a/internal/gateway/countedtarget_test.go
+++ b/internal/gateway/countedtarget_test.go
@@ -218,14 +218,14 @@
 	}
 	c.asked++
 	i := c.issuers[address]
-	var asks []quota.Ask
+	var asks []quota.SubjectRequest
 	for _, a := range r.TargetAsks {
-		i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), a.Limit))
-		asks = append(asks, quota.Ask{Of: a.Limit.Life, Count: int(a.Count)})
+		i.Apply(time.Now(), targetstatus.UpdateOf(time.Now(), a.Limit))
+		asks = append(asks, quota.SubjectRequest{Subject: a.Limit.Life, Count: int(a.Count)})
 	}
 	out := &wire.PermitAnswer{}
 	for _, g := range i.Issue(time.Now(), asks) {
-		out.Grants = append(out.Grants, &wire.PermitGrant{Workspace: g.Of, Count: uint32(g.Count), LifeMilli: g.Life.Milliseconds(), WaitMilli: g.Wait.Milliseconds()})
+		out.Grants = append(out.Grants, &wire.PermitGrant{Workspace: g.Subject, Count: uint32(g.Count), LifeMilli: g.TTL.Milliseconds(), WaitMilli: g.RetryAfter.Milliseconds()})
 	}
 	return out, nil
 }
@@ -246,9 +246,9 @@
 				continue
 			}
 			for _, w := range told {
-				i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), w))
+				i.Apply(time.Now(), targetstatus.UpdateOf(time.Now(), w))
 			}
-			words, last := i.Known().Since(known[name])
+			words, last := i.Targets().ChangedSince(known[name])
 			known[name] = last
 			for _, w := range words {
 				news = append(news, w.Message(time.Now()))
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -77,7 +77,7 @@
 	balancing struct {
 		sync.Mutex
 		balancer *balance.Balancer
-		budgets  map[string]*retry.Window
+		budgets  map[string]*retry.WindowBudget
 		splits   map[string]*balance.Split
 		boxes    int
 	}
@@ -109,7 +109,7 @@
 	}
 	p.BootClock = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
-	d.balancing.budgets = make(map[string]*retry.Window)
+	d.balancing.budgets = make(map[string]*retry.WindowBudget)
 	d.balancing.splits = make(map[string]*balance.Split)
 	d.connections = newConnections(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -90,7 +90,7 @@
 		return
 	}
 	last := c.pending[len(c.pending)-1]
-	c.alarm.Reset(max(c.gateway.clock.Until(last.began.Add(last.choice.Patience)), minHedgePause))
+	c.alarm.Reset(max(c.gateway.clock.Until(last.began.Add(last.choice.HedgeDelay)), minHedgePause))
 }
 
 // canHedge reports whether the request may go to a further target while one
@@ -156,7 +156,7 @@
 	c.pending = slices.DeleteFunc(c.pending, func(u *pendingAttempt) bool { return u == e.pendingAttempt })
 	c.last = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, fresh: e.attempt.connect > 0, took: e.took}
 	report := balance.Report{
-		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connect, ToldOverdue: e.overdue,
+		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connect, MarkedOverdue: e.overdue,
 	}
 	if e.failure != nil {
 		e.cancel(nil)
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -37,14 +37,14 @@
 		return true
 	}
 	var over *quota.OverLimitError
-	var silent *quota.SilentError
+	var silent *quota.NoIssuerError
 	switch {
 	case c.request.Context().Err() != nil:
 		c.refuse(reasonCallerLeft, permitRetryAfter)
 	case errors.As(err, &over):
-		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.After)
+		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.RetryAfter)
 	case errors.As(err, &silent):
-		c.refuse(reasonLimitUnknown, max(silent.After, leastRoutesWait))
+		c.refuse(reasonLimitUnknown, max(silent.RetryAfter, leastRoutesWait))
 	default:
 		c.refuse(reasonLimitUnknown, permitRetryAfter)
 	}
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -32,13 +32,13 @@
 	// replicas are the addresses of those that can be asked.
 	replicas func() []string
 	// request returns the message of asks.
-	request func(asks []quota.Ask) *wire.PermitRequest
+	request func(asks []quota.SubjectRequest) *wire.PermitRequest
 	// answered is told how an ask has ended.
-	answered func(a quota.IssuerAsks, err error)
+	answered func(a quota.IssuerCall, err error)
 
 	clock *boottime.Clock
 	mu    sync.Mutex
-	stock *quota.Stock
+	stock *quota.PermitCache
 	// changed is closed and replaced when waiting requests may look again.
 	changed chan struct{}
 	// due holds a token when there may be something to ask.
@@ -46,7 +46,7 @@
 }
 
 func newPermits(c *boottime.Clock) *permits {
-	return &permits{clock: c, stock: quota.NewStock(), changed: make(chan struct{}), due: make(chan struct{}, 1)}
+	return &permits{clock: c, stock: quota.NewPermitCache(), changed: make(chan struct{}), due: make(chan struct{}, 1)}
 }
 
 // take returns a permit of a workspace, for which it may wait. The error is an
@@ -55,7 +55,7 @@
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.Count(now, workspace)
+	p.stock.RecordRequest(now, workspace)
 	if until, ok := p.stock.Take(now, workspace); ok {
 		p.wake()
 		return until, nil
@@ -63,8 +63,8 @@
 	p.stock.SetIssuers(p.replicas())
 	latest := time.NewTimer(longestPermitWait)
 	defer latest.Stop()
-	p.stock.Wait(workspace)
-	defer p.stock.Unwait(workspace)
+	p.stock.AddWaiter(workspace)
+	defer p.stock.RemoveWaiter(workspace)
 	for {
 		if err := p.stock.Refusal(p.clock.Now(), workspace); err != nil {
 			return time.Time{}, err
@@ -120,7 +120,7 @@
 
 // endedAsk is how an ask has ended.
 type endedAsk struct {
-	asks   quota.IssuerAsks
+	asks   quota.IssuerCall
 	answer *wire.PermitAnswer
 	err    error
 }
@@ -163,32 +163,32 @@
 }
 
 // plan returns what is to be asked now.
-func (p *permits) plan() []quota.IssuerAsks {
+func (p *permits) plan() []quota.IssuerCall {
 	replicas := p.replicas()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stock.SetIssuers(replicas)
-	return p.stock.Asks(p.clock.Now())
+	return p.stock.StartCalls(p.clock.Now())
 }
 
 func (p *permits) waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stock.Waiting()
+	return p.stock.HasWaiters()
 }
 
-func (p *permits) ask(ctx context.Context, a quota.IssuerAsks) endedAsk {
+func (p *permits) ask(ctx context.Context, a quota.IssuerCall) endedAsk {
 	ctx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	answer, err := p.call(ctx, a.Address, p.request(a.Asks))
+	answer, err := p.call(ctx, a.Address, p.request(a.Requests))
 	return endedAsk{a, answer, err}
 }
 
 // workspaceRequest is the message of asks for permits of workspaces.
-func (d *Daemon) workspaceRequest(asks []quota.Ask) *wire.PermitRequest {
+func (d *Daemon) workspaceRequest(asks []quota.SubjectRequest) *wire.PermitRequest {
 	r := &wire.PermitRequest{Number: d.documentNumber()}
 	for _, one := range asks {
-		r.Asks = append(r.Asks, &wire.PermitAsk{Workspace: one.Of, Count: uint32(one.Count)})
+		r.Asks = append(r.Asks, &wire.PermitAsk{Workspace: one.Subject, Count: uint32(one.Count)})
 	}
 	return r
 }
@@ -199,21 +199,21 @@
 	defer p.mu.Unlock()
 	defer p.tellLocked()
 	if e.err != nil {
-		p.stock.Unanswered(p.clock.Now(), e.asks)
+		p.stock.HandleFailure(p.clock.Now(), e.asks)
 		return
 	}
 	if e.answer.GetBehind() {
-		p.stock.Behind(p.clock.Now(), e.asks)
+		p.stock.HandleStale(p.clock.Now(), e.asks)
 		return
 	}
 	grants := make([]quota.Grant, 0, len(e.answer.GetGrants()))
 	for _, g := range e.answer.GetGrants() {
 		grants = append(grants, quota.Grant{
-			Of: g.Workspace, Count: int(g.Count),
-			Life: time.Duration(g.LifeMilli) * time.Millisecond, Wait: time.Duration(g.WaitMilli) * time.Millisecond,
+			Subject: g.Workspace, Count: int(g.Count),
+			TTL: time.Duration(g.LifeMilli) * time.Millisecond, RetryAfter: time.Duration(g.WaitMilli) * time.Millisecond,
 		})
 	}
-	p.stock.Answered(p.clock.Now(), e.asks, grants)
+	p.stock.HandleGrants(p.clock.Now(), e.asks, grants)
 }
 
 // tell has waiting requests look again.
@@ -232,7 +232,7 @@
 func (p *permits) forget(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.Forget(now)
+	p.stock.RemoveIdle(now)
 }
 
 func (d *Daemon) documentNumber() uint64 {
@@ -244,7 +244,7 @@
 
 // recordPermits counts an ask that has ended. Why it was not answered is told once,
 // until the replica answers again.
-func (d *Daemon) recordPermits(a quota.IssuerAsks, err error) {
+func (d *Daemon) recordPermits(a quota.IssuerCall, err error) {
 	d.metrics.permitAsks.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
 	if !d.permitWord.note(a.Address, err == nil) {
 		return
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -41,7 +41,7 @@
 		return
 	}
 	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.Crash.Request.String()).
-		Str("target", r.Crash.Life).Str("route", r.Crash.Route).Str("service", r.Crash.Service).
+		Str("target", r.Crash.Incarnation).Str("route", r.Crash.Route).Str("service", r.Crash.Service).
 		Dur("ran", r.Crash.Ended.Sub(r.Crash.Began)).Msg("a target ended while it ran a request")
 }
 
@@ -113,7 +113,7 @@
 		c.probation = true
 	case quarantine.Busy, quarantine.Held:
 		c.verdict = &v
-		c.refuse(v.Decision.String(), v.Wait)
+		c.refuse(v.Decision.String(), v.RetryAfter)
 		return false
 	}
 	return true
@@ -154,8 +154,8 @@
 	id := c.identity()
 	now := c.gateway.clock.Now()
 	c.gateway.isolation.ConnectionBroke(isolation.BrokenRun{
-		Crash: quarantine.End{
-			Request: id.digest, Caller: id.caller, Life: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
+		Crash: quarantine.Crash{
+			Request: id.digest, Caller: id.caller, Incarnation: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
 			Began: e.began, Ended: now,
 		},
 		Address: e.choice.Target.Address,
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -29,7 +29,7 @@
 	}
 	if c.last.target.ID != "" {
 		line = line.Str("target", c.last.target.ID).Str("targetZone", c.last.target.Zone).Str("outcome", c.last.outcome.String()).
-			Uint64("targetsVersion", c.last.choice.Version).Dur("targetTook", c.last.took).Dur("wait", c.last.choice.Wait).Float64("load", c.last.choice.Load).
+			Uint64("targetsVersion", c.last.choice.Version).Dur("targetTook", c.last.took).Dur("wait", c.last.choice.ExpectedWait).Float64("load", c.last.choice.Load).
 			Bool("newConnection", c.last.fresh).Int("sent", c.sent).Int("dials", c.dials).Bool("mayHaveRun", c.mayHaveRun)
 		if c.last.choice.Skipped != "" {
 			line = line.Str("skipped", c.last.choice.Skipped)
@@ -57,7 +57,7 @@
 		return line
 	}
 	return line.Int("registered", c.none.Registered).Str("fullTarget", c.none.Target).Float64("fullLoad", c.none.Load).
-		Int("fullSlots", c.none.Slots).Dur("reckonedWait", c.none.Wait).Dur("longestWait", c.none.Longest).
+		Int("fullSlots", c.none.Slots).Dur("reckonedWait", c.none.ExpectedWait).Dur("longestWait", c.none.MaxWait).
 		Float64("serviceLoad", c.none.ServiceLoad).Int("backedOff", c.none.BackedOff)
 }
 
@@ -96,7 +96,7 @@
 		line = line.Bool("onProbation", true)
 	}
 	if c.verdict != nil {
-		line = line.Int("endedTargets", c.verdict.Lives).Bool("listed", c.verdict.Listed)
+		line = line.Int("endedTargets", c.verdict.CrashedTargets).Bool("listed", c.verdict.Listed)
 	}
 	return line
 }
--- a/internal/gateway/splits.go
+++ b/internal/gateway/splits.go
@@ -44,7 +44,7 @@
 	if len(d.balancing.splits) > most {
 		keepSplits(d.balancing.splits, document)
 	}
-	if d.balancing.balancer.Routes() > most {
+	if d.balancing.balancer.RouteCount() > most {
 		d.balancing.balancer.KeepRoutes(routeNames(document))
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -63,7 +63,7 @@
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	for _, s := range services {
-		d.balancing.balancer.SetCold(s.Name, balance.ColdLimit{Time: s.ColdTime, Rate: s.ColdRate})
+		d.balancing.balancer.SetColdLimit(s.Name, balance.ColdLimit{Time: s.ColdTime, Rate: s.ColdRate})
 	}
 }
 
@@ -107,16 +107,16 @@
 
 func (d *Daemon) target(r *wire.Registration) balance.Target {
 	return balance.Target{
-		ID:       catalog.IncarnationOf(r).String(),
-		Name:     r.Id,
-		Service:  r.Service,
-		Address:  r.Address,
-		Zone:     r.Zone,
-		Region:   d.config.RegionOf[r.Zone],
-		Slots:    int(r.Slots),
-		Draining: r.Draining,
-		Cold:     r.ColdMilli > 0,
-		ColdLeft: time.Duration(r.ColdMilli) * time.Millisecond,
+		ID:            catalog.IncarnationOf(r).String(),
+		Name:          r.Id,
+		Service:       r.Service,
+		Address:       r.Address,
+		Zone:          r.Zone,
+		Region:        d.config.RegionOf[r.Zone],
+		Slots:         int(r.Slots),
+		Draining:      r.Draining,
+		Cold:          r.ColdMilli > 0,
+		ColdRemaining: time.Duration(r.ColdMilli) * time.Millisecond,
 	}
 }
 
@@ -141,7 +141,7 @@
 func (d *Daemon) knows(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return d.balancing.balancer.Knows(target)
+	return d.balancing.balancer.HasTarget(target)
 }
 
 // isLeaving reports whether a target is to end, or has ended, as planned.
@@ -185,7 +185,7 @@
 // than it is waited for; the request stays under way.
 func (d *Daemon) overdue(r balance.Report) {
 	d.balancing.Lock()
-	change := d.balancing.balancer.Overdue(d.clock.Now(), r)
+	change := d.balancing.balancer.MarkOverdue(d.clock.Now(), r)
 	d.balancing.Unlock()
 	d.logTarget(change, r)
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
-	if change == balance.LeftOut {
+	if change == balance.Ejected {
 		line.Msg("target is left out for a while")
 		return
 	}
@@ -206,7 +206,7 @@
 func (d *Daemon) setColdLeft(target string, left time.Duration) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	d.balancing.balancer.SetColdLeft(d.clock.Now(), target, left)
+	d.balancing.balancer.SetColdRemaining(d.clock.Now(), target, left)
 }
 
 // retryAfter is when a request that a target did not run may come back.
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -215,7 +215,7 @@
 		s := newScene(t, testConfig(), 1)
 		s.daemon.setCold([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
 		s.daemon.setColdLeft("t0", 3*time.Second)
-		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second}
+		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second}
 		if _, err := s.daemon.choose(request); err == nil {
 			t.Fatal("a cold target without a turn was chosen")
 		}
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -52,7 +52,7 @@
 
 	mu    sync.Mutex
 	known *targetstatus.Registry
-	alone *quota.Alone
+	alone *quota.Fallback
 	// pending are changes that answers to this box brought, by incarnation, with the times
 	// since which they are reported.
 	pending map[string]time.Time
@@ -62,21 +62,21 @@
 
 func newTargetLimits(box string, c *boottime.Clock) *targetLimits {
 	p := newPermits(c)
-	p.stock = quota.NewTargetStock()
-	l := &targetLimits{clock: c, permits: p, known: targetstatus.NewRegistry(), alone: quota.NewAlone(box), pending: make(map[string]time.Time)}
+	p.stock = quota.NewTargetPermitCache()
+	l := &targetLimits{clock: c, permits: p, known: targetstatus.NewRegistry(), alone: quota.NewFallback(box), pending: make(map[string]time.Time)}
 	p.request = l.request
 	return l
 }
 
 // request is for permits; it carries what is known of the limits, as the replica
 // may have started since.
-func (l *targetLimits) request(asks []quota.Ask) *wire.PermitRequest {
+func (l *targetLimits) request(asks []quota.SubjectRequest) *wire.PermitRequest {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &wire.PermitRequest{}
 	for _, a := range asks {
-		known := targetstatus.Messages(now, l.known.Updates(a.Of))
+		known := targetstatus.Messages(now, l.known.Updates(a.Subject))
 		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: known[0], Further: known[1:], Count: uint32(a.Count)})
 	}
 	return r
@@ -120,9 +120,9 @@
 }
 
 func (l *targetLimits) take(u targetstatus.Update) (targetstatus.Change, bool) {
-	c, changed := l.known.Take(u)
+	c, changed := l.known.Apply(u)
 	if changed {
-		l.named.Store(int32(l.known.Limited()))
+		l.named.Store(int32(l.known.LimitedCount()))
 	}
 	return c, changed
 }
@@ -171,10 +171,10 @@
 	l.permits.forget(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known.Keep(now, lives)
+	l.known.Prune(now, lives)
 	maps.DeleteFunc(l.pending, func(life string, _ time.Time) bool { return !lives(life) })
-	l.alone.Keep(func(life string) bool { return l.known.HasLimit(life) })
-	l.named.Store(int32(l.known.Limited()))
+	l.alone.Prune(func(life string) bool { return l.known.HasLimit(life) })
+	l.named.Store(int32(l.known.LimitedCount()))
 }
 
 // permit returns a permit to send a request to a target, for which it may wait. The error
@@ -207,7 +207,7 @@
 func pauseAfter(err error) time.Duration {
 	var over *quota.OverLimitError
 	if errors.As(err, &over) {
-		return max(over.Room, leastPermitPause)
+		return max(over.AvailableIn, leastPermitPause)
 	}
 	return permitPause
 }
@@ -225,7 +225,7 @@
 	waitEnds := c.gateway.permitWaitEnds(wait)
 	for {
 		wanted := c.wanted()
-		wanted.Unlimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
+		wanted.ExcludeLimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
 		choice, err := c.gateway.choose(wanted)
 		if err != nil || !choice.Limited {
 			return chosen{Choice: choice}, err
@@ -242,7 +242,7 @@
 }
 
 func maxSkippedOf(r balance.Request) int {
-	if r.Key != "" {
+	if r.AffinityKey != "" {
 		return maxSkippedLimitedObject
 	}
 	return maxSkippedLimited
--- a/internal/gateway/targetpermits_test.go
+++ b/internal/gateway/targetpermits_test.go
@@ -130,7 +130,7 @@
 		}}})
 		s.daemon.steered = nil
 		s.daemon.putInForce(state, nil)
-		choice, err := s.daemon.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second, Tried: []string{"t0"}})
+		choice, err := s.daemon.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second, Tried: []string{"t0"}})
 		if err != nil || choice.Target.ID != "t9" || !choice.Limited {
 			t.Errorf("got %+v, %v", choice, err)
 		}
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -17,11 +17,11 @@
 func (a *attempt) observe(response *http.Response) targetstatus.Status {
 	d := a.gateway
 	status := d.config.Protocol.Status.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
-	if len(status.Unread) > 0 {
-		d.logUnread(a, status.Unread)
+	if len(status.Unparsed) > 0 {
+		d.logUnread(a, status.Unparsed)
 	}
-	if status.ColdLeft > 0 {
-		d.setColdLeft(a.target.ID, status.ColdLeft)
+	if status.WarmupRemaining > 0 {
+		d.setColdLeft(a.target.ID, status.WarmupRemaining)
 	}
 	if status.BackOff > 0 {
 		d.backOff(a, status)
@@ -85,7 +85,7 @@
 func (d *Daemon) backedOff() float64 {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return float64(d.balancing.balancer.BackedOff(d.clock.Now()))
+	return float64(d.balancing.balancer.BackedOffCount(d.clock.Now()))
 }
 
 // logUnread logs headers of a target that could not be read; the answer counts as without.
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -31,7 +31,7 @@
 // BrokenRun is a run whose connection broke after the request was sent.
 type BrokenRun struct {
 	// Crash describes the run; it counts only if a probe finds that the target crashed.
-	Crash quarantine.End
+	Crash quarantine.Crash
 	// Address is that of the target, and Request the ID of the request.
 	Address string
 	Request string
@@ -119,7 +119,7 @@
 func (i *Isolation) Run(ctx context.Context) error {
 	l := &loop{pending: make(map[string][]BrokenRun), probes: make(chan ProbeResult), sent: make(chan sendResult)}
 	defer l.running.Wait()
-	expire := time.NewTicker(quarantine.Memory / 10)
+	expire := time.NewTicker(quarantine.EvidenceRetention / 10)
 	defer expire.Stop()
 	send := time.NewTimer(0)
 	defer send.Stop()
@@ -138,7 +138,7 @@
 			send.Reset(i.sendDue(ctx, l))
 		case s := <-l.sent:
 			i.mu.Lock()
-			i.outbox.Ended(i.config.Clock.Now(), s.address, s.err == nil)
+			i.outbox.HandleResult(i.config.Clock.Now(), s.address, s.err == nil)
 			i.mu.Unlock()
 			send.Reset(i.sendDue(ctx, l))
 		case <-expire.C:
@@ -149,7 +149,7 @@
 
 // startProbe probes the target of a broken run. One probe serves all broken runs of a target.
 func (i *Isolation) startProbe(ctx context.Context, l *loop, r BrokenRun) {
-	incarnation := r.Crash.Life
+	incarnation := r.Crash.Incarnation
 	if len(l.pending[incarnation]) == 0 {
 		if len(l.pending) >= maxProbes {
 			return
@@ -169,8 +169,8 @@
 	replicas := i.config.Replicas()
 	i.mu.Lock()
 	i.outbox.SetReplicas(replicas)
-	batches := i.outbox.Due(now)
-	next := i.outbox.Next()
+	batches := i.outbox.NextBatches(now)
+	next := i.outbox.NextAt()
 	i.mu.Unlock()
 	for _, b := range batches {
 		e := encodeEvidence(now, b.Items)
@@ -186,9 +186,9 @@
 func encodeEvidence(now time.Time, items []quarantine.Item) *wire.Evidence {
 	out := &wire.Evidence{}
 	for _, i := range items {
-		if e := i.End; e != nil {
+		if e := i.Crash; e != nil {
 			out.Ends = append(out.Ends, &wire.RunEnd{
-				Digest: e.Request[:], Caller: uint64(e.Caller), Life: e.Life, Route: e.Route, Service: e.Service,
+				Digest: e.Request[:], Caller: uint64(e.Caller), Life: e.Incarnation, Route: e.Route, Service: e.Service,
 				BeganAgoMilli: now.Sub(e.Began).Milliseconds(), EndedAgoMilli: now.Sub(e.Ended).Milliseconds(),
 			})
 		}
@@ -248,10 +248,10 @@
 	now := i.config.Clock.Now()
 	for _, r := range runs {
 		i.mu.Lock()
-		isNew := i.guard.Ended(now, r.Crash)
+		isNew := i.guard.RecordCrash(now, r.Crash)
 		i.idle.Store(i.guard.IsIdle())
 		if isNew {
-			i.outbox.Add(now, quarantine.Item{End: &r.Crash})
+			i.outbox.Add(now, quarantine.Item{Crash: &r.Crash})
 		}
 		i.mu.Unlock()
 		if isNew {
@@ -273,7 +273,7 @@
 func (i *Isolation) RecordAnswer(d quarantine.Digest, c quarantine.Caller) {
 	now := i.config.Clock.Now()
 	i.mu.Lock()
-	isNew := i.guard.Answered(now, d, c)
+	isNew := i.guard.RecordAnswer(now, d, c)
 	if isNew {
 		i.outbox.Add(now, quarantine.Item{Answer: &quarantine.Answer{Request: d, Caller: c, At: now}})
 	}
@@ -302,7 +302,7 @@
 func (i *Isolation) removeExpired(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.guard.Forget(now)
+	i.guard.RemoveExpired(now)
 	i.idle.Store(i.guard.IsIdle())
 }
 
@@ -310,7 +310,7 @@
 func (i *Isolation) SuspectCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.guard.Suspects()
+	return i.guard.SuspectCount()
 }
 
 // Admit decides on a request that arrives. One admitted on probation must be passed to
@@ -334,5 +334,5 @@
 	now, wall := i.config.Clock.Now(), time.Now() // time of day: entries of the list expire by it
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.guard.MayRepeat(now, wall, d, c)
+	return i.guard.MayRetry(now, wall, d, c)
 }
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -45,10 +45,10 @@
 	return i
 }
 
-func crashOf(request, incarnation string) quarantine.End {
+func crashOf(request, incarnation string) quarantine.Crash {
 	now := time.Now()
-	return quarantine.End{
-		Request: quarantine.Request{Target: request}.Digest(), Caller: quarantine.CallerOf("c"), Life: incarnation, Began: now.Add(-time.Millisecond), Ended: now,
+	return quarantine.Crash{
+		Request: quarantine.Request{Target: request}.Digest(), Caller: quarantine.CallerOf("c"), Incarnation: incarnation, Began: now.Add(-time.Millisecond), Ended: now,
 	}
 }
 
@@ -118,7 +118,7 @@
 	const contact, arrivals = 3 * time.Second, 60
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		store := quarantine.NewLedger()
+		store := quarantine.NewEvidenceStore()
 		var list []quarantine.Entry
 		failingUntil := time.Now().Add(2 * time.Second)
 		send := func(_ context.Context, address string, e *wire.Evidence) error {
@@ -133,9 +133,9 @@
 			defer mu.Unlock()
 			for _, r := range e.Ends {
 				at := time.Now().Add(-time.Duration(r.EndedAgoMilli) * time.Millisecond)
-				crash := quarantine.End{Caller: quarantine.Caller(r.Caller), Life: r.Life, Began: at.Add(-time.Millisecond), Ended: at}
+				crash := quarantine.Crash{Caller: quarantine.Caller(r.Caller), Incarnation: r.Life, Began: at.Add(-time.Millisecond), Ended: at}
 				copy(crash.Request[:], r.Digest)
-				store.Ended(time.Now(), crash)
+				store.RecordCrash(time.Now(), crash)
 			}
 			return nil
 		}
@@ -162,7 +162,7 @@
 			}
 			time.Sleep(200 * time.Millisecond)
 			mu.Lock()
-			for _, o := range store.Due(time.Now(), time.Now(), list) {
+			for _, o := range store.PendingChanges(time.Now(), time.Now(), list) {
 				if o.Entry.Held {
 					list = nil
 				}
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -313,7 +313,7 @@
 	if f.stream == nil || f.config.Reports == nil {
 		return
 	}
-	due := f.filter.Filter(f.config.BootClock.Now(), f.config.Reports(), f.machine.State().Shifting())
+	due := f.filter.Filter(f.config.BootClock.Now(), f.config.Reports(), f.machine.State().HasRunningShift())
 	if len(due) == 0 {
 		return
 	}
--- a/internal/relay/publisher.go
+++ b/internal/relay/publisher.go
@@ -281,7 +281,7 @@
 // entryBoxes returns the boxes that serve callers and a key of the list. It
 // returns nil if the key is the last one sent.
 func (p *Publisher) entryBoxes(sentBoxes string) (*wire.EntryBoxes, string) {
-	recent := p.RecentReports(max(entryBoxValidity, lookup.ReportFresh(len(p.RecentReports(2*entryBoxValidity)))))
+	recent := p.RecentReports(max(entryBoxValidity, lookup.ReportValidity(len(p.RecentReports(2*entryBoxValidity)))))
 	if len(recent) == 0 {
 		return nil, sentBoxes
 	}
