--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -42,7 +42,7 @@
 	log       zerolog.Logger
 	started   time.Time
 	node      *link.Node
-	following *relay.Following
+	following *relay.Follower
 	// controlAge is how long ago control was last heard of.
 	controlAge  func() time.Duration
 	controls    *controls
@@ -58,8 +58,8 @@
 	reportWord  silences
 	permitWord  silences
 	metrics     *metrics
-	servedLines *process.LineLimit
-	otherLines  *process.LineLimit
+	servedLines *process.LineLimiter
+	otherLines  *process.LineLimiter
 	callers     *callers
 	ready       net.Listener
 	exposed     net.Listener
@@ -103,18 +103,18 @@
 		started:     c.Clock.Now(),
 		clock:       c.Clock,
 		metrics:     newMetrics(p.Metrics),
-		servedLines: process.NewLineLimit(servedLines),
-		otherLines:  process.NewLineLimit(otherLines),
+		servedLines: process.NewLineLimiter(servedLines),
+		otherLines:  process.NewLineLimiter(otherLines),
 		reportDue:   make(chan struct{}, 1),
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
 	d.balancing.budgets = make(map[string]*retry.WindowBudget)
 	d.balancing.splits = make(map[string]*balance.Split)
 	d.connections = newConnections(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
 	p.Gauge("log_lines_dropped", "Log lines that the reader did not take in time.", func() float64 { return float64(lines.Dropped()) })
-	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.Age().Seconds() })
+	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.ControlAge().Seconds() })
 	d.shaper = newShaper(c.LinkBytes)
 	d.shaper.clock = d.clock
 	d.longAnswers = newLinkQueue(c.LinkBytes)
@@ -131,42 +131,42 @@
 	d.targetLimits.permits.answered = d.recordPermits
 	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOff)
 	d.isolation = d.newIsolation()
-	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
+	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.SuspectCount()) })
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
-	d.following = relay.NewFollowing(relay.Subscriber{
+	d.following = relay.NewFollower(relay.FollowerConfig{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
 		PeerAddress: c.Peers,
 		Node:        func() *link.Node { return d.node },
 		Clock:       p.Clock,
-		Time:        d.clock,
+		BootClock:   d.clock,
 		Seed:        seed.Sum64(),
 		StaleAfter:  staleAfter,
 		Sources:     d.sources,
-		PutInForce:  d.putInForce,
+		ApplyState:  d.putInForce,
 		EntryBoxes:  d.setBoxes,
 		Limits:      d.takeUpdates,
 		Event:       d.recordEvent,
 	})
-	d.controlAge = d.following.Age
+	d.controlAge = d.following.ControlAge
 	return d, d.listen()
 }
 
 // recordEvent keeps an event in the time line. What comes into force has its own
 // line in the log, one for many commands; other events are logged as they are.
 func (d *Daemon) recordEvent(e *wire.TimelineEvent) {
-	if e.Kind == relay.EventInForce {
+	if e.Kind == relay.EventActive {
 		d.process.Event(e)
 		return
 	}
-	d.process.StateChange(e)
+	d.process.RecordStateChange(e)
 }
 
 func (d *Daemon) listen() error {
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	d.node = link.Dialer(id, d.process.Clock, nil)
+	d.node = link.NewClient(id, d.process.Clock, nil)
 	callers, err := newCallers(d)
 	if err != nil {
 		return err
@@ -235,7 +235,7 @@
 			return process.ServeHTTP(ctx, d.ready, d.config.ReadyHandler(d.isReady))
 		}},
 		process.Service{Name: "sweep", Run: d.sweep},
-		process.Service{Name: "suspensions", Run: d.process.NoteSuspensions},
+		process.Service{Name: "suspensions", Run: d.process.LogSuspensions},
 	}
 	if d.exposed != nil {
 		out = append(out, process.Service{Name: "metrics", Run: d.serveMetrics})
