--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -147,7 +147,7 @@
 	if !c.route.Affinity {
 		return ""
 	}
-	return c.request.Header.Get(c.gateway.config.Protocol.ObjectKey)
+	return c.request.Header.Get(c.gateway.config.Protocol.AffinityKey)
 }
 
 // releaseWhenRead ends the attempt's context once its answer has been read.
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -9,10 +9,10 @@
 )
 
 func (d *Daemon) budget(service string) *retry.Window {
-	w := d.balancing.budgets[service]
+	w := d.balancing.retryBudgets[service]
 	if w == nil {
 		w = retry.NewWindow(d.config.RetryShare, d.config.RetryWindow)
-		d.balancing.budgets[service] = w
+		d.balancing.retryBudgets[service] = w
 	}
 	return w
 }
@@ -36,13 +36,13 @@
 // another one has none for the length of a window: the one before may have taken
 // them, and when all boxes are stopped in turn that would double what all take.
 func (d *Daemon) retryExtra() float64 {
-	if d.balancing.boxes == 0 {
+	if d.balancing.boxCount == 0 {
 		return math.Inf(-1)
 	}
 	if d.config.Restarted && d.clock.Since(d.started) < d.config.RetryWindow {
 		return 0
 	}
-	return d.config.RetryExtra / float64(d.balancing.boxes)
+	return d.config.RetryExtra / float64(d.balancing.boxCount)
 }
 
 // errNoRetries says that the budget of retries is used up.
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -44,7 +44,7 @@
 }
 
 func newCallers(d *Daemon) (*callers, error) {
-	l, err := net.Listen("tcp4", d.config.Callers)
+	l, err := net.Listen("tcp4", d.config.CallerAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "listening for callers")
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -20,13 +20,13 @@
 	Region string
 	// RegionOf gives the region of every availability zone.
 	RegionOf map[string]string
-	// Callers, Ready and Metrics are the addresses to listen on for callers,
+	// CallerAddress, Ready and Metrics are the addresses to listen on for callers,
 	// readiness checks and metrics; Peers is this box's address among the
 	// processes of the system.
-	Callers string
-	Ready   string
-	Metrics string
-	Peers   string
+	CallerAddress  string
+	ReadyAddress   string
+	MetricsAddress string
+	PeerAddress    string
 	// Seeds are the peer addresses of some control replicas.
 	Seeds    []string
 	Protocol Protocol
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -76,10 +76,10 @@
 	// balancing guards what requests decide by.
 	balancing struct {
 		sync.Mutex
-		balancer *balance.Balancer
-		budgets  map[string]*retry.Window
-		splits   map[string]*balance.Split
-		boxes    int
+		balancer     *balance.Balancer
+		retryBudgets map[string]*retry.Window
+		splits       map[string]*balance.Split
+		boxCount     int
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	p.Time = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
-	d.balancing.budgets = make(map[string]*retry.Window)
+	d.balancing.retryBudgets = make(map[string]*retry.Window)
 	d.balancing.splits = make(map[string]*balance.Split)
 	d.connections = newConnections(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
@@ -138,7 +138,7 @@
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
-		PeerAddress: c.Peers,
+		PeerAddress: c.PeerAddress,
 		Node:        func() *link.Node { return d.node },
 		Clock:       p.Clock,
 		Time:        d.clock,
@@ -172,13 +172,13 @@
 		return err
 	}
 	d.callers = callers
-	if d.ready, err = net.Listen("tcp4", d.config.Ready); err != nil {
+	if d.ready, err = net.Listen("tcp4", d.config.ReadyAddress); err != nil {
 		return errors.Wrap(err, "listening for readiness checks")
 	}
-	if d.config.Metrics == "" {
+	if d.config.MetricsAddress == "" {
 		return nil
 	}
-	if d.exposed, err = net.Listen("tcp4", d.config.Metrics); err != nil {
+	if d.exposed, err = net.Listen("tcp4", d.config.MetricsAddress); err != nil {
 		return errors.Wrap(err, "listening for metrics")
 	}
 	return nil
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -24,7 +24,7 @@
 // testProtocol has the headers of these tests.
 func testProtocol() Protocol {
 	return Protocol{
-		RequestID: "Test-Id", ObjectKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
+		RequestID: "Test-Id", AffinityKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
 		Status: targetstatus.Headers{
 			NotRun: "Test-Not-Executed", Load: "Test-Load", ColdLeft: "Test-Cold", Limit: limitHeader, Leaving: leavingHeader,
 			ParseLoad: targetstatus.ParseLoad,
@@ -113,7 +113,7 @@
 func testConfig() Config {
 	return Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
-		Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: testRoutes,
+		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: testRoutes,
 		RetryShare: 1, RetryExtra: 100, RetryWindow: 10 * time.Second, LogLevel: zerolog.Disabled,
 	}
 }
--- a/internal/gateway/head.go
+++ b/internal/gateway/head.go
@@ -93,7 +93,7 @@
 // box only: a caller's word on them does not go on.
 func (p Protocol) isOwn(name string) bool {
 	return strings.EqualFold(name, p.Deadline) || strings.EqualFold(name, p.ExpectTarget) ||
-		strings.EqualFold(name, p.Workspace) || strings.EqualFold(name, p.Key)
+		strings.EqualFold(name, p.Workspace) || strings.EqualFold(name, p.WorkspaceKey)
 }
 
 func appendLine(out []byte, name, value string) []byte {
--- a/internal/gateway/identity.go
+++ b/internal/gateway/identity.go
@@ -46,7 +46,7 @@
 // keyOfWorkspace returns the key of the request. One that carries several
 // carries none.
 func (c *call) keyOfWorkspace() (key string, given bool) {
-	values := c.request.Header[http.CanonicalHeaderKey(c.gateway.config.Protocol.Key)]
+	values := c.request.Header[http.CanonicalHeaderKey(c.gateway.config.Protocol.WorkspaceKey)]
 	if len(values) != 1 || values[0] == "" {
 		return "", false
 	}
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/identity_test.go
@@ -37,7 +37,7 @@
 // keyedProtocol has headers for keys beside those of the other tests.
 func keyedProtocol() Protocol {
 	p := testProtocol()
-	p.Key = "Test-Secret"
+	p.WorkspaceKey = "Test-Secret"
 	p.Workspace = "Test-Workspace"
 	return p
 }
--- a/internal/gateway/inforce_bench_test.go
+++ b/internal/gateway/inforce_bench_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	d, err := Open(Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
-		Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: decode,
+		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: decode,
 	}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/ownprotocol.go
+++ b/internal/gateway/nativeprotocol.go
@@ -11,16 +11,16 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// OwnProtocol returns the headers of the project's own interface. A request
+// NativeProtocol returns the headers of the project's own interface. A request
 // without an id gets one, so that the answer of its target can be told from
 // others.
-func OwnProtocol() Protocol {
+func NativeProtocol() Protocol {
 	return Protocol{
 		RequestID:    "Ledgesill-Request-Id",
-		ObjectKey:    "Ledgesill-Object",
+		AffinityKey:  "Ledgesill-Object",
 		Deadline:     "Ledgesill-Deadline-Millis",
 		ExpectTarget: "Ledgesill-Expect-Target",
-		Key:          "Ledgesill-Key",
+		WorkspaceKey: "Ledgesill-Key",
 		Workspace:    "Ledgesill-Workspace",
 		NewRequestID: rand.Text,
 		Status: targetstatus.Headers{
--- a/internal/gateway/owninterface_test.go
+++ b/internal/gateway/owninterface_test.go
@@ -46,8 +46,8 @@
 	}
 	box, err := Open(Config{
 		Name: "box", Zone: "z1", Region: "r", RegionOf: map[string]string{"z1": "r", "z2": "r"},
-		Callers: loopback, Ready: loopback, Peers: loopback, Seeds: []string{c.PeerAddress()},
-		Protocol: OwnProtocol(), DecodeRoutes: catalog.ParseDocument, ReadyHandler: ReadyHandler,
+		CallerAddress: loopback, ReadyAddress: loopback, PeerAddress: loopback, Seeds: []string{c.PeerAddress()},
+		Protocol: NativeProtocol(), DecodeRoutes: catalog.ParseDocument, ReadyHandler: ReadyHandler,
 		RetryShare: 0.2, RetryExtra: 10, RetryWindow: 10 * time.Second, StopTime: time.Second, LogLevel: zerolog.Disabled,
 	}, io.Discard)
 	if err != nil {
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -11,16 +11,16 @@
 type Protocol struct {
 	// RequestID is the id of a caller's attempt, which targets send back.
 	RequestID string
-	// ObjectKey is the object that a request is about.
-	ObjectKey string
+	// AffinityKey is the object that a request is about.
+	AffinityKey string
 	// Deadline is how many milliseconds the sender will wait.
 	Deadline string
 	// ExpectTarget is the id of the target that a request is meant for.
 	ExpectTarget string
-	// Key is the key of a caller's workspace, which targets never get; Workspace
+	// WorkspaceKey is the key of a caller's workspace, which targets never get; Workspace
 	// is the name of the workspace, which the box tells targets.
-	Key       string
-	Workspace string
+	WorkspaceKey string
+	Workspace    string
 	// Status are the headers in which a target says how it is.
 	Status targetstatus.Headers
 	// NewRequestID names a request that comes without an id; nil where callers
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -67,7 +67,7 @@
 func (d *Daemon) boxCount() int {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return d.balancing.boxes
+	return d.balancing.boxCount
 }
 
 // reportToAll reports outside the usual times and waits until all replicas have
@@ -97,12 +97,12 @@
 		Incarnation: d.process.Incarnation,
 		Zone:        d.config.Zone,
 		Region:      d.config.Region,
-		Address:     d.config.Peers,
+		Address:     d.config.PeerAddress,
 		Stopping:    d.stopping.Load(),
 	}
 	if rules := d.rules.Load(); rules != nil {
 		report.Version = rules.version
-		report.CallerAddress = d.config.Callers
+		report.CallerAddress = d.config.CallerAddress
 	}
 	return report
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -162,7 +162,7 @@
 	d.targetLimits.setBoxes(names)
 	d.balancing.Lock()
 	d.balancing.balancer.SetBoxes(out)
-	d.balancing.boxes = len(out)
+	d.balancing.boxCount = len(out)
 	d.balancing.Unlock()
 	d.log.Info().Str("kind", "entryBoxes").Int("boxes", len(out)).Msg("entry boxes that serve")
 }
