--- a/internal/gateway/inforce_bench_test.go
+++ b/internal/gateway/applystate_bench_test.go
@@ -25,8 +25,8 @@
 	return catalog.Document{Number: number, Hosts: []catalog.Host{h}, Services: []catalog.Service{{Name: "s"}, {Name: "t"}}}
 }
 
-// newSteered returns a box that writes its log and has no callers.
-func newSteered(t testing.TB, log io.Writer, decode func([]byte) (catalog.Document, error)) *Daemon {
+// newBoxWithoutCallers returns a box that writes its log and has no callers.
+func newBoxWithoutCallers(t testing.TB, log io.Writer, decode func([]byte) (catalog.Document, error)) *Daemon {
 	t.Helper()
 	d, err := Open(Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
@@ -36,8 +36,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = d.callers.listener.Close()
-		_ = d.ready.Close()
+		_ = d.callerServer.listener.Close()
+		_ = d.readyListener.Close()
 	})
 	d.log = zerolog.New(log)
 	return d
@@ -64,7 +64,7 @@
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			document := documentOf(1, n)
-			d := newSteered(b, io.Discard, func([]byte) (catalog.Document, error) {
+			d := newBoxWithoutCallers(b, io.Discard, func([]byte) (catalog.Document, error) {
 				document.Number++
 				return document, nil
 			})
@@ -74,7 +74,7 @@
 			number := uint64(0)
 			for b.Loop() {
 				number++
-				d.putRoutes(withDocument(steering.State{}, number).Catalog(), number)
+				d.applyRoutes(withDocument(steering.State{}, number).Catalog(), number)
 			}
 		})
 	}
@@ -85,14 +85,14 @@
 func BenchmarkForgetRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			document := documentOf(1, n)
 			for _, r := range document.Hosts[0].Routes {
 				d.destination(r)
 			}
 			for b.Loop() {
-				d.setCold(document.Services)
-				d.forgetRoutes(document)
+				d.setColdLimits(document.Services)
+				d.pruneRoutes(document)
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 				splits[r.Name] = balance.NewSplit("box", r.Name)
 			}
 			for b.Loop() {
-				keepSplits(splits, document)
+				pruneSplits(splits, document)
 			}
 		})
 	}
@@ -118,13 +118,13 @@
 func BenchmarkPutTargets(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
 			}
 			for b.Loop() {
-				d.putTargets(s.Catalog(), s.Version())
+				d.applyTargets(s.Catalog(), s.Version())
 			}
 		})
 	}
@@ -134,7 +134,7 @@
 func BenchmarkPutJoined(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
@@ -142,7 +142,7 @@
 			joined := withTarget(s, "new", false)
 			for i := 0; b.Loop(); i++ {
 				next := []steering.State{s, joined}[i%2]
-				d.putTargets(next.Catalog(), next.Version())
+				d.applyTargets(next.Catalog(), next.Version())
 			}
 		})
 	}
--- a/internal/gateway/inforce_test.go
+++ b/internal/gateway/applystate_test.go
@@ -32,27 +32,27 @@
 // balancer's targets alone.
 func TestStateWithTheSameTargetsLeavesThemAlone(t *testing.T) {
 	var lines bytes.Buffer
-	d := newSteered(t, &lines, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
+	d := newBoxWithoutCallers(t, &lines, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	s := withTarget(withDocument(steering.State{}, 1), "i", false)
-	d.putInForce(s, nil)
+	d.applyState(s, nil)
 	d.balancing.balancer.SetTargets(time.Now(), nil) // to see whether it is told of them again
 	lines.Reset()
 	s = withDocument(s, 2)
-	d.putInForce(s, nil)
-	if d.knows("i") {
+	d.applyState(s, nil)
+	if d.isRegistered("i") {
 		t.Error("a state that changes only the routes put the targets in force")
 	}
 	if strings.Contains(lines.String(), `"kind":"targets"`) {
 		t.Errorf("the log tells of targets: %s", lines.String())
 	}
-	if d.rules.Load().document.Number != 2 {
+	if d.routing.Load().document.Number != 2 {
 		t.Error("the document is not in force")
 	}
 }
 
 // Each change of targets and evacuations is put in force.
 func TestStateWithOtherTargetsIsPutInForce(t *testing.T) {
-	d := newSteered(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
+	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	usable := func(want bool) {
 		t.Helper()
 		c, err := d.choose(balance.Request{Service: "s", Route: "r0", Objective: time.Second, Left: time.Second})
@@ -60,7 +60,7 @@
 			t.Fatalf("a target is found: %v, want %v (%v)", got, want, err)
 		}
 		if err == nil {
-			d.done(balance.Report{TargetID: c.Target.ID, Route: "r0", Outcome: balance.Dropped})
+			d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: "r0", Outcome: balance.Dropped})
 		}
 	}
 	put := func(s steering.State, c *wire.Command) steering.State {
@@ -69,29 +69,29 @@
 		if !result.Changed {
 			t.Fatalf("%v changed nothing", c)
 		}
-		d.putInForce(s, nil)
+		d.applyState(s, nil)
 		return s
 	}
 	leave := func(id string) *wire.Command {
 		return &wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{Id: id}, Leave: true}}
 	}
 	s := withTarget(withDocument(steering.State{}, 1), "i", false)
-	d.putInForce(s, nil)
+	d.applyState(s, nil)
 	usable(true)
 	s = put(s, &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: "z"}})
 	usable(false)
 	s = put(s, &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: "z", Withdraw: true}})
 	usable(true)
 	s = withTarget(s, "i", true)
-	d.putInForce(s, nil)
+	d.applyState(s, nil)
 	usable(false)
 	s = withTarget(s, "j", false)
-	d.putInForce(s, nil)
+	d.applyState(s, nil)
 	usable(true)
 	s = put(s, leave("j"))
 	usable(false)
 	s = put(s, leave("i"))
-	if d.knows("i") {
+	if d.isRegistered("i") {
 		t.Error("a target that left is known")
 	}
 	// A whole state from control, which shares nothing with the one before.
@@ -100,7 +100,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.putInForce(whole, nil)
+	d.applyState(whole, nil)
 	usable(true)
 }
 
@@ -108,7 +108,7 @@
 // where each document has other routes than the one before.
 func TestRoutesThatLeftTheDocumentAreForgotten(t *testing.T) {
 	const routes = 10
-	d := newSteered(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document {
+	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document {
 		document := documentOf(n, routes)
 		for i := range document.Hosts[0].Routes {
 			document.Hosts[0].Routes[i].Name = fmt.Sprintf("r%d-%d", n, i)
@@ -118,14 +118,14 @@
 	s := withTarget(steering.State{}, "i", false)
 	for n := range uint64(20) {
 		s = withDocument(s, n+1)
-		d.putInForce(s, nil)
-		for _, r := range d.rules.Load().document.Hosts[0].Routes {
+		d.applyState(s, nil)
+		for _, r := range d.routing.Load().document.Hosts[0].Routes {
 			d.destination(r)
 			c, err := d.choose(balance.Request{Service: "s", Route: r.Name, Objective: time.Second, Left: time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.done(balance.Report{TargetID: c.Target.ID, Route: r.Name, Outcome: balance.Answered, Took: time.Millisecond})
+			d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: r.Name, Outcome: balance.Answered, Took: time.Millisecond})
 		}
 	}
 	const most = 3 * routes // twice the document's, and the last one's
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -11,130 +11,129 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// attempts sends the request to targets until one gives an answer that is final
-// or no further one may be tried.
-func (c *call) attempts(ctx context.Context) {
+// sendToTargets tries targets until one gives a final response or no further one may be tried.
+func (c *callerRequest) sendToTargets(ctx context.Context) {
 	c.ended = make(chan attemptEnd)
-	c.alarm = time.NewTimer(c.gateway.clock.Until(c.ends))
-	defer c.alarm.Stop()
+	c.hedgeTimer = time.NewTimer(c.gateway.clock.Until(c.deadline))
+	defer c.hedgeTimer.Stop()
 	defer c.dropFallback()
 	for {
-		choice, err := c.choose(ctx)
+		choice, err := c.chooseTarget(ctx)
 		if err != nil {
-			c.conclude(err)
+			c.answerWithoutTarget(err)
 			return
 		}
-		c.launch(ctx, choice)
-		if c.await(ctx) {
+		c.startAttempt(ctx, choice)
+		if c.awaitAttempts(ctx) {
 			return
 		}
 	}
 }
 
-// choose chooses a target. A retry is taken from the budget only if there is one.
-func (c *call) choose(ctx context.Context) (chosen, error) {
-	if c.retry {
-		return c.chooseRetry(ctx, targetPermitWait)
+// chooseTarget chooses a target, for a retry only if the retry budget allows one.
+func (c *callerRequest) chooseTarget(ctx context.Context) (permittedChoice, error) {
+	if c.nextIsRetry {
+		return c.chooseRetryTarget(ctx, targetPermitWait)
 	}
-	return c.choosePermitted(ctx, targetPermitWait)
+	return c.choosePermittedTarget(ctx, targetPermitWait)
 }
 
-// chooseRetry chooses a target for a retry. The retry is taken only if there is one, and a
-// target is counted only if there is a retry.
-func (c *call) chooseRetry(ctx context.Context, permitWait time.Duration) (chosen, error) {
+// chooseRetryTarget chooses a target for a retry. A retry is taken from the budget only if there is
+// a target, and a target is counted as chosen only if there is a retry left.
+func (c *callerRequest) chooseRetryTarget(ctx context.Context, permitWait time.Duration) (permittedChoice, error) {
 	if !c.gateway.allowsRetry(c.service) {
-		return chosen{}, errNoRetries
+		return permittedChoice{}, errRetryBudgetExhausted
 	}
-	choice, err := c.choosePermitted(ctx, permitWait)
+	choice, err := c.choosePermittedTarget(ctx, permitWait)
 	if err != nil {
-		return chosen{}, err
+		return permittedChoice{}, err
 	}
 	if !c.gateway.takeRetry(c.service) {
 		c.release(choice)
-		return chosen{}, errNoRetries
+		return permittedChoice{}, errRetryBudgetExhausted
 	}
 	return choice, nil
 }
 
-// release takes a choice back to which nothing was sent.
-func (c *call) release(choice chosen) {
+// release undoes a choice after which nothing was sent.
+func (c *callerRequest) release(choice permittedChoice) {
 	c.gateway.returnPermit(choice)
 	c.gateway.balancing.Lock()
 	defer c.gateway.balancing.Unlock()
 	c.gateway.balancing.balancer.Release(choice.Target.ID)
 }
 
-// await takes the ends of the attempts that are under way and reports whether
-// the caller has been answered; if not, another target may be tried.
-func (c *call) await(ctx context.Context) bool {
+// awaitAttempts handles the results of pending attempts and reports whether the caller has been
+// answered. If not, another target may be tried.
+func (c *callerRequest) awaitAttempts(ctx context.Context) bool {
 	for len(c.pending) > 0 {
 		select {
 		case e := <-c.ended:
-			if c.take(ctx, e) {
+			if c.handleAttemptEnd(ctx, e) {
 				return true
 			}
-		case <-c.alarm.C:
+		case <-c.hedgeTimer.C:
 			c.hedge(ctx)
 		}
 	}
 	return false
 }
 
-// take takes the end of an attempt and reports whether the caller has been
+// handleAttemptEnd handles the result of an attempt and reports whether the caller has been
 // answered.
-func (c *call) take(ctx context.Context, e attemptEnd) bool {
-	c.settle(e)
+func (c *callerRequest) handleAttemptEnd(ctx context.Context, e attemptEnd) bool {
+	c.recordAttempt(e)
 	if len(c.pending) > 0 && !c.isFinal(e) {
-		c.stash(e)
-		c.watch()
+		c.keepFallback(e)
+		c.armHedgeTimer()
 		return false
 	}
 	if e.failure != nil {
-		return c.takeFailure(ctx, e.failure)
+		return c.handleFailure(ctx, e.failure)
 	}
-	if len(c.pending) == 0 && c.worthAnother(e.out) {
-		c.stash(e)
+	if len(c.pending) == 0 && c.shouldRetryResponse(e.out) {
+		c.keepFallback(e)
 		return false
 	}
-	c.endOthers()
-	c.pass(e.out)
+	c.cancelPending()
+	c.sendResponse(e.out)
 	return true
 }
 
-// takeFailure takes the failure of the last attempt that was under way.
-func (c *call) takeFailure(ctx context.Context, failure *attemptError) bool {
+// handleFailure handles the failure of the last pending attempt.
+func (c *callerRequest) handleFailure(ctx context.Context, failure *attemptError) bool {
 	if ctx.Err() == nil && c.canRetry(failure) {
 		return false
 	}
-	c.conclude(failure)
+	c.answerWithoutTarget(failure)
 	return true
 }
 
-// conclude answers a request for which no further target may be tried.
-func (c *call) conclude(cause error) {
+// answerWithoutTarget answers a request for which no further target may be tried.
+func (c *callerRequest) answerWithoutTarget(cause error) {
 	if c.hasFallback() && c.request.Context().Err() == nil {
-		c.passFallback()
+		c.sendFallback()
 		return
 	}
 	c.giveUp(cause)
 }
 
-// isFinal reports whether an attempt gave the answer to the request, while
-// another is under way that may give a better one.
-func (c *call) isFinal(e attemptEnd) bool {
+// isFinal reports whether an attempt gave a response that is sent without waiting for the pending
+// attempts, which may give a better one.
+func (c *callerRequest) isFinal(e attemptEnd) bool {
 	return e.failure == nil && !c.notRun(e.out) && e.out.status < http.StatusInternalServerError
 }
 
-// wanted is what a target is sought for.
-func (c *call) wanted() balance.Request {
-	left := c.route.Objective - c.gateway.clock.Since(c.began)
+// balanceRequest describes the request to the balancer.
+func (c *callerRequest) balanceRequest() balance.Request {
+	left := c.route.Objective - c.gateway.clock.Since(c.startedAt)
 	if c.sent+len(c.pending) > 0 {
-		left = c.gateway.clock.Until(c.ends) // late is better than not at all
+		left = c.gateway.clock.Until(c.deadline) // a late response is better than none
 	}
 	return balance.Request{
 		Service:   c.service,
 		Route:     c.route.Name,
-		Key:       c.key(),
+		Key:       c.affinityKey(),
 		Regions:   c.regions,
 		Near:      c.route.Repeat == catalog.Download,
 		Objective: c.route.Objective,
@@ -143,15 +142,15 @@
 	}
 }
 
-func (c *call) key() string {
+func (c *callerRequest) affinityKey() string {
 	if !c.route.Affinity {
 		return ""
 	}
 	return c.request.Header.Get(c.gateway.config.Protocol.AffinityKey)
 }
 
-// releaseWhenRead ends the attempt's context once its answer has been read.
-func (c *call) releaseWhenRead(out *answer, release func()) {
+// releaseAfterBody ends the attempt's context once the response has been read.
+func (c *callerRequest) releaseAfterBody(out *targetResponse, release func()) {
 	if out.rest == nil {
 		release()
 		return
@@ -163,41 +162,41 @@
 	}
 }
 
-// observeRun notes what the end of an attempt says of the request: a whole answer, or a
-// connection that broke while a target may have run it.
-func (c *call) observeRun(e attemptEnd) {
+// recordEvidence tells the quarantine how an attempt ended: with a complete response, or with a
+// connection that broke while the target may have been running the request.
+func (c *callerRequest) recordEvidence(e attemptEnd) {
 	switch {
 	case e.failure != nil:
-		if c.last.outcome == balance.Broken {
-			c.recordBroken(e)
+		if c.lastAttempt.outcome == balance.Broken {
+			c.recordBrokenConnection(e)
 		}
 	case c.notRun(e.out):
 	case e.out.rest == nil:
-		c.recordAnswer()
+		c.recordCompleteResponse()
 	default:
-		c.observeStream(e)
+		c.recordEvidenceAfterStream(e)
 	}
 }
 
-// observeStream notes how an answer that is passed on as it comes has ended.
-func (c *call) observeStream(e attemptEnd) {
+// recordEvidenceAfterStream tells the quarantine how a streamed response has ended.
+func (c *callerRequest) recordEvidenceAfterStream(e attemptEnd) {
 	finish := e.out.finish
 	e.out.finish = func(whole bool) {
 		wanted := c.request.Context().Err() == nil && e.ctx.Err() == nil
 		finish(whole)
 		switch {
 		case whole:
-			c.recordAnswer()
+			c.recordCompleteResponse()
 		case wanted:
-			c.recordBroken(e)
+			c.recordBrokenConnection(e)
 		}
 	}
 }
 
-// judgeFailure tells what a failed attempt says of its target. One that was ended
-// after its patience had run out counts as stuck, whoever ended it: that is how a
-// target is noticed that has gone silent.
-func (c *call) judgeFailure(e attemptEnd) balance.Outcome {
+// classifyFailure returns the outcome of a failed attempt for its target. An attempt that was
+// canceled after its hedge delay counts as stuck, whoever canceled it: otherwise a target that
+// stopped responding would never be noticed.
+func (c *callerRequest) classifyFailure(e attemptEnd) balance.Outcome {
 	if !e.failure.sent {
 		if e.failure.outcome != balance.Withdrawn {
 			c.dials++
@@ -215,8 +214,8 @@
 	return e.failure.outcome
 }
 
-// judgeAnswer tells an answer from a target that did not run the request.
-func (c *call) judgeAnswer(out *answer) balance.Outcome {
+// classifyResponse tells the response of a target that ran the request from a rejection.
+func (c *callerRequest) classifyResponse(out *targetResponse) balance.Outcome {
 	c.sent++
 	if c.notRun(out) {
 		return balance.TurnedAway
@@ -226,31 +225,31 @@
 	return balance.Answered
 }
 
-func (c *call) notRun(out *answer) bool {
+func (c *callerRequest) notRun(out *targetResponse) bool {
 	return out.targetStatus.NotRun
 }
 
-// worthAnother reports whether an answer should be sought elsewhere, because
-// the target did not run the request or failed one that may be repeated.
-func (c *call) worthAnother(out *answer) bool {
+// shouldRetryResponse reports whether another target should be tried, because this one did not run
+// the request or failed one that may be repeated.
+func (c *callerRequest) shouldRetryResponse(out *targetResponse) bool {
 	if c.notRun(out) {
 		return out.status != http.StatusBadRequest && c.canRetry(nil)
 	}
 	return out.status >= http.StatusInternalServerError && c.route.Repeat != catalog.Unrepeatable && c.canRetry(nil)
 }
 
-// canRetry reports whether another target may be tried, and notes whether that
-// takes a retry from the budget.
-func (c *call) canRetry(failure *attemptError) bool {
+// canRetry reports whether another target may be tried, and notes whether that attempt must be paid
+// for from the retry budget.
+func (c *callerRequest) canRetry(failure *attemptError) bool {
 	if c.mayHaveRun && c.route.Repeat == catalog.Unrepeatable {
 		return false
 	}
-	if c.gateway.clock.Until(c.ends) < leastLeft || !c.body.repeatable() || !c.canRepeat() {
+	if c.gateway.clock.Until(c.deadline) < minAttemptTime || !c.body.repeatable() || !c.quarantineAllowsRepeat() {
 		return false
 	}
-	c.retry = failure == nil || failure.sent
-	if !c.retry {
+	c.nextIsRetry = failure == nil || failure.sent
+	if !c.nextIsRetry {
 		return c.dials < maxDials
 	}
-	return c.sent < c.route.MaxAttempts && c.gateway.allowsRetry(c.service) && c.permitsAnother()
+	return c.sent < c.route.MaxAttempts && c.gateway.allowsRetry(c.service) && c.obtainPermitForAnother()
 }
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -40,22 +40,22 @@
 }
 
 // rejectWith has the target reject requests, or serve them again for nil.
-func (n *countedTarget) rejectWith(r *rejection) {
+func (n *recordingTarget) rejectWith(r *rejection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rejects = r
+	n.activeRejection = r
 }
 
 // reject answers a request by the rejection in force, if there is one.
-func (n *countedTarget) reject(box int, r *http.Request, c net.Conn) bool {
+func (n *recordingTarget) reject(box int, r *http.Request, c net.Conn) bool {
 	n.mu.Lock()
-	with := n.rejects
+	with := n.activeRejection
 	if with == nil {
 		n.mu.Unlock()
 		return false
 	}
 	if with.lasts > 0 {
-		n.rejections = append(n.rejections, backOff{box: box, at: time.Now(), lasts: with.lasts})
+		n.backOffs = append(n.backOffs, backOff{box: box, at: time.Now(), lasts: with.lasts})
 	}
 	n.mu.Unlock()
 	extra := ""
@@ -69,32 +69,32 @@
 	return true
 }
 
-// leave has the target's answers say that it leaves.
-func (n *countedTarget) leave(leaving bool) {
+// setLeaving has the target's answers say that it leaves.
+func (n *recordingTarget) setLeaving(leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = leaving
 }
 
-// sayLeaving returns the header line of a target that leaves.
-func (n *countedTarget) sayLeaving(box int) string {
+// announceLeaving returns the header line of a target that leaves.
+func (n *recordingTarget) announceLeaving(box int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leaving {
 		return ""
 	}
-	if _, told := n.toldLeaving[box]; !told {
-		n.toldLeaving[box] = time.Now()
+	if _, told := n.leavingAnnouncedAt[box]; !told {
+		n.leavingAnnouncedAt[box] = time.Now()
 	}
 	return leavingHeader + ": 1\r\n"
 }
 
-// mostInBackOff returns the most requests that one box sent in the back-off of one
+// maxInBackOff returns the most requests that one box sent in the back-off of one
 // rejection.
-func (n *countedTarget) mostInBackOff() (most int) {
+func (n *recordingTarget) maxInBackOff() (most int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, b := range n.rejections {
+	for _, b := range n.backOffs {
 		count := 0
 		for _, a := range n.arrivals {
 			if a.box == b.box && a.at.After(b.at.Add(backOffGrace)) && a.at.Before(b.at.Add(b.lasts)) {
@@ -106,23 +106,23 @@
 	return most
 }
 
-// afterLeaving counts the requests of boxes that came too late after these were told that
+// countAfterLeaving counts the requests of boxes that came too late after these were told that
 // the target leaves.
-func (n *countedTarget) afterLeaving() (count int) {
+func (n *recordingTarget) countAfterLeaving() (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range n.arrivals {
-		if told, ok := n.toldLeaving[a.box]; ok && a.at.Sub(told) > leavingGrace {
+		if told, ok := n.leavingAnnouncedAt[a.box]; ok && a.at.Sub(told) > leavingGrace {
 			count++
 		}
 	}
 	return count
 }
 
-func (s *targetScene) wantBackOffs(t *testing.T) {
+func (s *testCluster) wantBackOffs(t *testing.T) {
 	t.Helper()
 	for i, target := range s.targets {
-		if got := target.mostInBackOff(); got > backOffSlack {
+		if got := target.maxInBackOff(); got > backOffSlack {
 			t.Errorf("target %d got %d requests of a box that it had asked to back off, at most %d may come", i, got, backOffSlack)
 		}
 	}
@@ -136,17 +136,17 @@
 			for _, notRun := range []bool{true, false} {
 				t.Run(fmt.Sprint(boxes, " boxes, ", targets, " targets, not run ", notRun), func(t *testing.T) {
 					inVirtualTime(t, func(t *testing.T) {
-						s := newTargetScene(t, boxes, 4)
-						s.load(80, 2*time.Second)
+						s := newTestCluster(t, boxes, 4)
+						s.sendLoad(80, 2*time.Second)
 						for _, target := range s.targets[:targets] {
 							target.rejectWith(&rejection{retryAfter: "3", lasts: 3 * time.Second, notRun: notRun})
 						}
-						s.load(80, 3*time.Second)
+						s.sendLoad(80, 3*time.Second)
 						for _, target := range s.targets {
 							target.rejectWith(nil)
 						}
-						s.load(80, 6*time.Second)
-						s.settle()
+						s.sendLoad(80, 6*time.Second)
+						s.waitForResponses()
 						s.wantBackOffs(t)
 					})
 				})
@@ -159,7 +159,7 @@
 // is sent after, when it has its connection.
 func TestRequestThatWaitsForAConnectionIsSentElsewhere(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
 		dial := d.connections.dial
 		d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -167,8 +167,8 @@
 			return dial(ctx, network, address)
 		}
 		for range 4 {
-			s.asked++
-			go s.ask(d, s.asked)
+			s.sent++
+			go s.send(d, s.sent)
 		}
 		time.Sleep(100 * time.Millisecond)
 		d.balancing.Lock()
@@ -176,7 +176,7 @@
 		d.balancing.Unlock()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if got := s.targets[0].between(time.Time{}, time.Now()); got > 0 {
+		if got := s.targets[0].countBetween(time.Time{}, time.Now()); got > 0 {
 			t.Errorf("%d requests were sent", got)
 		}
 		if s.served != 4 {
@@ -188,20 +188,20 @@
 // Guards against a box that backs off by a clock that stands while the machine is suspended.
 func TestBackOffEndsWhileTheBoxIsSuspended(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
-		s.load(80, time.Second)
+		s.sendLoad(80, time.Second)
 		s.targets[0].rejectWith(&rejection{retryAfter: "60", lasts: time.Minute, notRun: true})
-		s.load(80, time.Second)
+		s.sendLoad(80, time.Second)
 		s.targets[0].rejectWith(nil)
-		s.load(80, time.Second)
-		if d.backedOff() != 1 {
-			t.Fatalf("%v targets are backed off", d.backedOff())
+		s.sendLoad(80, time.Second)
+		if d.backedOffTargets() != 1 {
+			t.Fatalf("%v targets are backed off", d.backedOffTargets())
 		}
-		s.asleep[0].Add(int64(70 * time.Second))
+		s.suspended[0].Add(int64(70 * time.Second))
 		from := time.Now()
-		s.load(80, 3*time.Second)
-		if got := s.targets[0].between(from, time.Now()); got < 20 {
+		s.sendLoad(80, 3*time.Second)
+		if got := s.targets[0].countBetween(from, time.Now()); got < 20 {
 			t.Errorf("got %d requests after the end of its back-off", got)
 		}
 	})
@@ -211,15 +211,15 @@
 // they are refused at once, with the end of the first back-off.
 func TestRequestIsRefusedAtOnceWhereAllTargetsAreBackedOff(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		for i := range s.targets {
 			s.boxes[0].balancing.balancer.BackOff(s.boxes[0].clock.Now(), fmt.Sprint("t", i), targetstatus.Status{BackOff: 30 * time.Second})
 		}
-		s.ask(s.boxes[0], 1)
-		if s.refused != 1 || s.slowest > 0 {
-			t.Errorf("%d refused, after %s", s.refused, s.slowest)
+		s.send(s.boxes[0], 1)
+		if s.refused != 1 || s.slowestRefusal > 0 {
+			t.Errorf("%d refused, after %s", s.refused, s.slowestRefusal)
 		}
-		for told := range s.told {
+		for told := range s.retryAfters {
 			if seconds, err := strconv.ParseFloat(told, 64); err != nil || seconds < 30 || seconds > 32 {
 				t.Errorf("told to come back after %q s", told)
 			}
@@ -231,7 +231,7 @@
 // was not sent because of back-offs is no failed connection.
 func TestWithdrawnAttemptsAreNoFailedConnections(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, maxDials+3)
+		s := newTestCluster(t, 1, maxDials+3)
 		d := s.boxes[0]
 		dial := d.connections.dial
 		d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -242,7 +242,7 @@
 			}
 			return dial(ctx, network, address)
 		}
-		s.ask(d, 1)
+		s.send(d, 1)
 		if s.served != 1 {
 			t.Error("the request was refused, a target has room")
 		}
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -9,28 +9,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// wholeBody is the largest body of a request that is read to its end before a
-// target gets any of it, so that another target can get it too.
-const wholeBody = 64 << 10
+// maxBufferedBody bounds the request bodies that are read completely before any of it is sent to a
+// target, so that another target can get the same body.
+const maxBufferedBody = 64 << 10
 
 // requestBody is the body of a caller's request.
 type requestBody struct {
 	// data is the whole body, or its beginning if rest is not nil.
 	data []byte
 	rest io.Reader
-	// length is that of the whole body; below zero if it is not known.
-	length int64
-	taken  bool
+	// length is the length of the whole body; below zero if unknown.
+	length   int64
+	restSent bool
 }
 
-// readBody reads the body of a request, at least its beginning.
+// readBody reads the body of a request, or its beginning.
 func readBody(r *http.Request) (*requestBody, error) {
 	if r.ContentLength == 0 && len(r.TransferEncoding) == 0 {
 		return &requestBody{}, nil
 	}
-	data, more, err := readUpTo(r.Body, r.ContentLength, wholeBody, func() bool { return false })
+	data, more, err := readUpTo(r.Body, r.ContentLength, maxBufferedBody, func() bool { return false })
 	if err != nil {
-		return nil, errors.Wrap(err, "reading the request's body")
+		return nil, errors.Wrap(err, "reading the request body")
 	}
 	if more {
 		return &requestBody{data: data, rest: r.Body, length: r.ContentLength}, nil
@@ -39,37 +39,37 @@
 }
 
 // repeatable reports whether the body can be sent to another target.
-func (b *requestBody) repeatable() bool { return b.rest == nil || !b.taken }
+func (b *requestBody) repeatable() bool { return b.rest == nil || !b.restSent }
 
-// whole reports whether the body can be sent to several targets at once.
-func (b *requestBody) whole() bool { return b.rest == nil }
+// isBuffered reports whether the body can be sent to several targets at once.
+func (b *requestBody) isBuffered() bool { return b.rest == nil }
 
-// sending is a request on its way to a target.
-type sending struct {
+// upload is the sending of one request to a target.
+type upload struct {
 	ended atomic.Bool
 	err   atomic.Pointer[error]
 }
 
-func (s *sending) done() bool { return s.ended.Load() && s.err.Load() == nil }
+func (s *upload) succeeded() bool { return s.ended.Load() && s.err.Load() == nil }
 
-func (s *sending) failure() error {
+func (s *upload) failure() error {
 	if err := s.err.Load(); err != nil {
 		return *err
 	}
 	return nil
 }
 
-func (s *sending) end(err error) {
+func (s *upload) end(err error) {
 	if err != nil {
 		s.err.Store(&err)
 	}
 	s.ended.Store(true)
 }
 
-// send writes a head and the body. What goes on after the beginning of a long
-// body is written beside the reading of the answer, which may come early.
-func (b *requestBody) send(c *connection, head []byte) *sending {
-	s := &sending{}
+// send writes the head and the body. The part of a long body beyond data is written concurrently,
+// because the response may arrive before the body has been sent.
+func (b *requestBody) send(c *connection, head []byte) *upload {
+	s := &upload{}
 	if b.length >= 0 {
 		head = append(head, b.data...)
 	}
@@ -81,7 +81,7 @@
 		s.end(nil)
 		return s
 	}
-	b.taken = true
+	b.restSent = true
 	go func() { s.end(b.sendRest(c)) }() // ends with the connection, which the attempt closes
 	return s
 }
@@ -92,7 +92,7 @@
 		if err == nil && n+int64(len(b.data)) != b.length {
 			err = io.ErrUnexpectedEOF
 		}
-		return breakOff(c, err)
+		return closeOnError(c, err)
 	}
 	if err := writeChunk(c, b.data); err != nil {
 		return err
@@ -110,7 +110,7 @@
 			return err
 		}
 		if err != nil {
-			return breakOff(c, err)
+			return closeOnError(c, err)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 	return err
 }
 
-// breakOff closes the connection of a body that its caller did not finish, so
-// that the target does not take it for whole.
-func breakOff(c *connection, err error) error {
+// closeOnError closes the connection if the caller did not send its whole body, so that the target
+// does not take the truncated body for a complete one.
+func closeOnError(c *connection, err error) error {
 	if err != nil {
 		_ = c.Close()
 	}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -8,7 +8,7 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-func (d *Daemon) budget(service string) *retry.Window {
+func (d *Daemon) retryBudget(service string) *retry.Window {
 	w := d.balancing.retryBudgets[service]
 	if w == nil {
 		w = retry.NewWindow(d.config.RetryShare, d.config.RetryWindow)
@@ -17,24 +17,23 @@
 	return w
 }
 
-func (d *Daemon) countFirst(service string) {
+func (d *Daemon) recordFirstAttempt(service string) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	d.budget(service).First(d.clock.Since(d.started))
+	d.retryBudget(service).First(d.clock.Since(d.started))
 }
 
-// allowsRetry reports whether a retry is left in this box's part of the budget of
-// all boxes.
+// allowsRetry reports whether this box's share of the retry budget of all boxes has a retry left.
 func (d *Daemon) allowsRetry(service string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return d.budget(service).Allows(d.clock.Since(d.started), d.retryExtra())
+	return d.retryBudget(service).Allows(d.clock.Since(d.started), d.retryExtra())
 }
 
-// retryExtra is this box's part of the retries that are free; below zero where
-// it does not know of the boxes yet, which forbids all. A process that follows
-// another one has none for the length of a window: the one before may have taken
-// them, and when all boxes are stopped in turn that would double what all take.
+// retryExtra returns this box's share of the extra retries. It is below zero, which forbids all
+// retries, until the box knows how many boxes there are. A restarted process gets none until one
+// window has passed: the process before it may have used them, and a rolling restart of all boxes
+// would double the retries of the system.
 func (d *Daemon) retryExtra() float64 {
 	if d.balancing.boxCount == 0 {
 		return math.Inf(-1)
@@ -45,15 +44,15 @@
 	return d.config.RetryExtra / float64(d.balancing.boxCount)
 }
 
-// errNoRetries says that the budget of retries is used up.
-var errNoRetries = errors.New("no retries are left")
+// errRetryBudgetExhausted says that the retry budget is used up.
+var errRetryBudgetExhausted = errors.New("the retry budget is exhausted")
 
-// takeRetry takes a retry of this box's part of the budget, if there is one.
+// takeRetry takes a retry from this box's share of the budget, if there is one.
 func (d *Daemon) takeRetry(service string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	at, extra := d.clock.Since(d.started), d.retryExtra()
-	budget := d.budget(service)
+	budget := d.retryBudget(service)
 	if !budget.Allows(at, extra) {
 		return false
 	}
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -13,13 +13,13 @@
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra, config.Restarted = 0, 1.5, true
-		s := newScene(t, config, 2)
+		s := newRig(t, config, 2)
 		s.scripts = scripts(s.breaks(0), s.answers(0, "first"), s.breaks(0), s.answers(0, "second"))
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
 			t.Errorf("a retry right after the start: got %d %q", got.status, got.body)
 		}
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", 0)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", 0)
 		time.Sleep(config.RetryWindow)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "second", 0)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 	})
 }
--- a/internal/gateway/callerleaves_test.go
+++ b/internal/gateway/callerleaves_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// leavesOnWrite is a connection on whose first write the caller leaves. The write goes on once
+// cancelOnWriteConn is a connection on whose first write the caller leaves. The write goes on once
 // the box has seen that.
-type leavesOnWrite struct {
+type cancelOnWriteConn struct {
 	net.Conn
 	leave func()
 }
 
 // Write implements net.Conn.
-func (c *leavesOnWrite) Write(b []byte) (int, error) {
+func (c *cancelOnWriteConn) Write(b []byte) (int, error) {
 	c.leave()
 	time.Sleep(time.Millisecond)
 	return c.Conn.Write(b)
 }
 
-// then has the caller leave when a request is at a target, after some bytes of an answer, and
+// cancel has the caller leave when a request is at a target, after some bytes of an answer, and
 // waits for the end of its connection.
-func (s *scene) then(leave func(), begin string) script {
+func (s *rig) cancel(leave func(), begin string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if begin != "" {
 			if _, err := fmt.Fprintf(c, begin, r.Header.Get("Test-Id")); err != nil {
@@ -42,33 +42,33 @@
 // end at targets for it.
 type leavingStep struct {
 	name    string
-	prepare func(s *scene, leave func())
+	prepare func(s *rig, leave func())
 	ended   int
 }
 
 func leavingSteps() []leavingStep {
 	const half = "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 100\r\n\r\nhalf"
 	return []leavingStep{
-		{"connect", func(s *scene, leave func()) {
+		{"connect", func(s *rig, leave func()) {
 			s.daemon.connections.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				leave()
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
 		}, 0},
-		{"head", func(s *scene, leave func()) {
+		{"head", func(s *rig, leave func()) {
 			dial := s.daemon.connections.dial
 			s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				c, err := dial(ctx, network, address)
-				return &leavesOnWrite{c, leave}, err
+				return &cancelOnWriteConn{c, leave}, err
 			}
 			s.scripts = scripts(s.silent())
 		}, 0},
-		{"wait", func(s *scene, leave func()) { s.scripts = scripts(s.then(leave, "")) }, 1},
-		{"firstByte", func(s *scene, leave func()) { s.scripts = scripts(s.then(leave, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\n")) }, 1},
-		{"midAnswer", func(s *scene, leave func()) { s.scripts = scripts(s.then(leave, half)) }, 1},
-		{"hedge", func(s *scene, leave func()) { s.scripts = scripts(s.silent(), s.then(leave, "")) }, 2},
-		{"retry", func(s *scene, leave func()) { s.scripts = scripts(s.turnsAway(), s.then(leave, "")) }, 1},
+		{"wait", func(s *rig, leave func()) { s.scripts = scripts(s.cancel(leave, "")) }, 1},
+		{"firstByte", func(s *rig, leave func()) { s.scripts = scripts(s.cancel(leave, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\n")) }, 1},
+		{"midAnswer", func(s *rig, leave func()) { s.scripts = scripts(s.cancel(leave, half)) }, 1},
+		{"hedge", func(s *rig, leave func()) { s.scripts = scripts(s.silent(), s.cancel(leave, "")) }, 2},
+		{"retry", func(s *rig, leave func()) { s.scripts = scripts(s.rejects(), s.cancel(leave, "")) }, 1},
 	}
 }
 
@@ -80,8 +80,8 @@
 			inVirtualTime(t, func(t *testing.T) {
 				config := testConfig()
 				config.LinkBytes = 325_000
-				s := newScene(t, config, 2)
-				s.daemon.longAnswers.note("long", 90_000)
+				s := newRig(t, config, 2)
+				s.daemon.linkQueue.recordSize("long", 90_000)
 				ctx, cancel := context.WithCancel(t.Context())
 				left := false
 				leave := func() {
@@ -89,7 +89,7 @@
 					cancel()
 				}
 				step.prepare(s, leave)
-				s.ask(ctx, "/long/", "")
+				s.send(ctx, "/long/", "")
 				synctest.Wait()
 				if !left {
 					t.Fatal("the step was not reached")
@@ -100,10 +100,10 @@
 				if len(s.ended) != step.ended {
 					t.Errorf("%d connections ended at targets, want %d", len(s.ended), step.ended)
 				}
-				if q := s.daemon.longAnswers; q.free.After(time.Now().Add(time.Millisecond)) {
-					t.Errorf("the link counts as full for %s", time.Until(q.free))
+				if q := s.daemon.linkQueue; q.nextFree.After(time.Now().Add(time.Millisecond)) {
+					t.Errorf("the link counts as full for %s", time.Until(q.nextFree))
 				}
-				s.wantNoneCounted(t)
+				s.wantNoneInFlight(t)
 			})
 		})
 	}
--- /dev/null
+++ b/internal/gateway/callerresponse.go
@@ -0,0 +1,127 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"ledgesill.dev/ledgesill/pkg/balance"
+)
+
+// reasonCallerLeft is logged for a request whose caller closed its connection before the response.
+// As a rule nobody reads that response.
+const reasonCallerLeft = "callerLeft"
+
+// giveUp sends the response to a request for which no target gave one.
+func (c *callerRequest) giveUp(cause error) {
+	var none *balance.NoTargetError
+	switch {
+	case c.request.Context().Err() != nil && !c.mayHaveRun:
+		c.refuse(reasonCallerLeft, c.retryAfter())
+	case c.request.Context().Err() != nil:
+		c.fail(http.StatusBadGateway, reasonCallerLeft, cause)
+	case !c.mayHaveRun && errors.As(cause, &none):
+		c.noTarget = none
+		c.refuse(none.Reason, none.RetryAfter)
+	case !c.mayHaveRun:
+		c.refuse("notRun", c.retryAfter())
+	case !c.gateway.clock.Now().Before(c.deadline):
+		c.fail(http.StatusGatewayTimeout, "timeOut", cause)
+	default:
+		c.fail(http.StatusBadGateway, "unknown", cause)
+	}
+}
+
+// retryAfter returns when a request that its last target did not run may be sent again.
+func (c *callerRequest) retryAfter() time.Duration {
+	return c.gateway.retryAfter(c.lastAttempt.target.ID, c.route.Name)
+}
+
+// refuse responds that the request has not run and when to send it again.
+func (c *callerRequest) refuse(reason string, after time.Duration) {
+	c.refuseWith(http.StatusServiceUnavailable, reason, after)
+}
+
+func (c *callerRequest) refuseWith(status int, reason string, after time.Duration) {
+	h := c.writer.Header()
+	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+	c.sentRetryAfter = after
+	c.reply(status, reason, nil)
+}
+
+func (c *callerRequest) fail(code int, reason string, err error) { c.reply(code, reason, err) }
+
+// reply sends a response that the box itself generates.
+func (c *callerRequest) reply(status int, reason string, cause error) {
+	h := c.writer.Header()
+	h.Set("Content-Type", "text/plain; charset=utf-8")
+	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
+	c.writer.WriteHeader(status)
+	_, _ = io.WriteString(c.writer, reason+"\n") // on an error the caller sees a truncated response
+	c.logRequest(status, reason, cause)
+}
+
+// sendResponse forwards a target's response to the caller.
+func (c *callerRequest) sendResponse(out *targetResponse) {
+	if c.notRun(out) && out.status != http.StatusBadRequest {
+		out.discard()
+		c.answerRejected()
+		return
+	}
+	c.dropFallback()
+	if out.length >= 0 {
+		c.gateway.linkQueue.recordSize(c.route.Name, out.length)
+		c.reservation.settle(c.gateway.clock.Now(), out.length)
+	}
+	c.writeHead(out)
+	_, err := c.writer.Write(out.body)
+	if out.rest == nil {
+		c.logRequest(out.status, "", err)
+		return
+	}
+	if err == nil {
+		err = c.gateway.shaper.copy(c.request.Context(), c.writer, out.rest, out.length-int64(len(out.body)))
+	}
+	out.finish(err == nil)
+	c.logRequest(out.status, "", err)
+	if err != nil {
+		// The caller must not take the truncated response for a complete one.
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// answerRejected answers a request that its last target rejected. If an earlier target may have run
+// the request, the response must not say that it has not run.
+func (c *callerRequest) answerRejected() {
+	switch {
+	case c.hasFallback():
+		c.sendFallback()
+	case c.mayHaveRun:
+		c.fail(http.StatusBadGateway, "unknown", errTurnedAway)
+	default:
+		c.refuse("turnedAway", c.retryAfter())
+	}
+}
+
+// errTurnedAway is why the last target gave no response.
+var errTurnedAway = errors.New("the last target rejected the request")
+
+func (c *callerRequest) writeHead(out *targetResponse) {
+	h := c.writer.Header()
+	listed := connectionOptions(out.header)
+	for name, values := range out.header {
+		if isForwarded(name, listed) && name != "Content-Length" {
+			h[name] = values
+		}
+	}
+	if len(out.header["Content-Type"]) == 0 {
+		h["Content-Type"] = nil // keeps net/http from guessing one
+	}
+	if out.length >= 0 {
+		h.Set("Content-Length", strconv.FormatInt(out.length, 10))
+	}
+	c.writer.WriteHeader(out.status)
+}
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callerserver.go
@@ -19,53 +19,53 @@
 	// callerIdleTimeout is the outer bound on how long a connection rests;
 	// the document of routes may set a shorter one.
 	callerIdleTimeout = 10 * time.Minute
-	// acceptTime is how long a stopping box goes on taking connections: three
+	// shutdownAcceptTime is how long a stopping box goes on taking connections: three
 	// times the time for which answers of look-ups are kept.
-	acceptTime = 3200 * time.Millisecond
-	// endIdleTime bounds the wait for resting connections to end: two of the
+	shutdownAcceptTime = 3200 * time.Millisecond
+	// closeIdleTimeout bounds the wait for resting connections to end: two of the
 	// tenths of a second for which a spent processor quota stops a process.
 	// endIdleTick is how often it is looked whether they have.
-	endIdleTime = 200 * time.Millisecond
-	endIdleTick = 5 * time.Millisecond
-	// stopReserve is the part of the stop time that is left for closing.
-	stopReserve = 400 * time.Millisecond
+	closeIdleTimeout  = 200 * time.Millisecond
+	closeIdleInterval = 5 * time.Millisecond
+	// shutdownReserve is the part of the stop time that is left for closing.
+	shutdownReserve = 400 * time.Millisecond
 )
 
-// callers serves the callers' connections.
-type callers struct {
+// callerServer serves the callerServer' connections.
+type callerServer struct {
 	gateway  *Daemon
 	listener net.Listener
 	server   *http.Server
 	mu       sync.Mutex
 	idle     map[net.Conn]time.Time
-	// ending holds the connections that were idle for too long and whose server
+	// closing holds the connections that were idle for too long and whose server
 	// has been told to read no further request.
-	ending map[net.Conn]bool
+	closing map[net.Conn]bool
 }
 
-func newCallers(d *Daemon) (*callers, error) {
+func newCallerServer(d *Daemon) (*callerServer, error) {
 	l, err := net.Listen("tcp4", d.config.CallerAddress)
 	if err != nil {
 		return nil, errors.Wrap(err, "listening for callers")
 	}
-	c := &callers{gateway: d, listener: l, idle: make(map[net.Conn]time.Time), ending: make(map[net.Conn]bool)}
+	c := &callerServer{gateway: d, listener: l, idle: make(map[net.Conn]time.Time), closing: make(map[net.Conn]bool)}
 	c.server = &http.Server{
 		Handler:           d,
 		ReadHeaderTimeout: callerHeaderTimeout,
 		IdleTimeout:       callerIdleTimeout,
-		ConnState:         c.note,
+		ConnState:         c.connStateChanged,
 		ErrorLog:          log.New(io.Discard, "", 0), // what a caller breaks off is in the line of its request
 	}
 	return c, nil
 }
 
-func (c *callers) serve() <-chan error {
+func (c *callerServer) serve() <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- c.server.Serve(c.listener) }()
 	return ended
 }
 
-func (c *callers) note(conn net.Conn, s http.ConnState) {
+func (c *callerServer) connStateChanged(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s == http.StateIdle {
@@ -73,16 +73,16 @@
 		return
 	}
 	delete(c.idle, conn)
-	if c.ending[conn] && s == http.StateActive {
+	if c.closing[conn] && s == http.StateActive {
 		_ = conn.SetReadDeadline(time.Time{}) // a request was read before the end: it is served
 	}
-	delete(c.ending, conn)
+	delete(c.closing, conn)
 }
 
-// sweep closes connections that have rested for longer than the document of
+// closeExpired closes connections that have rested for longer than the document of
 // routes allows.
-func (c *callers) sweep(now time.Time) {
-	rules := c.gateway.rules.Load()
+func (c *callerServer) closeExpired(now time.Time) {
+	rules := c.gateway.routing.Load()
 	if rules == nil || rules.document.Limits.IdleTime <= 0 {
 		return
 	}
@@ -93,35 +93,35 @@
 // closed here but by their server, whose wait for a request ends: the request of
 // a caller may have been read already, before the connection counts as active,
 // and would be lost with it after it has been sent to a target.
-func (c *callers) closeIdle(since time.Time) {
+func (c *callerServer) closeIdle(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, at := range c.idle {
 		if at.Before(since) {
 			delete(c.idle, conn)
-			c.ending[conn] = true
+			c.closing[conn] = true
 			_ = conn.SetReadDeadline(time.Unix(1, 0)) // one that fails has been closed
 		}
 	}
 }
 
-// end takes no more connections and waits until all requests that were read have
+// shutdown takes no more connections and waits until all requests that were read have
 // been answered, or the context ends.
-func (c *callers) end(ctx context.Context) error {
-	c.endIdle(ctx)
+func (c *callerServer) shutdown(ctx context.Context) error {
+	c.closeAllIdle(ctx)
 	return c.server.Shutdown(ctx)
 }
 
-// endIdle ends the connections that rest and waits for that, because Shutdown
+// closeAllIdle ends the connections that rest and waits for that, because Shutdown
 // closes them also while a request that was read is on its way to the server.
-func (c *callers) endIdle(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, endIdleTime)
+func (c *callerServer) closeAllIdle(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, closeIdleTimeout)
 	defer cancel()
-	ticker := time.NewTicker(endIdleTick)
+	ticker := time.NewTicker(closeIdleInterval)
 	defer ticker.Stop()
 	for {
 		c.closeIdle(c.gateway.clock.Now())
-		if c.resting() == 0 {
+		if c.idleCount() == 0 {
 			return
 		}
 		select {
@@ -132,26 +132,26 @@
 	}
 }
 
-// resting returns how many connections are idle or being ended.
-func (c *callers) resting() int {
+// idleCount returns how many connections are idle or being ended.
+func (c *callerServer) idleCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.idle) + len(c.ending)
+	return len(c.idle) + len(c.closing)
 }
 
-// leave stops the box as planned: it leaves the look-ups, goes on serving
+// shutdown stops the box as planned: it leaves the look-ups, goes on serving
 // while kept answers of look-ups may still name it, then takes no more
 // connections and waits for the requests that it has read.
-func (d *Daemon) leave() {
+func (d *Daemon) shutdown() {
 	began := d.clock.Now()
 	d.stopping.Store(true)
 	d.log.Info().Str("kind", "stopping").Int64("inFlight", d.inFlight.Load()).Msg("told to stop; leaves the look-ups")
 	d.reportToAll(context.Background())
-	total := d.config.StopTime - stopReserve
-	time.Sleep(min(acceptTime, total/2))
+	total := d.config.StopTime - shutdownReserve
+	time.Sleep(min(shutdownAcceptTime, total/2))
 	ctx, cancel := d.clock.WithDeadline(context.Background(), began.Add(total))
 	defer cancel()
-	if err := d.callers.end(ctx); err != nil {
+	if err := d.callerServer.shutdown(ctx); err != nil {
 		d.log.Warn().Str("kind", "stopping").Err(err).Int64("inFlight", d.inFlight.Load()).Msg("requests are cut off, the time to stop is over")
 	}
 }
--- a/internal/gateway/connection.go
+++ b/internal/gateway/connectionpool.go
@@ -20,14 +20,14 @@
 	// between regions (70 ms) and the target's handshake, with room for one
 	// lost packet on the shorter ways.
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdle is how long a connection is kept whose target does not tell
+	// defaultKeepAlive is how long a connection is kept whose target does not tell
 	// when it closes idle ones.
-	defaultIdle = 3 * time.Second
-	// idlePart is the part of the time told by the target for which an idle
+	defaultKeepAlive = 3 * time.Second
+	// idleFraction is the part of the time told by the target for which an idle
 	// connection is used, so that it does not close while a request is sent.
-	idlePart = 0.7
-	// maxIdle bounds the idle connections to one target: its slots are few.
-	maxIdle = 16
+	idleFraction = 0.7
+	// maxIdlePerTarget bounds the idle connections to one target: its slots are few.
+	maxIdlePerTarget = 16
 	// readBuffer holds a usual answer's header.
 	readBuffer = 2 << 10
 )
@@ -38,34 +38,34 @@
 	reader *bufio.Reader
 	// used tells that a request was sent on it before.
 	used bool
-	// doubtful tells that something came on it that belongs to no request.
-	doubtful  bool
+	// outOfSync tells that something came on it that belongs to no request.
+	outOfSync bool
 	idleUntil time.Time
 }
 
-// connections keeps idle connections by target.
-type connections struct {
+// connectionPool keeps idle connectionPool by target.
+type connectionPool struct {
 	dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	clock  *boottime.Clock
 	mu     sync.Mutex
 	idle   map[string][]*connection
 	closed bool
-	opened func()
+	onOpen func()
 }
 
-func newConnections(opened func()) *connections {
+func newConnectionPool(opened func()) *connectionPool {
 	dialer := &net.Dialer{KeepAlive: -1}
-	return &connections{idle: make(map[string][]*connection), opened: opened, dial: dialer.DialContext}
+	return &connectionPool{idle: make(map[string][]*connection), onOpen: opened, dial: dialer.DialContext}
 }
 
 // get returns an idle connection that is still sound, or a new one.
-func (p *connections) get(ctx context.Context, target, address string) (*connection, error) {
+func (p *connectionPool) get(ctx context.Context, target, address string) (*connection, error) {
 	for {
 		c := p.pop(target)
 		if c == nil {
 			break
 		}
-		if p.clock.Now().Before(c.idleUntil) && isQuiet(c.Conn) {
+		if p.clock.Now().Before(c.idleUntil) && isReusable(c.Conn) {
 			return c, nil
 		}
 		_ = c.Close() // nothing is under way on it
@@ -76,11 +76,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "connecting to the target")
 	}
-	p.opened()
+	p.onOpen()
 	return &connection{Conn: conn, reader: bufio.NewReaderSize(conn, readBuffer)}, nil
 }
 
-func (p *connections) pop(target string) *connection {
+func (p *connectionPool) pop(target string) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -93,21 +93,21 @@
 }
 
 // put keeps a connection on which nothing is under way.
-func (p *connections) put(target string, c *connection, idle time.Duration) {
+func (p *connectionPool) put(target string, c *connection, idle time.Duration) {
 	c.used = true
-	c.idleUntil = p.clock.Now().Add(time.Duration(float64(idle) * idlePart))
+	c.idleUntil = p.clock.Now().Add(time.Duration(float64(idle) * idleFraction))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle[target]) >= maxIdle {
+	if p.closed || len(p.idle[target]) >= maxIdlePerTarget {
 		_ = c.Close()
 		return
 	}
 	p.idle[target] = append(p.idle[target], c)
 }
 
-// sweep closes connections that have been idle for too long and those of
+// closeExpired closes connections that have been idle for too long and those of
 // targets that are gone.
-func (p *connections) sweep(now time.Time, known func(target string) bool) {
+func (p *connectionPool) closeExpired(now time.Time, known func(target string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
@@ -127,17 +127,17 @@
 	}
 }
 
-func (p *connections) close() {
-	p.sweep(p.clock.Now(), func(string) bool { return false })
+func (p *connectionPool) close() {
+	p.closeExpired(p.clock.Now(), func(string) bool { return false })
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
 }
 
-// isQuiet reports whether a connection is open and nothing has come on it: a
+// isReusable reports whether a connection is open and nothing has come on it: a
 // target that has closed it, or sent something that nobody asked for, must not
 // get another request on it.
-func isQuiet(c net.Conn) bool {
+func isReusable(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -156,9 +156,9 @@
 	return err == nil && quiet
 }
 
-// idleTime reads how long a target keeps idle connections from its Keep-Alive
+// keepAliveTimeout reads how long a target keeps idle connections from its Keep-Alive
 // header.
-func idleTime(header string) time.Duration {
+func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -168,5 +168,5 @@
 			return time.Duration(seconds) * time.Second
 		}
 	}
-	return defaultIdle
+	return defaultKeepAlive
 }
--- a/internal/gateway/controls.go
+++ b/internal/gateway/controlreplicas.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	// seekInterval is how often a replica is asked for the others.
-	seekInterval = time.Second
+	// membershipInterval is how often a replica is asked for the others.
+	membershipInterval = time.Second
 	// controlCallTimeout bounds a call to a replica.
 	controlCallTimeout = 600 * time.Millisecond
 )
 
-// controls are the control replicas as far as they are known: those that were
+// replicas are the control replicas as far as they are known: those that were
 // named at the start, and those that these know.
-type controls struct {
+type replicas struct {
 	mu      sync.Mutex
 	seeds   []string
 	members []string
-	asked   int
+	cursor  int
 }
 
-func newControls(seeds []string) *controls { return &controls{seeds: slices.Clone(seeds)} }
+func newReplicas(seeds []string) *replicas { return &replicas{seeds: slices.Clone(seeds)} }
 
-// silences are the processes that did not answer when they were asked last.
-type silences struct {
-	mu     sync.Mutex
-	silent map[string]bool
+// reachability are the processes that did not answer when they were asked last.
+type reachability struct {
+	mu          sync.Mutex
+	unreachable map[string]bool
 }
 
-// note takes whether a process answered and reports whether that is news.
-func (s *silences) note(address string, answered bool) (news bool) {
+// record takes whether a process answered and reports whether that is news.
+func (s *reachability) record(address string, answered bool) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news = s.silent[address] == answered
+	news = s.unreachable[address] == answered
 	if answered {
-		delete(s.silent, address)
+		delete(s.unreachable, address)
 		return news
 	}
-	if s.silent == nil {
-		s.silent = make(map[string]bool)
+	if s.unreachable == nil {
+		s.unreachable = make(map[string]bool)
 	}
-	s.silent[address] = true
+	s.unreachable[address] = true
 	return news
 }
 
 // all returns the peer addresses of all known replicas.
-func (c *controls) all() []string {
+func (c *replicas) all() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := slices.Clone(c.members)
@@ -63,9 +63,9 @@
 	return out
 }
 
-// replicas returns the peer addresses of the members, or of those named at the start while
+// membersOrSeeds returns the peer addresses of the members, or of those named at the start while
 // the members are not known.
-func (c *controls) replicas() []string {
+func (c *replicas) membersOrSeeds() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.members) > 0 {
@@ -74,13 +74,13 @@
 	return slices.Clone(c.seeds)
 }
 
-func (c *controls) setSeeds(seeds []string) {
+func (c *replicas) setSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = slices.Clone(seeds)
 }
 
-func (c *controls) setMembers(m *wire.Membership) (changed bool) {
+func (c *replicas) setMembers(m *wire.Membership) (changed bool) {
 	var members []string
 	for _, r := range slices.Concat(m.GetVoters(), m.GetLearners()) {
 		members = append(members, r.Address)
@@ -96,20 +96,20 @@
 }
 
 // next returns the replica to ask next, one after the other.
-func (c *controls) next() (string, bool) {
+func (c *replicas) next() (string, bool) {
 	all := c.all()
 	if len(all) == 0 {
 		return "", false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked++
-	return all[c.asked%len(all)], true
+	c.cursor++
+	return all[c.cursor%len(all)], true
 }
 
 // sources returns the replicas to follow, best first, spread over the boxes.
 func (d *Daemon) sources() []distribution.Source {
-	all := d.controls.all()
+	all := d.controlReplicas.all()
 	slices.SortFunc(all, func(a, b string) int { return distribution.CompareRank(d.config.Name, a, b) })
 	out := make([]distribution.Source, 0, len(all))
 	for _, address := range all {
@@ -118,12 +118,12 @@
 	return out
 }
 
-// keepControls asks the replicas for the membership, one after the other.
-func (d *Daemon) keepControls(ctx context.Context) error {
-	ticker := time.NewTicker(seekInterval)
+// refreshMembership asks the replicas for the membership, one after the other.
+func (d *Daemon) refreshMembership(ctx context.Context) error {
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
-		d.askMembership(ctx)
+		d.fetchMembership(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -132,8 +132,8 @@
 	}
 }
 
-func (d *Daemon) askMembership(ctx context.Context) {
-	address, ok := d.controls.next()
+func (d *Daemon) fetchMembership(ctx context.Context) {
+	address, ok := d.controlReplicas.next()
 	if !ok {
 		return
 	}
@@ -141,20 +141,20 @@
 	defer cancel()
 	answer, err := d.node.Call(ctx, address, &wire.CallRequest{Hello: &wire.HelloRequest{}})
 	if err != nil {
-		d.recordControl(address, err)
+		d.recordControlCall(address, err)
 		return
 	}
-	if answer.GetHello().GetLeader() == "" || !d.controls.setMembers(answer.Hello.Membership) {
+	if answer.GetHello().GetLeader() == "" || !d.controlReplicas.setMembers(answer.Hello.Membership) {
 		return
 	}
-	d.log.Info().Str("kind", "controls").Strs("addresses", d.controls.all()).Str("from", address).Msg("knows the control replicas")
-	d.following.SourcesChanged()
-	d.reportsChanged()
+	d.log.Info().Str("kind", "controls").Strs("addresses", d.controlReplicas.all()).Str("from", address).Msg("knows the control replicas")
+	d.follower.SourcesChanged()
+	d.triggerReport()
 }
 
-// recordControl tells that a control replica was lost or is back.
-func (d *Daemon) recordControl(address string, err error) {
-	if !d.reportWord.note(address, err == nil) {
+// recordControlCall tells that a control replica was lost or is back.
+func (d *Daemon) recordControlCall(address string, err error) {
+	if !d.controlReachability.record(address, err == nil) {
 		return
 	}
 	if err != nil {
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -24,8 +24,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// inForce is the document of routes that the box goes by.
-type inForce struct {
+// routing is the document of routes that the box goes by.
+type routing struct {
 	document catalog.Document
 	table    *catalog.Table
 	keys     *catalog.KeyTable
@@ -38,40 +38,40 @@
 	clock     *boottime.Clock
 	config    Config
 	process   *process.Process
-	lines     *process.LogWriter
+	logWriter *process.LogWriter
 	log       zerolog.Logger
 	started   time.Time
 	node      *link.Node
-	following *relay.Following
+	follower  *relay.Following
 	// controlAge is how long ago control was last heard of.
-	controlAge  func() time.Duration
-	controls    *controls
-	connections *connections
-	shaper      *shaper
-	longAnswers *linkQueue
-	permits     *permits
-	permitLinks *permitLinks
+	controlAge      func() time.Duration
+	controlReplicas *replicas
+	connections     *connectionPool
+	shaper          *shaper
+	linkQueue       *linkQueue
+	permits         *permits
+	permitStreams   *permitStreams
 	// targetLimits are about targets that name limits.
 	targetLimits *targetLimits
 	isolation    *isolation.Isolation
-	// reportWord and permitWord tell which replicas take reports and issue permits.
-	reportWord  silences
-	permitWord  silences
-	metrics     *metrics
-	servedLines *process.LineLimit
-	otherLines  *process.LineLimit
-	callers     *callers
-	ready       net.Listener
-	exposed     net.Listener
+	// controlReachability and permitWord tell which replicas take reports and issue permits.
+	controlReachability reachability
+	permitReachability  reachability
+	metrics             *metrics
+	servedLineLimit     *process.LineLimit
+	otherLineLimit      *process.LineLimit
+	callerServer        *callerServer
+	readyListener       net.Listener
+	metricsListener     net.Listener
 
 	// reportDue holds a token when the replicas must be told of this box at once.
 	reportDue chan struct{}
 
-	rules atomic.Pointer[inForce]
-	// steered is the last state, whose targets are in force; only putInForce uses it.
-	steered  *catalog.State
-	stopping atomic.Bool
-	inFlight atomic.Int64
+	routing atomic.Pointer[routing]
+	// lastState is the last state, whose targets are in force; only putInForce uses it.
+	lastState *catalog.State
+	stopping  atomic.Bool
+	inFlight  atomic.Int64
 
 	// balancing guards what requests decide by.
 	balancing struct {
@@ -83,10 +83,10 @@
 	}
 }
 
-// staleAfter is how old the word of control may be before another replica is
+// maxControlAge is how old the word of control may be before another replica is
 // followed: replicas tell it each second, and a target's drain must reach all
 // boxes within 2 s.
-const staleAfter = 1600 * time.Millisecond
+const maxControlAge = 1600 * time.Millisecond
 
 // Open listens. Run must follow.
 func Open(c Config, log io.Writer) (*Daemon, error) {
@@ -96,45 +96,45 @@
 		return nil, err
 	}
 	d := &Daemon{
-		config:      c,
-		process:     p,
-		lines:       lines,
-		log:         p.Log,
-		started:     c.Clock.Now(),
-		clock:       c.Clock,
-		metrics:     newMetrics(p.Metrics),
-		servedLines: process.NewLineLimit(servedLines),
-		otherLines:  process.NewLineLimit(otherLines),
-		reportDue:   make(chan struct{}, 1),
+		config:          c,
+		process:         p,
+		logWriter:       lines,
+		log:             p.Log,
+		started:         c.Clock.Now(),
+		clock:           c.Clock,
+		metrics:         newMetrics(p.Metrics),
+		servedLineLimit: process.NewLineLimit(servedLinesPerSecond),
+		otherLineLimit:  process.NewLineLimit(otherLinesPerSecond),
+		reportDue:       make(chan struct{}, 1),
 	}
 	p.Time = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
 	d.balancing.retryBudgets = make(map[string]*retry.Window)
 	d.balancing.splits = make(map[string]*balance.Split)
-	d.connections = newConnections(d.metrics.connections.Inc)
+	d.connections = newConnectionPool(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
 	p.Gauge("log_lines_dropped", "Log lines that the reader did not take in time.", func() float64 { return float64(lines.Dropped()) })
-	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.Age().Seconds() })
+	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.follower.Age().Seconds() })
 	d.shaper = newShaper(c.LinkBytes)
 	d.shaper.clock = d.clock
-	d.longAnswers = newLinkQueue(c.LinkBytes)
-	d.controls = newControls(c.Seeds)
+	d.linkQueue = newLinkQueue(c.LinkBytes)
+	d.controlReplicas = newReplicas(c.Seeds)
 	d.permits = newPermits(d.clock)
-	d.permitLinks = newPermitLinks(func(ctx context.Context, address string) (*link.Messages, error) { return d.node.Permits(ctx, address) })
-	d.permits.call = d.permitLinks.call
-	d.permits.replicas = d.controls.all
-	d.permits.request = d.workspaceRequest
-	d.permits.answered = d.recordPermits
+	d.permitStreams = newPermitStreams(func(ctx context.Context, address string) (*link.Messages, error) { return d.node.Permits(ctx, address) })
+	d.permits.call = d.permitStreams.call
+	d.permits.replicas = d.controlReplicas.all
+	d.permits.buildRequest = d.workspaceRequest
+	d.permits.onResult = d.recordPermitCall
 	d.targetLimits = newTargetLimits(c.Name, d.clock)
-	d.targetLimits.permits.call = d.permitLinks.call
-	d.targetLimits.permits.replicas = d.controls.replicas
-	d.targetLimits.permits.answered = d.recordPermits
-	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOff)
+	d.targetLimits.permits.call = d.permitStreams.call
+	d.targetLimits.permits.replicas = d.controlReplicas.membersOrSeeds
+	d.targetLimits.permits.onResult = d.recordPermitCall
+	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOffTargets)
 	d.isolation = d.newIsolation()
 	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
-	d.following = relay.NewFollowing(relay.Subscriber{
+	d.follower = relay.NewFollowing(relay.Subscriber{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
@@ -143,14 +143,14 @@
 		Clock:       p.Clock,
 		Time:        d.clock,
 		Seed:        seed.Sum64(),
-		StaleAfter:  staleAfter,
+		StaleAfter:  maxControlAge,
 		Sources:     d.sources,
-		PutInForce:  d.putInForce,
-		EntryBoxes:  d.setBoxes,
-		Limits:      d.takeUpdates,
+		PutInForce:  d.applyState,
+		EntryBoxes:  d.setEntryBoxes,
+		Limits:      d.mergeUpdates,
 		Event:       d.recordEvent,
 	})
-	d.controlAge = d.following.Age
+	d.controlAge = d.follower.Age
 	return d, d.listen()
 }
 
@@ -167,18 +167,18 @@
 func (d *Daemon) listen() error {
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
 	d.node = link.Dialer(id, d.process.Clock, nil)
-	callers, err := newCallers(d)
+	callers, err := newCallerServer(d)
 	if err != nil {
 		return err
 	}
-	d.callers = callers
-	if d.ready, err = net.Listen("tcp4", d.config.ReadyAddress); err != nil {
+	d.callerServer = callers
+	if d.readyListener, err = net.Listen("tcp4", d.config.ReadyAddress); err != nil {
 		return errors.Wrap(err, "listening for readiness checks")
 	}
 	if d.config.MetricsAddress == "" {
 		return nil
 	}
-	if d.exposed, err = net.Listen("tcp4", d.config.MetricsAddress); err != nil {
+	if d.metricsListener, err = net.Listen("tcp4", d.config.MetricsAddress); err != nil {
 		return errors.Wrap(err, "listening for metrics")
 	}
 	return nil
@@ -186,8 +186,8 @@
 
 const (
 	sweepInterval = time.Second
-	// lineInterval is how often left out log lines are told of.
-	lineInterval = 5 * time.Second
+	// droppedLinesInterval is how often left out log lines are told of.
+	droppedLinesInterval = 5 * time.Second
 )
 
 // Run serves until the context ends, then stops as planned.
@@ -196,7 +196,7 @@
 		Str("incarnation", d.process.Incarnation).Strs("seeds", d.config.Seeds).Msg("entry box starts")
 	logging, stopLogging := context.WithCancel(context.Background())
 	logged := make(chan error, 1)
-	go func() { logged <- d.lines.Run(logging) }()
+	go func() { logged <- d.logWriter.Run(logging) }()
 
 	root := d.process.Supervisor()
 	for _, s := range d.services() {
@@ -204,18 +204,18 @@
 	}
 	tree, stopTree := context.WithCancel(context.Background())
 	ended := root.ServeBackground(tree)
-	served := d.callers.serve()
+	served := d.callerServer.serve()
 
 	var err error
 	select {
 	case <-ctx.Done():
-		d.leave()
+		d.shutdown()
 	case err = <-served:
 	}
 	stopTree()
 	<-ended
 	d.connections.close()
-	d.permitLinks.close()
+	d.permitStreams.close()
 	err = errors.CombineErrors(err, d.node.Close())
 	d.log.Info().Str("kind", "stop").Int64("inFlight", d.inFlight.Load()).Msg("entry box stops")
 	stopLogging()
@@ -225,32 +225,32 @@
 
 func (d *Daemon) services() []suture.Service {
 	out := []suture.Service{
-		process.Service{Name: "following", Run: d.following.Run},
-		process.Service{Name: "controls", Run: d.keepControls},
-		process.Service{Name: "reports", Run: d.report},
+		process.Service{Name: "following", Run: d.follower.Run},
+		process.Service{Name: "controls", Run: d.refreshMembership},
+		process.Service{Name: "reports", Run: d.sendReports},
 		process.Service{Name: "permits", Run: d.permits.run},
 		process.Service{Name: "targetPermits", Run: d.targetLimits.permits.run},
 		process.Service{Name: "isolation", Run: d.isolation.Run},
 		process.Service{Name: "ready", Run: func(ctx context.Context) error {
-			return process.ServeHTTP(ctx, d.ready, d.config.ReadyHandler(d.isReady))
+			return process.ServeHTTP(ctx, d.readyListener, d.config.ReadyHandler(d.isReady))
 		}},
 		process.Service{Name: "sweep", Run: d.sweep},
 		process.Service{Name: "suspensions", Run: d.process.NoteSuspensions},
 	}
-	if d.exposed != nil {
+	if d.metricsListener != nil {
 		out = append(out, process.Service{Name: "metrics", Run: d.serveMetrics})
 	}
 	return out
 }
 
 // isReady reports whether the box can serve callers.
-func (d *Daemon) isReady() bool { return d.rules.Load() != nil && !d.stopping.Load() }
+func (d *Daemon) isReady() bool { return d.routing.Load() != nil && !d.stopping.Load() }
 
 // sweep closes connections that have rested too long, on both sides.
 func (d *Daemon) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	lines := time.NewTicker(lineInterval)
+	lines := time.NewTicker(droppedLinesInterval)
 	defer lines.Stop()
 	for {
 		select {
@@ -258,11 +258,11 @@
 			return ctx.Err()
 		case <-ticker.C:
 			now := d.clock.Now()
-			d.connections.sweep(now, d.knows)
-			d.callers.sweep(now)
-			d.permits.forget(now)
-			d.targetLimits.keep(now, d.knows)
-			d.reportBackOffs()
+			d.connections.closeExpired(now, d.isRegistered)
+			d.callerServer.closeExpired(now)
+			d.permits.prune(now)
+			d.targetLimits.prune(now, d.isRegistered)
+			d.logEndedBackOffs()
 		case <-lines.C:
 			d.logDroppedLines()
 		}
@@ -270,13 +270,13 @@
 }
 
 // CallerAddress is where the box listens for callers.
-func (d *Daemon) CallerAddress() string { return d.callers.listener.Addr().String() }
+func (d *Daemon) CallerAddress() string { return d.callerServer.listener.Addr().String() }
 
 // Log returns the log of the process.
 func (d *Daemon) Log() zerolog.Logger { return d.log }
 
 // SetSeeds replaces the control replicas that were named at the start.
 func (d *Daemon) SetSeeds(seeds []string) {
-	d.controls.setSeeds(seeds)
-	d.following.SourcesChanged()
+	d.controlReplicas.setSeeds(seeds)
+	d.follower.SourcesChanged()
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -15,43 +15,42 @@
 )
 
 const (
-	// wholeAnswer is the largest answer that is read to its end before the
-	// caller gets any of it, so that a broken one can be repeated.
-	wholeAnswer = 256 << 10
-	// collectTime is for how long an answer is collected: one that takes
-	// longer, on a narrow link, is passed on as it comes.
-	collectTime = 40 * time.Millisecond
-	// maxSkipped bounds the answers to earlier requests that are passed over.
-	maxSkipped = 4
+	// maxBufferedResponse bounds the responses that are read completely before any of it is sent to
+	// the caller, so that a request whose response breaks can be repeated.
+	maxBufferedResponse = 256 << 10
+	// maxBufferTime bounds how long a response is buffered. One that takes longer, on a narrow
+	// link, is streamed.
+	maxBufferTime = 40 * time.Millisecond
+	// maxStaleResponses bounds how many responses to earlier requests are skipped.
+	maxStaleResponses = 4
 )
 
-// answer is what a target answered.
-type answer struct {
+// targetResponse is the response of a target.
+type targetResponse struct {
 	status int
 	header http.Header
-	// targetStatus is what its head says of the target.
+	// targetStatus is what the header reports of the target.
 	targetStatus targetstatus.Status
 	// body is the whole body, or its beginning if rest is not nil.
 	body []byte
 	rest io.Reader
-	// length is that of the whole body, below zero if it is not known.
+	// length is the length of the whole body, below zero if unknown.
 	length int64
-	// finish must be called once rest has been read; whole tells whether it
-	// was read to its end.
+	// finish must be called once rest has been read; whole tells whether it was read to its end.
 	finish func(whole bool)
 }
 
-// drop ends an answer that is not passed on.
-func (o *answer) drop() {
+// discard ends a response that is not forwarded.
+func (o *targetResponse) discard() {
 	if o.rest != nil {
 		o.finish(false)
 	}
 }
 
-// attemptError says how an attempt at a target failed.
+// attemptError is the failure of an attempt.
 type attemptError struct {
 	outcome balance.Outcome
-	// sent tells that the target may have got the request.
+	// sent tells that the target may have received the request.
 	sent bool
 	err  error
 }
@@ -62,32 +61,32 @@
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.err }
 
-// wrongAnswerError says that an answer does not belong to the request.
-type wrongAnswerError struct{ got, want string }
+// mismatchedResponseError says that a response has the id of another request.
+type mismatchedResponseError struct{ got, want string }
 
 // Error implements error.
-func (e *wrongAnswerError) Error() string {
-	return fmt.Sprintf("the answer is to request %q, not to %q", e.got, e.want)
+func (e *mismatchedResponseError) Error() string {
+	return fmt.Sprintf("response belongs to request %q, want %q", e.got, e.want)
 }
 
 // attempt is one request to one target.
 type attempt struct {
-	gateway *Daemon
-	request *http.Request
-	id      string
-	body    *requestBody
-	target  balance.Target
-	// began is when the target was chosen.
-	began time.Time
-	// workspace is the name of the one whose request it is; empty for none.
+	gateway   *Daemon
+	request   *http.Request
+	requestID string
+	body      *requestBody
+	target    balance.Target
+	// chosenAt is when the target was chosen.
+	chosenAt time.Time
+	// workspace is the name of the request's workspace; empty for none.
 	workspace string
-	// ends is when the request's time is over, and permitEnds when the permit of this run
-	// is, zero if it needs none.
-	ends       time.Time
-	permitEnds time.Time
-	// connect is how long a new connection took; zero if it was not new.
+	// deadline is that of the request. permitExpiry is when the permit of this attempt expires;
+	// zero if it needs none.
+	deadline     time.Time
+	permitExpiry time.Time
+	// connect is how long a new connection took; zero for a reused one.
 	connect time.Duration
-	// connection is what the request was sent on, nil before.
+	// connection is the one on which the request was sent; nil before.
 	connection *connection
 }
 
@@ -97,28 +96,28 @@
 // Error implements error.
 func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
 
-// logPanic logs a panic of the attempt, ends its connection and returns its failure.
+// logPanic logs a panic of the attempt, closes its connection and returns the failure.
 func (a *attempt) logPanic(value any) *attemptError {
 	a.gateway.process.CountPanic("attempt")
-	if a.gateway.otherLines.Take(a.gateway.clock.Now()) {
-		a.gateway.log.Error().Str("kind", "panic").Str("request", a.id).Str("target", a.target.ID).
+	if a.gateway.otherLineLimit.Take(a.gateway.clock.Now()) {
+		a.gateway.log.Error().Str("kind", "panic").Str("request", a.requestID).Str("target", a.target.ID).
 			Str("panic", fmt.Sprint(value)).Bytes("stack", process.Stack()).Msg("an attempt panicked")
 	}
 	if a.connection != nil {
-		_ = a.connection.Close() // what is under way on it is of no use
+		_ = a.connection.Close() // the state of the exchange on it is unknown
 	}
 	return &attemptError{outcome: balance.Broken, sent: true, err: &panicError{value}}
 }
 
-// run sends the request and reads the answer. The context ends when the caller
-// leaves, the time is over or another target has answered.
-func (a *attempt) run(ctx context.Context) (*answer, *attemptError) {
+// run sends the request and reads the response. The context ends when the caller disconnects, the
+// deadline passes or another target has responded.
+func (a *attempt) run(ctx context.Context) (*targetResponse, *attemptError) {
 	began := a.gateway.clock.Now()
 	c, err := a.gateway.connections.get(ctx, a.target.ID, a.target.Address)
 	if err != nil {
-		return nil, &attemptError{outcome: a.unless(ctx, balance.Unreachable), err: err}
+		return nil, &attemptError{outcome: a.failureOutcome(ctx, balance.Unreachable), err: err}
 	}
-	if err := a.tooLate(a.gateway.clock.Now()); err != nil {
+	if err := a.checkDeadlines(a.gateway.clock.Now()); err != nil {
 		_ = c.Close() // nothing was sent on it
 		return nil, &attemptError{outcome: balance.Dropped, err: err}
 	}
@@ -134,13 +133,13 @@
 	out, err := a.exchange(c)
 	if err != nil {
 		stop()
-		_ = c.Close() // what is under way on it is of no use
-		return nil, &attemptError{outcome: a.unless(ctx, balance.Broken), sent: true, err: err}
+		_ = c.Close() // the state of the exchange on it is unknown
+		return nil, &attemptError{outcome: a.failureOutcome(ctx, balance.Broken), sent: true, err: err}
 	}
 	finish := out.finish
 	out.finish = func(whole bool) {
 		if !stop() {
-			whole = false // the deadline may have been set on it
+			whole = false // the read deadline may have been set on it
 		}
 		finish(whole)
 	}
@@ -150,64 +149,64 @@
 	return out, nil
 }
 
-// tooLateError says that a request was not sent, as its time or that of its permit was
-// over when a connection was had.
-type tooLateError struct{ of string }
+// expiredError says that a request was not sent because its deadline, or the expiry of its permit,
+// had passed by the time there was a connection.
+type expiredError struct{ subject string }
 
 // Error implements error.
-func (e *tooLateError) Error() string { return "not sent: the time of the " + e.of + " is over" }
+func (e *expiredError) Error() string { return "not sent: the " + e.subject + " has expired" }
 
-// tooLate looks once more before a request is sent: a connection may take its time, and
-// the machine may have been frozen or suspended since the target was chosen.
-func (a *attempt) tooLate(now time.Time) error {
+// checkDeadlines checks the request's deadline and its permit again right before sending:
+// connecting takes time, and the machine may have been frozen or suspended since the target was
+// chosen.
+func (a *attempt) checkDeadlines(now time.Time) error {
 	switch {
-	case a.ends.Sub(now) < leastLeft:
-		return &tooLateError{"request"}
-	case !a.permitEnds.IsZero() && !now.Before(a.permitEnds):
-		return &tooLateError{"permit"}
+	case a.deadline.Sub(now) < minAttemptTime:
+		return &expiredError{"request"}
+	case !a.permitExpiry.IsZero() && !now.Before(a.permitExpiry):
+		return &expiredError{"permit"}
 	}
 	return nil
 }
 
-// unless returns the outcome of a failure, which is another one if the context
-// has ended.
-func (a *attempt) unless(ctx context.Context, o balance.Outcome) balance.Outcome {
+// failureOutcome returns the outcome of a failure, which is Dropped if the context has ended.
+func (a *attempt) failureOutcome(ctx context.Context, o balance.Outcome) balance.Outcome {
 	if ctx.Err() != nil {
 		return balance.Dropped
 	}
 	return o
 }
 
-func (a *attempt) exchange(c *connection) (*answer, error) {
-	words := headWords{target: a.target.Name, workspace: a.workspace, left: a.gateway.clock.Until(a.ends), length: a.body.length}
+func (a *attempt) exchange(c *connection) (*targetResponse, error) {
+	words := targetHeaders{target: a.target.Name, workspace: a.workspace, timeout: a.gateway.clock.Until(a.deadline), bodyLength: a.body.length}
 	sent := a.body.send(c, a.gateway.config.Protocol.requestHead(a.request, words))
-	for range maxSkipped {
-		response, err := readFinal(c, a.request)
+	for range maxStaleResponses {
+		response, err := readFinalResponse(c, a.request)
 		if err != nil {
 			if s := sent.failure(); s != nil {
 				err = errors.WithSecondaryError(s, err)
 			}
-			return nil, errors.Wrap(err, "reading the answer")
+			return nil, errors.Wrap(err, "reading the response")
 		}
 		got := response.Header.Get(a.gateway.config.Protocol.RequestID)
-		if got == a.id {
-			return a.read(c, response, a.observe(response), sent)
+		if got == a.requestID {
+			return a.readResponse(c, response, a.recordTargetStatus(response), sent)
 		}
 		if got == "" || response.Close {
-			return nil, &wrongAnswerError{got, a.id}
+			return nil, &mismatchedResponseError{got, a.requestID}
 		}
-		// An answer to an earlier request: ours may follow it.
-		a.gateway.log.Debug().Str("kind", "skippedAnswer").Str("request", a.id).Str("target", a.target.ID).Str("of", got).Msg("passed over an answer to another request")
-		c.doubtful = true
+		// A response to an earlier request: the one to this request may follow.
+		a.gateway.log.Debug().Str("kind", "skippedAnswer").Str("request", a.requestID).Str("target", a.target.ID).Str("of", got).Msg("skipped a response to another request")
+		c.outOfSync = true
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return nil, errors.Wrap(err, "passing over an answer to another request")
+			return nil, errors.Wrap(err, "skipping a response to another request")
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// readFinal reads a response that is not an interim one.
-func readFinal(c *connection, r *http.Request) (*http.Response, error) {
+// readFinalResponse reads a response, skipping interim ones.
+func readFinalResponse(c *connection, r *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
@@ -217,28 +216,28 @@
 			return response, nil
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errors.New("the target switches protocols")
+			return nil, errors.New("the target switched protocols")
 		}
 	}
 }
 
-// read takes the body of the answer, at least its beginning.
-func (a *attempt) read(c *connection, response *http.Response, status targetstatus.Status, sent *sending) (*answer, error) {
-	out := &answer{status: response.StatusCode, header: response.Header, targetStatus: status, length: response.ContentLength}
-	idle := idleTime(response.Header.Get("Keep-Alive"))
+// readResponse reads the body of the response, or its beginning.
+func (a *attempt) readResponse(c *connection, response *http.Response, status targetstatus.Status, sent *upload) (*targetResponse, error) {
+	out := &targetResponse{status: response.StatusCode, header: response.Header, targetStatus: status, length: response.ContentLength}
+	idle := keepAliveTimeout(response.Header.Get("Keep-Alive"))
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	out.finish = func(whole bool) {
-		if whole && framed && !response.Close && !c.doubtful && sent.done() && c.reader.Buffered() == 0 {
+		if whole && framed && !response.Close && !c.outOfSync && sent.succeeded() && c.reader.Buffered() == 0 {
 			a.gateway.connections.put(a.target.ID, c, idle)
 			return
 		}
 		_ = c.Close()
 	}
 	began := a.gateway.clock.Now()
-	slow := func() bool { return a.gateway.clock.Since(began) > collectTime }
-	body, more, err := readUpTo(response.Body, response.ContentLength, wholeAnswer, slow)
+	slow := func() bool { return a.gateway.clock.Since(began) > maxBufferTime }
+	body, more, err := readUpTo(response.Body, response.ContentLength, maxBufferedResponse, slow)
 	if err != nil {
-		return nil, errors.Wrap(err, "reading the body of the answer")
+		return nil, errors.Wrap(err, "reading the response body")
 	}
 	out.body = body
 	if more {
@@ -252,8 +251,8 @@
 	return out, nil
 }
 
-// readUpTo reads a body to its end, or its first limit bytes, or what has come
-// when enough says so.
+// readUpTo reads a body until its end, until limit bytes have been read, or until enough returns
+// true after a read.
 func readUpTo(body io.Reader, length int64, limit int, enough func() bool) (data []byte, more bool, err error) {
 	const first = 512
 	size := first
--- a/internal/gateway/failures_test.go
+++ b/internal/gateway/failures_test.go
@@ -13,16 +13,16 @@
 // The failure that the only target told is the answer where there is no other.
 func TestFailureOfATargetIsPassedOnWhereThereIsNoOther(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
-		s.scripts = scripts(s.status(0, http.StatusInternalServerError))
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusInternalServerError || got.body != "no" {
+		s := newRig(t, testConfig(), 1)
+		s.scripts = scripts(s.answersStatus(0, http.StatusInternalServerError))
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusInternalServerError || got.body != "no" {
 			t.Fatalf("got %d %q", got.status, got.body)
 		}
 	})
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.status(0, http.StatusInternalServerError), s.turnsAway())
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusInternalServerError || got.body != "no" {
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.answersStatus(0, http.StatusInternalServerError), s.rejects())
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusInternalServerError || got.body != "no" {
 			t.Fatalf("the second turned it away: got %d %q", got.status, got.body)
 		}
 	})
@@ -30,46 +30,46 @@
 
 // Guards against a target's long or slow 5xx that is replaced by an answer of the box's own.
 func TestLongFailureIsPassedOnWhereNothingBetterComes(t *testing.T) {
-	long := strings.Repeat("x", 2*wholeAnswer)
+	long := strings.Repeat("x", 2*maxBufferedResponse)
 	t.Run("the only target", func(t *testing.T) {
-		passesFailure(t, 1, long, func(s *scene) []script { return []script{s.fails(long)} })
+		wantFailureForwarded(t, 1, long, func(s *rig) []script { return []script{s.fails(long)} })
 	})
 	t.Run("the only target is slow", func(t *testing.T) {
-		passesFailure(t, 1, "abcdef", func(s *scene) []script { return []script{s.fails("ab", "cd", "ef")} })
+		wantFailureForwarded(t, 1, "abcdef", func(s *rig) []script { return []script{s.fails("ab", "cd", "ef")} })
 	})
 	t.Run("the second turns away", func(t *testing.T) {
-		passesFailure(t, 2, long, func(s *scene) []script { return []script{s.fails(long), s.turnsAway()} })
+		wantFailureForwarded(t, 2, long, func(s *rig) []script { return []script{s.fails(long), s.rejects()} })
 	})
 	t.Run("the second breaks", func(t *testing.T) {
-		passesFailure(t, 2, long, func(s *scene) []script { return []script{s.fails(long), s.breaks(0)} })
+		wantFailureForwarded(t, 2, long, func(s *rig) []script { return []script{s.fails(long), s.breaks(0)} })
 	})
 	t.Run("beside one that breaks", func(t *testing.T) {
-		passesFailure(t, 2, long, func(s *scene) []script { return []script{s.breaks(atWork), s.fails(long)} })
+		wantFailureForwarded(t, 2, long, func(s *rig) []script { return []script{s.breaks(slowResponseTime), s.fails(long)} })
 	})
 }
 
-// passesFailure checks that the caller gets a failure whole.
-func passesFailure(t *testing.T, targets int, body string, list func(s *scene) []script) {
+// wantFailureForwarded checks that the caller gets a failure whole.
+func wantFailureForwarded(t *testing.T, targets int, body string, list func(s *rig) []script) {
 	t.Helper()
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), targets)
+		s := newRig(t, testConfig(), targets)
 		s.scripts = scripts(list(s)...)
-		got := s.ask(t.Context(), "/long/", "")
+		got := s.send(t.Context(), "/long/", "")
 		if got.status != http.StatusInternalServerError || got.body != body {
 			t.Errorf("got %d %.20q, %d bytes, want %d", got.status, got.body, len(got.body), len(body))
 		}
-		s.wantSettled(t, targets, 0)
+		s.wantAttempts(t, targets, 0)
 	})
 }
 
 // fails tells a failure whose body comes in parts, each of which takes longer than
 // the time for which an answer is collected.
-func (s *scene) fails(parts ...string) script {
+func (s *rig) fails(parts ...string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 500 X\r\nTest-Id: %s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Test-Id"), len(strings.Join(parts, "")))
 		for i, p := range parts {
 			if i > 0 {
-				time.Sleep(2 * collectTime)
+				time.Sleep(2 * maxBufferTime)
 			}
 			if _, err := io.WriteString(c, p); err != nil {
 				s.ended <- r.Header.Get("Test-Id")
@@ -82,19 +82,19 @@
 
 // A long failure that was put aside for a better answer ends with it.
 func TestLongFailureGivesWayToABetterAnswer(t *testing.T) {
-	long := strings.Repeat("x", 2*wholeAnswer)
-	for name, list := range map[string]func(s *scene) []script{
-		"one after the other": func(s *scene) []script { return []script{s.fails(long), s.answers(0, "better")} },
-		"beside":              func(s *scene) []script { return []script{s.answers(atWork, "better"), s.fails(long)} },
+	long := strings.Repeat("x", 2*maxBufferedResponse)
+	for name, list := range map[string]func(s *rig) []script{
+		"one after the other": func(s *rig) []script { return []script{s.fails(long), s.answers(0, "better")} },
+		"beside":              func(s *rig) []script { return []script{s.answers(slowResponseTime, "better"), s.fails(long)} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newScene(t, testConfig(), 2)
+				s := newRig(t, testConfig(), 2)
 				s.scripts = scripts(list(s)...)
-				if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusOK || got.body != "better" {
+				if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusOK || got.body != "better" {
 					t.Errorf("got %d %.20q", got.status, got.body)
 				}
-				s.wantSettled(t, 2, 1)
+				s.wantAttempts(t, 2, 1)
 			})
 		})
 	}
@@ -104,12 +104,12 @@
 // whole answer of the box's own is better than a broken one.
 func TestLongFailureIsNotBegunWhenTheTimeIsOver(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.fails(strings.Repeat("x", 2*wholeAnswer)), s.silent())
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout || got.took != 5*time.Second {
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.fails(strings.Repeat("x", 2*maxBufferedResponse)), s.silent())
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout || got.took != 5*time.Second {
 			t.Errorf("got %d %.20q after %s", got.status, got.body, got.took)
 		}
-		s.wantSettled(t, 2, 2)
+		s.wantAttempts(t, 2, 2)
 	})
 }
 
@@ -119,15 +119,15 @@
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 0, 1.5
-		s := newScene(t, config, 2)
+		s := newRig(t, config, 2)
 		s.scripts = scripts(s.breaks(0), s.breaks(0), s.answers(0, "second"), s.breaks(0))
 		s.register(t, "0")
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
 			t.Fatalf("got %d %q", got.status, got.body)
 		}
 		s.register(t, "0", "1")
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "second", 0)
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
 			t.Fatalf("the budget has more than one retry: got %d %q", got.status, got.body)
 		}
 	})
@@ -137,9 +137,9 @@
 // who must not take it for whole; that panic is for net/http and not recovered.
 func TestBrokenLongAnswerBreaksOffTowardsTheCaller(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
+		s := newRig(t, testConfig(), 1)
 		s.scripts = scripts(func(r *http.Request, c net.Conn) bool {
-			body := strings.Repeat("x", 2*wholeAnswer)
+			body := strings.Repeat("x", 2*maxBufferedResponse)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", r.Header.Get("Test-Id"), len(body)+1, body)
 			return false
 		})
@@ -147,9 +147,9 @@
 			if p := recover(); p != http.ErrAbortHandler {
 				t.Errorf("the handler ended with %v", p)
 			}
-			s.wantNoneCounted(t)
+			s.wantNoneInFlight(t)
 		}()
-		got := s.ask(t.Context(), "/once/", "")
+		got := s.send(t.Context(), "/once/", "")
 		t.Errorf("a broken answer of %d bytes ended as whole", len(got.body))
 	})
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -78,13 +78,13 @@
 	}
 }
 
-func answerWith(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func served(_ int, r *http.Request, c net.Conn) bool {
+func respondHello(_ int, r *http.Request, c net.Conn) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
-	answerWith(c, r.Header.Get("Test-Id"), "hello")
+	writeResponse(c, r.Header.Get("Test-Id"), "hello")
 	return true
 }
 
@@ -103,8 +103,8 @@
 	}, nil
 }
 
-// gateway is a box with targets and an HTTP server in front of it.
-type gateway struct {
+// testGateway is a box with targets and an HTTP server in front of it.
+type testGateway struct {
 	daemon *Daemon
 	server *httptest.Server
 }
@@ -132,12 +132,12 @@
 		}}})
 	}
 	d.controlAge = func() time.Duration { return 0 }
-	d.putInForce(state, nil)
-	d.setBoxes([]*wire.EntryBox{{Name: "box", Zone: "z", Region: "r"}})
+	d.applyState(state, nil)
+	d.setEntryBoxes([]*wire.EntryBox{{Name: "box", Zone: "z", Region: "r"}})
 	return d
 }
 
-func newGateway(t *testing.T, targets ...*target) *gateway {
+func newGateway(t *testing.T, targets ...*target) *testGateway {
 	t.Helper()
 	addresses := make([]string, 0, len(targets))
 	for _, s := range targets {
@@ -147,19 +147,19 @@
 }
 
 // serveDaemon serves requests of callers by a box until the test ends.
-func serveDaemon(t *testing.T, d *Daemon) *gateway {
+func serveDaemon(t *testing.T, d *Daemon) *testGateway {
 	t.Helper()
-	g := &gateway{daemon: d, server: httptest.NewServer(d)}
+	g := &testGateway{daemon: d, server: httptest.NewServer(d)}
 	t.Cleanup(func() {
 		g.server.Close()
 		d.connections.close()
-		_ = d.callers.listener.Close()
-		_ = d.ready.Close()
+		_ = d.callerServer.listener.Close()
+		_ = d.readyListener.Close()
 	})
 	return g
 }
 
-func (g *gateway) do(t *testing.T, method, path, id, body string) (*http.Response, string) {
+func (g *testGateway) do(t *testing.T, method, path, id, body string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, g.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -190,7 +190,7 @@
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
 		got <- seen{r.Method, r.RequestURI, string(body), r.Header}
-		answerWith(c, r.Header.Get("Test-Id"), "hello")
+		writeResponse(c, r.Header.Get("Test-Id"), "hello")
 		return true
 	})
 	g := newGateway(t, s)
@@ -212,7 +212,7 @@
 }
 
 func TestConnectionIsKept(t *testing.T) {
-	s := newTarget(t, served)
+	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	for i := range 5 {
 		g.do(t, "GET", "/safe/", fmt.Sprint(i), "")
@@ -242,8 +242,8 @@
 // An answer to an earlier request may stand where the next one is due.
 func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
-		answerWith(c, "other", "wrong")
-		answerWith(c, r.Header.Get("Test-Id"), "right")
+		writeResponse(c, "other", "wrong")
+		writeResponse(c, r.Header.Get("Test-Id"), "right")
 		return true
 	})
 	g := newGateway(t, s)
@@ -256,8 +256,8 @@
 	}
 }
 
-// breaks are the ways in which an answer can break.
-var breaks = map[string]func(c net.Conn, id string){
+// brokenResponses are the ways in which an answer can break.
+var brokenResponses = map[string]func(c net.Conn, id string){
 	"no answer": func(net.Conn, string) {},
 	"garbage":   func(c net.Conn, _ string) { _, _ = io.WriteString(c, "\x00\x01 what\r\n\r\n") },
 	"half a body": func(c net.Conn, id string) {
@@ -276,7 +276,7 @@
 }
 
 func TestBrokenAnswerOfAnUnrepeatableRequestIsUnknown(t *testing.T) {
-	for name, break_ := range breaks {
+	for name, break_ := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 				break_(c, r.Header.Get("Test-Id"))
@@ -295,7 +295,7 @@
 }
 
 func TestBrokenAnswerOfARepeatableRequestIsTriedElsewhere(t *testing.T) {
-	for name, break_ := range breaks {
+	for name, break_ := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			var total atomic.Int32
 			script := func(_ int, r *http.Request, c net.Conn) bool {
@@ -303,7 +303,7 @@
 					break_(c, r.Header.Get("Test-Id"))
 					return false
 				}
-				return served(0, r, c)
+				return respondHello(0, r, c)
 			}
 			g := newGateway(t, newTarget(t, script), newTarget(t, script))
 			if response, body := g.do(t, "GET", "/safe/", "id1", ""); response.StatusCode != http.StatusOK || body != "hello" {
@@ -313,13 +313,13 @@
 	}
 }
 
-func turnAway(_ int, r *http.Request, c net.Conn) bool {
+func rejectNotRun(_ int, r *http.Request, c net.Conn) bool {
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nTest-Id: %s\r\nTest-Not-Executed: 1\r\nSeal: x\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Test-Id"))
 	return true
 }
 
 func TestRequestThatDidNotRunIsRefusedWithATime(t *testing.T) {
-	a, b := newTarget(t, turnAway), newTarget(t, turnAway)
+	a, b := newTarget(t, rejectNotRun), newTarget(t, rejectNotRun)
 	g := newGateway(t, a, b)
 	response, _ := g.do(t, "POST", "/unsafe/", "id1", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
@@ -346,9 +346,9 @@
 }
 
 func TestUnreachableTargetIsPassedOver(t *testing.T) {
-	dead := newTarget(t, served)
+	dead := newTarget(t, respondHello)
 	_ = dead.listener.Close()
-	g := newGateway(t, dead, newTarget(t, served))
+	g := newGateway(t, dead, newTarget(t, respondHello))
 	for i := range 6 {
 		if response, _ := g.do(t, "POST", "/unsafe/", fmt.Sprint(i), ""); response.StatusCode != http.StatusOK {
 			t.Fatalf("got %d", response.StatusCode)
@@ -357,11 +357,11 @@
 }
 
 func TestOwnAnswers(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
+	g := newGateway(t, newTarget(t, respondHello))
 	if response, _ := g.do(t, "GET", "/none/", "id1", ""); response.StatusCode != http.StatusNotFound {
 		t.Fatalf("no route: %d", response.StatusCode)
 	}
-	g.daemon.rules.Store(nil)
+	g.daemon.routing.Store(nil)
 	response, _ := g.do(t, "GET", "/safe/", "id2", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 		t.Fatalf("no routes known: %d, %v", response.StatusCode, response.Header)
@@ -376,8 +376,8 @@
 // answered from what it knew as if it knew all there is; the log lines of these
 // requests named an older document than the one in force, with that age.
 func TestRouteThatMayHaveBeenAddedIsNotDenied(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
-	age := staleAfter + time.Millisecond
+	g := newGateway(t, newTarget(t, respondHello))
+	age := maxControlAge + time.Millisecond
 	g.daemon.controlAge = func() time.Duration { return age }
 	response, _ := g.do(t, "GET", "/added/", "id1", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
@@ -386,7 +386,7 @@
 	if response, _ := g.do(t, "GET", "/safe/", "id2", ""); response.StatusCode != http.StatusOK {
 		t.Errorf("a known route: %d", response.StatusCode)
 	}
-	age = staleAfter
+	age = maxControlAge
 	if response, _ := g.do(t, "GET", "/added/", "id3", ""); response.StatusCode != http.StatusNotFound {
 		t.Errorf("word of control: %d", response.StatusCode)
 	}
@@ -397,7 +397,7 @@
 	long := strings.Repeat("0123456789abcdef", 40_000)
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
-		answerWith(c, r.Header.Get("Test-Id"), string(body))
+		writeResponse(c, r.Header.Get("Test-Id"), string(body))
 		return true
 	})
 	g := newGateway(t, s)
--- a/internal/gateway/head.go
+++ b/internal/gateway/head.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// hopHeaders concern one connection only and are not passed on.
+// hopHeaders apply to one connection only and are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -21,8 +21,8 @@
 	"Expect":              true,
 }
 
-// passedOn reports whether a header goes on to the other side.
-func passedOn(name string, listed []string) bool {
+// isForwarded reports whether a header is forwarded. listed are the names in the Connection header.
+func isForwarded(name string, listed []string) bool {
 	if hopHeaders[name] {
 		return false
 	}
@@ -34,7 +34,7 @@
 	return true
 }
 
-// connectionOptions returns the header names that Connection lists.
+// connectionOptions returns the header names that the Connection header lists.
 func connectionOptions(h http.Header) []string {
 	var out []string
 	for _, line := range h["Connection"] {
@@ -45,20 +45,20 @@
 	return out
 }
 
-// headWords are what the box tells a target in the head of a request.
-type headWords struct {
-	// target is the id of the one that the request is meant for.
+// targetHeaders are the headers that the box sets in a request to a target.
+type targetHeaders struct {
+	// target is the id of the target that the request is meant for.
 	target string
-	// workspace is whose request it is; empty for nobody's.
+	// workspace is the name of the request's workspace; empty for none.
 	workspace string
-	// left is how long the sender will wait.
-	left time.Duration
-	// length is that of the body; below zero for one in chunks.
-	length int64
+	// timeout is how long the sender waits for the response.
+	timeout time.Duration
+	// bodyLength is the length of the body; below zero for a chunked body.
+	bodyLength int64
 }
 
-// requestHead writes the head of a request as it goes to a target.
-func (p Protocol) requestHead(r *http.Request, words headWords) []byte {
+// requestHead returns the request line and headers that are sent to a target.
+func (p Protocol) requestHead(r *http.Request, words targetHeaders) []byte {
 	const usualHead = 512
 	out := make([]byte, 0, usualHead)
 	out = append(out, r.Method...)
@@ -68,30 +68,30 @@
 	out = appendLine(out, "Host", r.Host)
 	listed := connectionOptions(r.Header)
 	for name, values := range r.Header {
-		if !passedOn(name, listed) || name == "Content-Length" || p.isOwn(name) {
+		if !isForwarded(name, listed) || name == "Content-Length" || p.isReserved(name) {
 			continue
 		}
 		for _, v := range values {
 			out = appendLine(out, name, v)
 		}
 	}
-	out = appendLine(out, p.Deadline, strconv.FormatInt(max(words.left.Milliseconds(), 1), 10))
+	out = appendLine(out, p.Deadline, strconv.FormatInt(max(words.timeout.Milliseconds(), 1), 10))
 	out = appendLine(out, p.ExpectTarget, words.target)
 	if words.workspace != "" {
 		out = appendLine(out, p.Workspace, words.workspace)
 	}
 	switch {
-	case words.length < 0:
+	case words.bodyLength < 0:
 		out = appendLine(out, "Transfer-Encoding", "chunked")
-	case words.length > 0 || r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0:
-		out = appendLine(out, "Content-Length", strconv.FormatInt(words.length, 10))
+	case words.bodyLength > 0 || r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0:
+		out = appendLine(out, "Content-Length", strconv.FormatInt(words.bodyLength, 10))
 	}
 	return append(out, "\r\n"...)
 }
 
-// isOwn tells the headers that the box sets itself, and the key, which is for the
-// box only: a caller's word on them does not go on.
-func (p Protocol) isOwn(name string) bool {
+// isReserved reports whether a header is set by the box alone, or is the workspace key, which only
+// the box may see. A caller's value is not forwarded.
+func (p Protocol) isReserved(name string) bool {
 	return strings.EqualFold(name, p.Deadline) || strings.EqualFold(name, p.ExpectTarget) ||
 		strings.EqualFold(name, p.Workspace) || strings.EqualFold(name, p.WorkspaceKey)
 }
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -12,68 +12,66 @@
 )
 
 const (
-	// minHedgePause and maxHedgePause bound when another target is sought again after none
-	// was found: below the first a request would ask for room that nothing has
-	// made, beyond the second one that is back after the shortest time for which
-	// a target is left out would be missed.
-	minHedgePause = 50 * time.Millisecond
-	maxHedgePause = 250 * time.Millisecond
+	// minHedgeInterval and maxHedgeInterval bound the pause before the next search for a target
+	// after one that found none. A shorter pause would ask again before any slot can have become
+	// free; a longer one would miss a target that is readmitted after the shortest ejection.
+	minHedgeInterval = 50 * time.Millisecond
+	maxHedgeInterval = 250 * time.Millisecond
 )
 
-// errOtherAnswered is the cause of a context that ended because another target
-// gave the answer.
-var errOtherAnswered = errors.New("another target answered")
+// errOtherResponded is the cause of a context that was canceled because another target responded.
+var errOtherResponded = errors.New("another target responded")
 
-// errNoPermit says that the limit of the workspace leaves no further attempt.
-var errNoPermit = errors.New("no permit of the workspace is in stock")
+// errNoPermit says that the workspace's rate limit allows no further attempt.
+var errNoPermit = errors.New("the workspace has no cached permit")
 
-// pendingAttempt is an attempt that has not ended.
+// pendingAttempt is an attempt in flight.
 type pendingAttempt struct {
-	attempt *attempt
-	choice  chosen
-	began   time.Time
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	// overdue tells that its answer had not come when the patience ran out.
+	attempt   *attempt
+	choice    permittedChoice
+	startedAt time.Time
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	// overdue tells that the hedge delay passed without a response.
 	overdue bool
 }
 
-// attemptEnd is how an attempt has ended.
+// attemptEnd is the result of an attempt.
 type attemptEnd struct {
 	*pendingAttempt
-	out     *answer
+	out     *targetResponse
 	failure *attemptError
 	took    time.Duration
 }
 
-// launch begins an attempt, whose end comes on the channel of the call.
-func (c *call) launch(ctx context.Context, choice chosen) {
+// startAttempt starts an attempt, whose result arrives on c.ended.
+func (c *callerRequest) startAttempt(ctx context.Context, choice permittedChoice) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	a := &attempt{
-		gateway: c.gateway, began: c.gateway.clock.Now(), request: c.request, id: c.id, body: c.body, target: choice.Target,
-		workspace: c.workspaceName(), ends: c.ends, permitEnds: firstOf(c.permitEnds(), choice.permitEnds),
+		gateway: c.gateway, chosenAt: c.gateway.clock.Now(), request: c.request, requestID: c.requestID, body: c.body, target: choice.Target,
+		workspace: c.workspaceName(), deadline: c.deadline, permitExpiry: earliest(c.nextPermitExpiry(), choice.permitExpiry),
 	}
-	u := &pendingAttempt{attempt: a, choice: choice, began: a.began, ctx: ctx, cancel: cancel}
+	u := &pendingAttempt{attempt: a, choice: choice, startedAt: a.chosenAt, ctx: ctx, cancel: cancel}
 	c.tried = append(c.tried, choice.Target.ID)
 	c.pending = append(c.pending, u)
 	go func() { c.ended <- u.run() }()
-	c.watch()
+	c.armHedgeTimer()
 }
 
-// firstOf returns the earlier of two times, of which zero stands for none.
-func firstOf(a, b time.Time) time.Time {
+// earliest returns the earlier of two times; a zero time stands for none.
+func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// run runs the attempt. A panic ends it as one whose target may have run the
-// request: net/http recovers those of its own goroutines only, and the box would end
+// run runs the attempt. A panic counts as a failure of a target that may have run the request:
+// net/http recovers panics in its own goroutines only, so otherwise one panic would end the box
 // with all its requests.
 func (u *pendingAttempt) run() (e attemptEnd) {
 	defer func() {
-		e.took = u.attempt.gateway.clock.Since(u.began)
+		e.took = u.attempt.gateway.clock.Since(u.startedAt)
 		if p := recover(); p != nil {
 			e.out, e.failure = nil, u.attempt.logPanic(p)
 		}
@@ -83,148 +81,146 @@
 	return e
 }
 
-// watch sets the alarm to when the attempt that began last is overdue.
-func (c *call) watch() {
+// armHedgeTimer sets the hedge timer to when the attempt that was started last becomes overdue.
+func (c *callerRequest) armHedgeTimer() {
 	if !c.canHedge() {
-		c.alarm.Stop()
+		c.hedgeTimer.Stop()
 		return
 	}
 	last := c.pending[len(c.pending)-1]
-	c.alarm.Reset(max(c.gateway.clock.Until(last.began.Add(last.choice.Patience)), minHedgePause))
+	c.hedgeTimer.Reset(max(c.gateway.clock.Until(last.startedAt.Add(last.choice.Patience)), minHedgeInterval))
 }
 
-// canHedge reports whether the request may go to a further target while one
-// may be running it.
-func (c *call) canHedge() bool {
-	if c.route.Repeat == catalog.Unrepeatable || !c.body.whole() {
+// canHedge reports whether the request may go to a further target while another may be running it.
+func (c *callerRequest) canHedge() bool {
+	if c.route.Repeat == catalog.Unrepeatable || !c.body.isBuffered() {
 		return false
 	}
-	if c.gateway.clock.Until(c.ends) < leastLeft || c.dials >= maxDials || !c.canRepeat() {
+	if c.gateway.clock.Until(c.deadline) < minAttemptTime || c.dials >= maxDials || !c.quarantineAllowsRepeat() {
 		return false
 	}
 	return c.sent+len(c.pending) < c.route.MaxAttempts
 }
 
-// hedge starts an attempt at another target beside those that are overdue. They are kept whether
-// there is one or not: a target that is slow because its queue is long answers
-// in the end, and where all have queues there is no better one.
-func (c *call) hedge(ctx context.Context) {
+// hedge starts an attempt at another target beside the overdue ones. Those continue whether a
+// target is found or not: a target that is slow because its queue is long responds in the end, and
+// where all targets have queues no other one is faster.
+func (c *callerRequest) hedge(ctx context.Context) {
 	for _, u := range c.pending {
 		c.recordOverdue(u)
 	}
 	if ctx.Err() != nil || !c.canHedge() {
 		return
 	}
-	if !c.permitsAnother() {
-		c.hedges.none = errNoPermit
-		c.alarm.Reset(maxHedgePause)
+	if !c.obtainPermitForAnother() {
+		c.hedges.lastError = errNoPermit
+		c.hedgeTimer.Reset(maxHedgeInterval)
 		return
 	}
-	choice, err := c.chooseRetry(ctx, 0)
+	choice, err := c.chooseRetryTarget(ctx, 0)
 	if err != nil {
-		c.hedges.none = err
-		c.alarm.Reset(untilNextHedge(err))
+		c.hedges.lastError = err
+		c.hedgeTimer.Reset(nextHedgeDelay(err))
 		return
 	}
 	c.hedges.count++
-	c.hedges.after = c.gateway.clock.Since(c.pending[0].began)
+	c.hedges.delay = c.gateway.clock.Since(c.pending[0].startedAt)
 	c.gateway.metrics.hedges.Inc()
-	c.launch(ctx, choice)
+	c.startAttempt(ctx, choice)
 }
 
-// recordOverdue tells the balancer of a target whose answer is overdue: one that has
-// gone silent would get further requests until this one has waited for all its time.
-func (c *call) recordOverdue(u *pendingAttempt) {
+// recordOverdue reports an overdue target to the balancer. Otherwise a target that stopped
+// responding would get further requests until this one has reached its deadline.
+func (c *callerRequest) recordOverdue(u *pendingAttempt) {
 	if u.overdue {
 		return
 	}
 	u.overdue = true
-	c.gateway.overdue(balance.Report{TargetID: u.choice.Target.ID, Route: c.route.Name, Outcome: balance.Stuck, Took: c.gateway.clock.Since(u.began)})
+	c.gateway.reportOverdue(balance.Report{TargetID: u.choice.Target.ID, Route: c.route.Name, Outcome: balance.Stuck, Took: c.gateway.clock.Since(u.startedAt)})
 }
 
-// untilNextHedge is when another target may be sought again.
-func untilNextHedge(err error) time.Duration {
+// nextHedgeDelay returns the time until the next search for a target.
+func nextHedgeDelay(err error) time.Duration {
 	var none *balance.NoTargetError
 	if !errors.As(err, &none) {
-		return maxHedgePause
+		return maxHedgeInterval
 	}
-	return min(max(none.RetryAfter, minHedgePause), maxHedgePause)
+	return min(max(none.RetryAfter, minHedgeInterval), maxHedgeInterval)
 }
 
-// settle takes the end of an attempt: it is counted, judged and reported.
-func (c *call) settle(e attemptEnd) {
+// recordAttempt records the result of an attempt and reports its outcome to the balancer.
+func (c *callerRequest) recordAttempt(e attemptEnd) {
 	c.pending = slices.DeleteFunc(c.pending, func(u *pendingAttempt) bool { return u == e.pendingAttempt })
-	c.last = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, fresh: e.attempt.connect > 0, took: e.took}
+	c.lastAttempt = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, newConnection: e.attempt.connect > 0, took: e.took}
 	report := balance.Report{
 		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connect, ToldOverdue: e.overdue,
 	}
 	if e.failure != nil {
 		e.cancel(nil)
-		report.Outcome = c.judgeFailure(e)
-		c.last.err = e.failure
+		report.Outcome = c.classifyFailure(e)
+		c.lastAttempt.err = e.failure
 		if !e.failure.sent {
 			c.gateway.returnPermit(e.choice)
 		}
 	} else {
-		report.Outcome = c.judgeAnswer(e.out)
+		report.Outcome = c.classifyResponse(e.out)
 		report.Load, report.HasLoad = e.out.targetStatus.Load, e.out.targetStatus.HasLoad
-		c.releaseWhenRead(e.out, func() { e.cancel(nil) })
+		c.releaseAfterBody(e.out, func() { e.cancel(nil) })
 	}
-	c.last.outcome = report.Outcome
-	c.records = append(c.records, c.last)
-	c.observeRun(e)
-	c.gateway.done(report)
+	c.lastAttempt.outcome = report.Outcome
+	c.endedAttempts = append(c.endedAttempts, c.lastAttempt)
+	c.recordEvidence(e)
+	c.gateway.recordOutcome(report)
 }
 
-// stash takes an answer that a better one is sought for. A failure that its
-// target told is kept for the case that none comes, one that is not read to its end
-// with its connection.
-func (c *call) stash(e attemptEnd) {
+// keepFallback keeps a failure that a target reported, in case no better response arrives. One that
+// has not been read to its end keeps its connection. A rejection is discarded.
+func (c *callerRequest) keepFallback(e attemptEnd) {
 	if e.out == nil {
 		return
 	}
 	if c.notRun(e.out) {
-		e.out.drop()
+		e.out.discard()
 		return
 	}
 	c.dropFallback()
 	c.fallback = e.out
 }
 
-// hasFallback reports whether there is an answer in place of a better one. What is
-// left of it to be read can't be had once the time is over.
-func (c *call) hasFallback() bool {
-	return c.fallback != nil && (c.fallback.rest == nil || c.gateway.clock.Now().Before(c.ends))
+// hasFallback reports whether a fallback can be sent. A fallback that has not been read to its end
+// can't be read after the deadline.
+func (c *callerRequest) hasFallback() bool {
+	return c.fallback != nil && (c.fallback.rest == nil || c.gateway.clock.Now().Before(c.deadline))
 }
 
-// passFallback hands the caller the answer that was put aside.
-func (c *call) passFallback() {
+// sendFallback sends the fallback to the caller.
+func (c *callerRequest) sendFallback() {
 	out := c.fallback
 	c.fallback = nil
-	c.pass(out)
+	c.sendResponse(out)
 }
 
-// dropFallback ends an answer that was put aside and is not passed on.
-func (c *call) dropFallback() {
+// dropFallback discards a fallback that is not sent.
+func (c *callerRequest) dropFallback() {
 	if c.fallback != nil {
-		c.fallback.drop()
+		c.fallback.discard()
 		c.fallback = nil
 	}
 }
 
-// endOthers ends the attempts that are no longer wanted and waits for that, so
-// that each is reported and none goes on behind the answer.
-func (c *call) endOthers() {
-	won := c.last
+// cancelPending cancels the pending attempts and waits for them, so that each is reported and none
+// outlives the response.
+func (c *callerRequest) cancelPending() {
+	won := c.lastAttempt
 	for _, u := range c.pending {
-		u.cancel(errOtherAnswered)
+		u.cancel(errOtherResponded)
 	}
 	for len(c.pending) > 0 {
 		e := <-c.ended
-		c.settle(e)
+		c.recordAttempt(e)
 		if e.out != nil {
-			e.out.drop()
+			e.out.discard()
 		}
 	}
-	c.last = won
+	c.lastAttempt = won
 }
--- a/internal/gateway/patience_test.go
+++ b/internal/gateway/hedging_test.go
@@ -39,20 +39,20 @@
 // A target that takes longer than the patience is waited for where there is no other.
 func targetWithoutAnother(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(atWork, "first"))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", atWork)
-		s.wantSettled(t, 1, 0)
+		s := newRig(t, testConfig(), 1)
+		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
+		s.wantAttempts(t, 1, 0)
 	})
 }
 
 // A request whose body can be sent once only stays at its target.
 func targetOfALongBody(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(atWork, "first"))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", strings.Repeat("x", 2*wholeBody)), "first", atWork)
-		s.wantSettled(t, 1, 0)
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.wantResponse(t, s.send(t.Context(), "/long/", strings.Repeat("x", 2*maxBufferedBody)), "first", slowResponseTime)
+		s.wantAttempts(t, 1, 0)
 	})
 }
 
@@ -61,10 +61,10 @@
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 0, 0
-		s := newScene(t, config, 2)
-		s.scripts = scripts(s.answers(atWork, "first"))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", atWork)
-		s.wantSettled(t, 1, 0)
+		s := newRig(t, config, 2)
+		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
+		s.wantAttempts(t, 1, 0)
 	})
 }
 
@@ -97,15 +97,15 @@
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.StopTime = 6 * time.Second
-		s := newScene(t, config, 1)
+		s := newRig(t, config, 1)
 		s.scripts = scripts(s.answers(4*time.Second, "first"))
-		l := &memoryListener{Listener: s.daemon.callers.listener, conns: make(chan net.Conn), ended: make(chan struct{})}
+		l := &memoryListener{Listener: s.daemon.callerServer.listener, conns: make(chan net.Conn), ended: make(chan struct{})}
 		ended := make(chan error, 1)
-		go func() { ended <- s.daemon.callers.server.Serve(l) }()
+		go func() { ended <- s.daemon.callerServer.server.Serve(l) }()
 		near, far := net.Pipe()
 		l.conns <- far
 		left := make(chan struct{})
-		go func() { defer close(left); s.daemon.leave() }()
+		go func() { defer close(left); s.daemon.shutdown() }()
 		time.Sleep(time.Second) // the request comes late in the stop
 		began := time.Now()
 		go func() {
@@ -123,30 +123,30 @@
 			t.Fatal(err)
 		}
 		<-left
-		s.wantSettled(t, 1, 0)
+		s.wantAttempts(t, 1, 0)
 	})
 }
 
 // What a second target does other than answering takes nothing from the first.
 func firstOfTwoTargets(t *testing.T) {
-	for name, second := range map[string]func(s *scene) script{
-		"turns away":     func(s *scene) script { return s.turnsAway() },
-		"breaks":         func(s *scene) script { return s.breaks(100 * time.Millisecond) },
-		"fails":          func(s *scene) script { return s.status(100*time.Millisecond, http.StatusInternalServerError) },
-		"breaks at once": func(s *scene) script { return s.breaks(0) },
-		"stays silent":   func(s *scene) script { return s.silent() },
-		"takes its time": func(s *scene) script { return s.answers(atWork, "second") },
+	for name, second := range map[string]func(s *rig) script{
+		"turns away":     func(s *rig) script { return s.rejects() },
+		"breaks":         func(s *rig) script { return s.breaks(100 * time.Millisecond) },
+		"fails":          func(s *rig) script { return s.answersStatus(100*time.Millisecond, http.StatusInternalServerError) },
+		"breaks at once": func(s *rig) script { return s.breaks(0) },
+		"stays silent":   func(s *rig) script { return s.silent() },
+		"takes its time": func(s *rig) script { return s.answers(slowResponseTime, "second") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newScene(t, testConfig(), 3)
-				s.scripts = scripts(s.answers(atWork, "first"), second(s))
-				s.wantAnswer(t, s.ask(t.Context(), "/long/", "body"), "first", atWork)
+				s := newRig(t, testConfig(), 3)
+				s.scripts = scripts(s.answers(slowResponseTime, "first"), second(s))
+				s.wantResponse(t, s.send(t.Context(), "/long/", "body"), "first", slowResponseTime)
 				ended := 0
 				if strings.HasPrefix(name, "stays") || strings.HasPrefix(name, "takes") {
 					ended = 1
 				}
-				s.wantSettled(t, 2, ended)
+				s.wantAttempts(t, 2, ended)
 			})
 		})
 	}
@@ -154,16 +154,16 @@
 
 // Of two targets at work the first answer counts, and the other is ended.
 func TestSecondTargetThatAnswersFirstWins(t *testing.T) {
-	for name, first := range map[string]func(s *scene) script{
-		"slow":   func(s *scene) script { return s.answers(atWork, "first") },
-		"silent": func(s *scene) script { return s.silent() },
+	for name, first := range map[string]func(s *rig) script{
+		"slow":   func(s *rig) script { return s.answers(slowResponseTime, "first") },
+		"silent": func(s *rig) script { return s.silent() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newScene(t, testConfig(), 2)
+				s := newRig(t, testConfig(), 2)
 				s.scripts = scripts(first(s), s.answers(100*time.Millisecond, "second"))
-				s.wantAnswer(t, s.ask(t.Context(), "/long/", "body"), "second", patience+100*time.Millisecond)
-				s.wantSettled(t, 2, 1)
+				s.wantResponse(t, s.send(t.Context(), "/long/", "body"), "second", hedgeDelay+100*time.Millisecond)
+				s.wantAttempts(t, 2, 1)
 			})
 		})
 	}
@@ -173,19 +173,19 @@
 // passed on to its end.
 func TestLongAnswerOfTheSecondTargetIsWhole(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		long := strings.Repeat("0123456789abcdef", wholeAnswer/4)
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(atWork, "first"), s.answers(100*time.Millisecond, long))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), long, patience+100*time.Millisecond)
-		s.wantSettled(t, 2, 1)
+		long := strings.Repeat("0123456789abcdef", maxBufferedResponse/4)
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.answers(slowResponseTime, "first"), s.answers(100*time.Millisecond, long))
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), long, hedgeDelay+100*time.Millisecond)
+		s.wantAttempts(t, 2, 1)
 	})
 }
 
 // A second target that can't be reached takes nothing from the first.
 func secondOutOfReach(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(atWork, "first"))
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.answers(slowResponseTime, "first"))
 		dial := s.daemon.connections.dial
 		var dials atomic.Int32
 		s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -194,11 +194,11 @@
 			}
 			return dial(ctx, network, address)
 		}
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", atWork)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
 		if n := dials.Load(); n != 2 {
 			t.Fatalf("%d connections were tried", n)
 		}
-		s.wantSettled(t, 1, 0)
+		s.wantAttempts(t, 1, 0)
 	})
 }
 
@@ -207,11 +207,11 @@
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 0, 1.5 // one retry: asking in vain takes none
-		s := newScene(t, config, 2)
+		s := newRig(t, config, 2)
 		s.register(t, "0")
 		s.scripts = scripts(s.silent(), s.answers(100*time.Millisecond, "second"))
 		got := make(chan result, 1)
-		go func() { got <- s.ask(t.Context(), "/long/", "") }()
+		go func() { got <- s.send(t.Context(), "/long/", "") }()
 		time.Sleep(2 * time.Second)
 		s.register(t, "0", "1")
 		r := <-got
@@ -221,12 +221,12 @@
 		if r.took > 2*time.Second+500*time.Millisecond {
 			t.Fatalf("answered after %s", r.took)
 		}
-		s.wantSettled(t, 2, 1)
+		s.wantAttempts(t, 2, 1)
 	})
 }
 
 // register puts targets t0, t1 and so on in force.
-func (s *scene) register(t *testing.T, addresses ...string) {
+func (s *rig) register(t *testing.T, addresses ...string) {
 	t.Helper()
 	state, _ := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
 	for i, a := range addresses {
@@ -234,7 +234,7 @@
 			Id: fmt.Sprint("t", i), Service: "s", Address: a, Zone: "z", Slots: 4, Sequence: 1,
 		}}})
 	}
-	s.daemon.putInForce(state, nil)
+	s.daemon.applyState(state, nil)
 }
 
 // No second target runs beside one where the route or the nature of the request
@@ -243,10 +243,10 @@
 	for name, path := range map[string]string{"unrepeatable": "/once/", "one attempt": "/single/"} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newScene(t, testConfig(), 2)
-				s.scripts = scripts(s.answers(atWork, "first"))
-				s.wantAnswer(t, s.ask(t.Context(), path, ""), "first", atWork)
-				s.wantSettled(t, 1, 0)
+				s := newRig(t, testConfig(), 2)
+				s.scripts = scripts(s.answers(slowResponseTime, "first"))
+				s.wantResponse(t, s.send(t.Context(), path, ""), "first", slowResponseTime)
+				s.wantAttempts(t, 1, 0)
 			})
 		})
 	}
@@ -256,13 +256,13 @@
 // is not called not run.
 func silentTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 3)
+		s := newRig(t, testConfig(), 3)
 		s.scripts = scripts(s.silent(), s.silent())
-		got := s.ask(t.Context(), "/long/", "")
+		got := s.send(t.Context(), "/long/", "")
 		if got.status != http.StatusGatewayTimeout || got.header.Get("Retry-After") != "" || got.took != 5*time.Second {
 			t.Fatalf("got %d after %s, %v", got.status, got.took, got.header)
 		}
-		s.wantSettled(t, 2, 2)
+		s.wantAttempts(t, 2, 2)
 	})
 }
 
@@ -270,54 +270,54 @@
 // run, while the first may have run it.
 func requestThatMayHaveRun(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.breaks(atWork), s.turnsAway())
-		got := s.ask(t.Context(), "/long/", "")
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.breaks(slowResponseTime), s.rejects())
+		got := s.send(t.Context(), "/long/", "")
 		if got.status != http.StatusBadGateway || got.header.Get("Retry-After") != "" {
 			t.Fatalf("got %d after %s, %v", got.status, got.took, got.header)
 		}
-		s.wantSettled(t, 2, 0)
+		s.wantAttempts(t, 2, 0)
 	})
 }
 
 // The same where the first broke before the second was asked.
 func requestThatBroke(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.breaks(time.Millisecond), s.turnsAway())
-		got := s.ask(t.Context(), "/long/", "")
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.breaks(time.Millisecond), s.rejects())
+		got := s.send(t.Context(), "/long/", "")
 		if got.status != http.StatusBadGateway || got.header.Get("Retry-After") != "" {
 			t.Fatalf("got %d after %s, %v", got.status, got.took, got.header)
 		}
-		s.wantSettled(t, 2, 0)
+		s.wantAttempts(t, 2, 0)
 	})
 }
 
 // The failure that a second target told is the answer where the first breaks.
 func failureOfTheSecond(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
-		s.scripts = scripts(s.breaks(atWork), s.status(0, http.StatusInternalServerError))
-		got := s.ask(t.Context(), "/long/", "")
-		if got.status != http.StatusInternalServerError || got.body != "no" || got.took != atWork {
+		s := newRig(t, testConfig(), 2)
+		s.scripts = scripts(s.breaks(slowResponseTime), s.answersStatus(0, http.StatusInternalServerError))
+		got := s.send(t.Context(), "/long/", "")
+		if got.status != http.StatusInternalServerError || got.body != "no" || got.took != slowResponseTime {
 			t.Fatalf("got %d %q after %s", got.status, got.body, got.took)
 		}
-		s.wantSettled(t, 2, 0)
+		s.wantAttempts(t, 2, 0)
 	})
 }
 
 // A caller that leaves ends its request at both targets.
 func TestCallerThatLeavesEndsItAtBothTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
+		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(s.silent(), s.silent())
-		ctx, cancel := context.WithTimeout(t.Context(), atWork)
+		ctx, cancel := context.WithTimeout(t.Context(), slowResponseTime)
 		defer cancel()
-		got := s.ask(ctx, "/long/", "")
-		if got.status != http.StatusBadGateway || got.took != atWork {
+		got := s.send(ctx, "/long/", "")
+		if got.status != http.StatusBadGateway || got.took != slowResponseTime {
 			t.Fatalf("got %d after %s", got.status, got.took)
 		}
-		s.wantSettled(t, 2, 2)
+		s.wantAttempts(t, 2, 2)
 	})
 }
 
@@ -325,11 +325,11 @@
 // when, and what became of the other.
 func TestLogTellsOfTheSecondTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 2)
+		s := newRig(t, testConfig(), 2)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
 		s.scripts = scripts(s.silent(), s.answers(100*time.Millisecond, "second"))
-		s.ask(t.Context(), "/long/", "")
+		s.send(t.Context(), "/long/", "")
 		for _, want := range []string{`"sent":2`, `"beside":1`, `"besideAfter":750`, ` stuck"]`, `"outcome":"answered"`} {
 			if !strings.Contains(lines.String(), want) {
 				t.Errorf("%s is not in the log: %s", want, lines.String())
@@ -341,11 +341,11 @@
 // The line of a request tells why no second target was asked.
 func TestLogTellsWhyThereWasNoSecondTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
+		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
-		s.scripts = scripts(s.answers(atWork, "first"))
-		s.ask(t.Context(), "/long/", "")
+		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.send(t.Context(), "/long/", "")
 		if want := `"noneBeside":"no target of s: none can be used`; !strings.Contains(lines.String(), want) {
 			t.Errorf("%s is not in the log: %s", want, lines.String())
 		}
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// idleServer serves with the connections' states told to the callers of a box;
+// newIdleTestServer serves with the connections' states told to the callers of a box;
 // before is called with each state before the box hears of it.
-func idleServer(t *testing.T, before func(c *callers, s http.ConnState)) *gateway {
+func newIdleTestServer(t *testing.T, before func(c *callerServer, s http.ConnState)) *testGateway {
 	t.Helper()
-	g := newGateway(t, newTarget(t, served))
-	c := g.daemon.callers
+	g := newGateway(t, newTarget(t, respondHello))
+	c := g.daemon.callerServer
 	g.server.Close()
 	g.server = httptest.NewUnstartedServer(g.daemon)
 	g.server.Config.ConnState = func(conn net.Conn, s http.ConnState) {
 		before(c, s)
-		c.note(conn, s)
+		c.connStateChanged(conn, s)
 	}
 	g.server.Start()
 	return g
@@ -29,7 +29,7 @@
 // A request that is read while its connection is ended for resting too long is
 // answered.
 func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
-	g := idleServer(t, func(c *callers, s http.ConnState) {
+	g := newIdleTestServer(t, func(c *callerServer, s http.ConnState) {
 		if s == http.StateActive {
 			c.closeIdle(time.Now().Add(time.Hour))
 		}
@@ -46,7 +46,7 @@
 func TestConnectionThatRestsTooLongIsClosed(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	idle := make(chan struct{}, 8)
-	g := idleServer(t, func(_ *callers, s http.ConnState) {
+	g := newIdleTestServer(t, func(_ *callerServer, s http.ConnState) {
 		if s == http.StateClosed {
 			closed <- struct{}{}
 		}
@@ -57,7 +57,7 @@
 	g.do(t, http.MethodGet, "/safe/", "id1", "")
 	<-idle
 	for ended := false; !ended; {
-		g.daemon.callers.closeIdle(time.Now().Add(time.Hour))
+		g.daemon.callerServer.closeIdle(time.Now().Add(time.Hour))
 		select {
 		case <-closed:
 			ended = true
@@ -75,7 +75,7 @@
 	// connection is told to end.
 	crossing atomic.Bool
 	endOnce  sync.Once
-	ends     chan struct{}
+	ending   chan struct{}
 }
 
 // Read implements net.Conn.
@@ -103,7 +103,7 @@
 
 func (c *crossingConn) recordEnd() {
 	if c.crossing.Load() {
-		c.endOnce.Do(func() { close(c.ends) })
+		c.endOnce.Do(func() { close(c.ending) })
 	}
 }
 
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &crossingConn{Conn: accepted, ends: make(chan struct{})}
+	c := &crossingConn{Conn: accepted, ending: make(chan struct{})}
 	c.read = func() { l.read(c) }
 	return c, nil
 }
@@ -127,11 +127,11 @@
 // Guards against a stopping box that closes a connection on which a request has just been
 // read.
 func TestRequestThatCrossesTheStopIsServed(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
-	c := g.daemon.callers
+	g := newGateway(t, newTarget(t, respondHello))
+	c := g.daemon.callerServer
 	idle := make(chan struct{}, 8)
 	c.server.ConnState = func(conn net.Conn, s http.ConnState) {
-		c.note(conn, s)
+		c.connStateChanged(conn, s)
 		if s == http.StateIdle {
 			idle <- struct{}{}
 		}
@@ -143,8 +143,8 @@
 			return
 		}
 		conn.crossing.Store(true)
-		go func() { stopped <- c.end(t.Context()) }()
-		<-conn.ends
+		go func() { stopped <- c.shutdown(t.Context()) }()
+		<-conn.ending
 	}}
 	ended := c.serve()
 	g.server.Client().Transport = &http.Transport{}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/incompleterequests_test.go
@@ -10,7 +10,7 @@
 )
 
 // openTo connects to a box and writes the beginning of a request.
-func openTo(t *testing.T, g *gateway, begin string) net.Conn {
+func openTo(t *testing.T, g *testGateway, begin string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", strings.TrimPrefix(g.server.URL, "http://"))
 	if err != nil {
@@ -25,7 +25,7 @@
 // Nothing of a request reaches a target whose caller leaves before its body has
 // been read.
 func TestCallerThatLeavesWithinItsBodySendsNothing(t *testing.T) {
-	s := newTarget(t, served)
+	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	head := "POST /unsafe/ HTTP/1.1\r\nHost: a.example\r\nTest-Id: id1\r\nTest-Key: k\r\nContent-Length: 100\r\n\r\n"
 	c := openTo(t, g, head+"half of")
@@ -39,7 +39,7 @@
 // Callers that connect and send nothing, or half of a header, keep no other out.
 func TestHalfOpenConnectionsKeepNoneOut(t *testing.T) {
 	const many = 300
-	g := newGateway(t, newTarget(t, served))
+	g := newGateway(t, newTarget(t, respondHello))
 	for n := range many {
 		begin := ""
 		if n%2 == 0 {
--- a/internal/gateway/longanswers_test.go
+++ b/internal/gateway/largeresponses_test.go
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 1))
 		q, s := newLinkQueue(busyLink), newShaper(busyLink)
-		q.note("download", busyMean)
+		q.recordSize("download", busyMean)
 		type end struct{ whole, held, alone time.Duration }
 		ends := make(chan end)
 		admitted := 0
@@ -53,7 +53,7 @@
 			if !ok {
 				continue
 			}
-			q.note("download", size)
+			q.recordSize("download", size)
 			admitted++
 			go func() {
 				began := time.Now()
@@ -62,7 +62,7 @@
 				if err := s.copy(context.Background(), io.Discard, &zeros{size}, size); err != nil {
 					t.Error(err)
 				}
-				ends <- end{time.Since(began), time.Since(began) - busyRun, time.Duration(size) * s.perByte}
+				ends <- end{time.Since(began), time.Since(began) - busyRun, time.Duration(size) * s.timePerByte}
 			}()
 		}
 		inTime, slowest, longest, waited := 0, time.Duration(0), time.Duration(0), time.Duration(0)
--- a/internal/gateway/leavingtargets_test.go
+++ b/internal/gateway/leavingtargets_test.go
@@ -25,16 +25,16 @@
 			for _, control := range []bool{true, false} {
 				t.Run(fmt.Sprint(boxes, " boxes, ", targets, " targets, control ", control), func(t *testing.T) {
 					inVirtualTime(t, func(t *testing.T) {
-						s := newTargetScene(t, boxes, 4)
-						s.control.setOff(!control, s.control.addresses()...)
-						s.load(80, 2*time.Second)
+						s := newTestCluster(t, boxes, 4)
+						s.control.setDown(!control, s.control.addresses()...)
+						s.sendLoad(80, 2*time.Second)
 						for _, target := range s.targets[:targets] {
-							target.leave(true)
+							target.setLeaving(true)
 						}
-						s.load(80, 6*time.Second)
-						s.settle()
+						s.sendLoad(80, 6*time.Second)
+						s.waitForResponses()
 						for i, target := range s.targets {
-							if got := target.afterLeaving(); got > 0 {
+							if got := target.countAfterLeaving(); got > 0 {
 								t.Errorf("target %d got %d requests later than %s after it had said that it leaves", i, got, leavingGrace)
 							}
 						}
@@ -50,18 +50,18 @@
 	for _, boxes := range []int{9, 150} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newTargetScene(t, boxes, 4)
-				s.load(80, 2*time.Second)
-				s.targets[0].leave(true)
-				s.load(80, 5*time.Second)
-				s.settle()
+				s := newTestCluster(t, boxes, 4)
+				s.sendLoad(80, 2*time.Second)
+				s.targets[0].setLeaving(true)
+				s.sendLoad(80, 5*time.Second)
+				s.waitForResponses()
 				first := time.Now()
-				for _, at := range s.targets[0].toldLeaving {
+				for _, at := range s.targets[0].leavingAnnouncedAt {
 					if at.Before(first) {
 						first = at
 					}
 				}
-				if got := s.targets[0].between(first.Add(300*time.Millisecond), time.Now()); got > 0 {
+				if got := s.targets[0].countBetween(first.Add(300*time.Millisecond), time.Now()); got > 0 {
 					t.Errorf("%d requests came later than 0.3 s after the first box was told", got)
 				}
 				if s.refused > 0 {
@@ -76,7 +76,7 @@
 // earlier state or an answer of before; only a new incarnation is.
 func TestTargetThatLeavesIsNotRevived(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
 		registration := func(sequence uint64, born int64) *wire.Command {
 			return &wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{
@@ -84,7 +84,7 @@
 			}}}
 		}
 		d.applyChange(targetstatus.Change{Incarnation: "t0", Leaving: true}, "")
-		d.targetLimits.receive(targetstatus.Update{Incarnation: "t0", Leaving: true}.WithoutLimit())
+		d.targetLimits.recordResponse(targetstatus.Update{Incarnation: "t0", Leaving: true}.WithoutLimit())
 		time.Sleep(2 * time.Second)
 		chosen := func() map[string]int {
 			out := make(map[string]int)
@@ -94,23 +94,23 @@
 					t.Fatal(err)
 				}
 				out[c.Target.ID]++
-				d.done(balance.Report{TargetID: c.Target.ID, Route: "r", Outcome: balance.Answered, Took: time.Millisecond})
+				d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: "r", Outcome: balance.Answered, Took: time.Millisecond})
 			}
 			return out
 		}
 		state, _ := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
 		state, _ = state.Apply(registration(2, 0))
 		state, _ = state.Apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{Id: "t1", Service: "s", Address: "1", Zone: "z", Slots: 4, Sequence: 2}}})
-		d.putInForce(state, nil)
+		d.applyState(state, nil)
 		if got := chosen(); got["t0"] > 0 {
 			t.Errorf("a late heartbeat revives it: %v", got)
 		}
-		d.takeUpdates([]*wire.TargetLimit{{Life: "t0"}})
+		d.mergeUpdates([]*wire.TargetLimit{{Life: "t0"}})
 		if got := chosen(); got["t0"] > 0 {
 			t.Errorf("another box's update revives it: %v", got)
 		}
 		state, _ = state.Apply(registration(1, 1_785_000_000_000))
-		d.putInForce(state, nil)
+		d.applyState(state, nil)
 		if got := chosen(); len(got) != 2 {
 			t.Errorf("its next incarnation gets nothing: %v", got)
 		}
@@ -121,21 +121,21 @@
 // leave still serve, and against requests to them once that is over.
 func TestTargetsThatLeaveServeWhereThereIsNoOther(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 3)
-		s.load(40, time.Second)
+		s := newTestCluster(t, 1, 3)
+		s.sendLoad(40, time.Second)
 		for _, target := range s.targets {
-			target.leave(true)
+			target.setLeaving(true)
 		}
 		left := time.Now()
-		s.load(40, 800*time.Millisecond)
+		s.sendLoad(40, 800*time.Millisecond)
 		synctest.Wait()
 		if s.refused > 0 {
 			t.Errorf("%d requests were refused within the first second", s.refused)
 		}
-		s.load(40, 5*time.Second)
-		s.settle()
+		s.sendLoad(40, 5*time.Second)
+		s.waitForResponses()
 		for i, target := range s.targets {
-			if got := target.between(left.Add(1500*time.Millisecond), time.Now()); got > 0 {
+			if got := target.countBetween(left.Add(1500*time.Millisecond), time.Now()); got > 0 {
 				t.Errorf("target %d got %d requests later than 1.5 s after", i, got)
 			}
 		}
@@ -146,10 +146,10 @@
 // limit back, or not read as it is no service.
 func TestRejectionTellsThatATargetLeaves(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, _ := namedScene(t, 1, map[string]int{"a": 1, "b": 1})
-		s.scripts = scripts(answersLimited(503, "Test-Not-Executed: 1\r\nTest-Leaving: 1\r\n"))
+		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 1})
+		s.scripts = scripts(respondsWithHeader(503, "Test-Not-Executed: 1\r\nTest-Leaving: 1\r\n"))
 		time.Sleep(time.Second)
-		s.ask(t.Context(), "/single/", "")
+		s.send(t.Context(), "/single/", "")
 		if !s.daemon.targetLimits.isLeaving("t0") || s.limitOf("t0") != 5 || !s.daemon.isLeaving("t0") {
 			t.Errorf("leaving %v, limit %v", s.daemon.targetLimits.isLeaving("t0"), s.limitOf("t0"))
 		}
@@ -160,13 +160,13 @@
 // that counts as serving.
 func TestTargetThatLeavesBeforeItIsRegisteredHere(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 1)
+		s := newTestCluster(t, 1, 1)
 		d := s.boxes[0]
-		d.takeUpdates([]*wire.TargetLimit{{Life: "t9", Leaving: true}})
+		d.mergeUpdates([]*wire.TargetLimit{{Life: "t9", Leaving: true}})
 		state, _ := steering.State{}.Apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{
 			Id: "t9", Service: "s", Address: "0", Zone: "z", Slots: 4, Sequence: 1,
 		}}})
-		d.putInForce(state, nil)
+		d.applyState(state, nil)
 		if !d.isLeaving("t9") {
 			t.Error("counts as serving")
 		}
@@ -176,14 +176,14 @@
 // Guards against a box that keeps to itself what it knows better than another one.
 func TestBoxTellsThatATargetLeaves(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, _ := namedScene(t, 1, nil)
+		s, _ := newTargetLimitedRig(t, 1, nil)
 		d := s.daemon
-		d.targetLimits.receive(targetstatus.Update{Incarnation: "t0", Leaving: true}.WithoutLimit())
-		time.Sleep(2 * reportTime)
+		d.targetLimits.recordResponse(targetstatus.Update{Incarnation: "t0", Leaving: true}.WithoutLimit())
+		time.Sleep(2 * updateRepeatTime)
 		if told := d.targetLimits.pendingReports(); len(told) > 0 {
 			t.Fatalf("still tells %v", told)
 		}
-		d.takeUpdates([]*wire.TargetLimit{{Life: "t0", Limited: true, PerSecond: 5}})
+		d.mergeUpdates([]*wire.TargetLimit{{Life: "t0", Limited: true, PerSecond: 5}})
 		if told := d.targetLimits.pendingReports(); len(told) == 0 || !told[0].Leaving {
 			t.Errorf("tells %v", told)
 		}
@@ -194,17 +194,17 @@
 // target may have ended.
 func TestRequestThatWaitsIsNotSentToATargetThatIsGone(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
 		dial := d.connections.dial
 		d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-			s.asleep[0].Add(int64(1200 * time.Millisecond)) // suspended while it connects
+			s.suspended[0].Add(int64(1200 * time.Millisecond)) // suspended while it connects
 			return dial(ctx, network, address)
 		}
 		d.balancing.balancer.SetLeaving(d.clock.Now(), "t0")
 		d.balancing.balancer.SetLeaving(d.clock.Now(), "t1")
-		s.ask(d, 1)
-		if got := s.targets[0].between(time.Time{}, time.Now()) + s.targets[1].between(time.Time{}, time.Now()); got > 0 {
+		s.send(d, 1)
+		if got := s.targets[0].countBetween(time.Time{}, time.Now()) + s.targets[1].countBetween(time.Time{}, time.Now()); got > 0 {
 			t.Errorf("%d requests were sent", got)
 		}
 	})
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,27 +11,27 @@
 	"ledgesill.dev/ledgesill/pkg/quota"
 )
 
-// Reasons of answers to requests for which there is no permit.
+// Reasons of refusals for lack of a permit.
 const (
 	reasonOverLimit    = "overLimit"
 	reasonLimitUnknown = "limitUnknown"
 )
 
-// permitRetryAfter is told where no replica could be asked in time: one that was
-// killed is back, or another one known to be silent, within that time.
+// permitRetryAfter is the Retry-After sent when no replica could be asked in time. Within that time
+// a replica that was killed is back, or another one is known to be unresponsive.
 const permitRetryAfter = 250 * time.Millisecond
 
-// limited reports whether the request needs permits.
-func (c *call) limited() bool { return c.workspace != nil && !c.workspace.Limit.None() }
+// hasRateLimit reports whether the request needs permits of its workspace.
+func (c *callerRequest) hasRateLimit() bool { return c.workspace != nil && !c.workspace.Limit.None() }
 
-// obtainPermit gets the permit without which no target may run the request. It
-// reports whether the request may go on; if not, it has been answered.
-func (c *call) obtainPermit(ctx context.Context) bool {
-	if !c.limited() {
+// obtainPermit gets the permit without which no target may run the request. It reports whether the
+// request may proceed; if not, it has been answered.
+func (c *callerRequest) obtainPermit(ctx context.Context) bool {
+	if !c.hasRateLimit() {
 		return true
 	}
-	until, err := c.gateway.permits.take(ctx, c.workspace.Name)
-	c.permitWait = c.gateway.clock.Since(c.began)
+	until, err := c.gateway.permits.acquire(ctx, c.workspace.Name)
+	c.permitWait = c.gateway.clock.Since(c.startedAt)
 	if err == nil {
 		c.permits = append(c.permits, until)
 		return true
@@ -44,26 +44,26 @@
 	case errors.As(err, &over):
 		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.After)
 	case errors.As(err, &silent):
-		c.refuse(reasonLimitUnknown, max(silent.After, leastRoutesWait))
+		c.refuse(reasonLimitUnknown, max(silent.After, minRoutesRetry))
 	default:
 		c.refuse(reasonLimitUnknown, permitRetryAfter)
 	}
 	return false
 }
 
-// permitEnds is when the permit of the next run ends; zero if it needs none.
-func (c *call) permitEnds() time.Time {
+// nextPermitExpiry returns when the permit of the next attempt expires; zero if it needs none.
+func (c *callerRequest) nextPermitExpiry() time.Time {
 	if i := c.possibleRuns + len(c.pending); i < len(c.permits) {
 		return c.permits[i]
 	}
 	return time.Time{}
 }
 
-// renewPermit gets another permit for the next run where the one at hand is over: the
-// body took its time, or the machine was frozen or suspended. It reports whether the
-// request may go on; if not, it has been answered.
-func (c *call) renewPermit(ctx context.Context) bool {
-	ends := c.permitEnds()
+// replaceExpiredPermit gets a new permit for the next attempt if its permit has expired, because
+// the body arrived slowly or the machine was frozen or suspended. It reports whether the request
+// may proceed; if not, it has been answered.
+func (c *callerRequest) replaceExpiredPermit(ctx context.Context) bool {
+	ends := c.nextPermitExpiry()
 	if ends.IsZero() || c.gateway.clock.Now().Before(ends) {
 		return true
 	}
@@ -72,23 +72,23 @@
 	return c.obtainPermit(ctx)
 }
 
-// permitsAnother reports whether one more target may run the request. Each that
-// may have run it or may be running it takes a permit; one that is not in stock is
-// not waited for.
-func (c *call) permitsAnother() bool {
-	if !c.limited() || c.possibleRuns+len(c.pending) < len(c.permits) {
+// obtainPermitForAnother reports whether one more target may run the request. Each target that may
+// have run it or may be running it uses up one permit. The request does not wait for a permit that
+// is not cached.
+func (c *callerRequest) obtainPermitForAnother() bool {
+	if !c.hasRateLimit() || c.possibleRuns+len(c.pending) < len(c.permits) {
 		return true
 	}
-	until, ok := c.gateway.permits.takeNow(c.workspace.Name)
+	until, ok := c.gateway.permits.tryAcquire(c.workspace.Name)
 	if ok {
 		c.permits = append(c.permits, until)
 	}
 	return ok
 }
 
-// returnPermits gives back the permits that no target can have used.
-func (c *call) returnPermits() {
+// returnPermits returns the permits that no target can have used.
+func (c *callerRequest) returnPermits() {
 	for _, until := range c.permits[min(c.possibleRuns, len(c.permits)):] {
-		c.gateway.permits.putBack(c.workspace.Name, until)
+		c.gateway.permits.release(c.workspace.Name, until)
 	}
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -13,51 +13,51 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// replicas are stand-ins for control replicas that issue permits.
-type replicas struct {
+// fakeIssuers are stand-ins for control fakeIssuers that issue permits.
+type fakeIssuers struct {
 	mu sync.Mutex
-	// left is how many permits each still has; below zero for one that is silent.
-	left  map[string]int
-	asked int
+	// permits is how many permits each still has; below zero for one that is silent.
+	permits map[string]int
+	calls   int
 }
 
-func (r *replicas) call(ctx context.Context, address string, request *wire.PermitRequest) (*wire.PermitAnswer, error) {
+func (r *fakeIssuers) call(ctx context.Context, address string, request *wire.PermitRequest) (*wire.PermitAnswer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked++
-	if r.left[address] < 0 {
+	r.calls++
+	if r.permits[address] < 0 {
 		return nil, errors.New("silent")
 	}
 	out := &wire.PermitAnswer{}
 	for _, a := range request.Asks {
-		count := min(int(a.Count), r.left[address])
-		r.left[address] -= count
+		count := min(int(a.Count), r.permits[address])
+		r.permits[address] -= count
 		out.Grants = append(out.Grants, &wire.PermitGrant{Workspace: a.Workspace, Count: uint32(count), LifeMilli: 1000, WaitMilli: 400})
 	}
 	return out, nil
 }
 
-func (r *replicas) issued(before int) int {
+func (r *fakeIssuers) issued(before int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, left := range r.left {
+	for _, left := range r.permits {
 		before -= max(left, 0)
 	}
 	return before
 }
 
-// limitedScene is a box in virtual time whose requests are all of one workspace
+// newWorkspaceLimitedRig is a box in virtual time whose requests are all of one workspace
 // with a limit.
-func limitedScene(t *testing.T, targets int, left map[string]int) (*scene, *replicas) {
+func newWorkspaceLimitedRig(t *testing.T, targets int, left map[string]int) (*rig, *fakeIssuers) {
 	t.Helper()
 	config := testConfig()
-	config.Protocol = keyedProtocol()
-	s := newScene(t, config, targets)
-	rules := *s.daemon.rules.Load()
+	config.Protocol = workspaceProtocol()
+	s := newRig(t, config, targets)
+	rules := *s.daemon.routing.Load()
 	rules.document.Workspaces = []catalog.Workspace{{Name: "north", Keys: []string{"key-n"}, Limit: catalog.RateLimit{PerSecond: 10, Burst: 10}}}
 	rules.keys = catalog.NewKeyTable(rules.document)
-	s.daemon.rules.Store(&rules)
-	r := &replicas{left: left}
+	s.daemon.routing.Store(&rules)
+	r := &fakeIssuers{permits: left}
 	s.daemon.permits.call = r.call
 	s.daemon.permits.replicas = func() []string { return []string{"a", "b"} }
 	ctx, cancel := context.WithCancel(t.Context())
@@ -83,11 +83,11 @@
 // asked; the other replica's part is used before.
 func TestRequestBeyondTheLimitIsRefused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, _ := limitedScene(t, 1, map[string]int{"a": 1, "b": 1})
+		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 1})
 		s.scripts = scripts(s.answers(0, "one"), s.answers(0, "two"))
-		s.wantAnswer(t, s.ask(t.Context(), "/once/", ""), "one", 0)
-		s.wantAnswer(t, s.ask(t.Context(), "/once/", ""), "two", 0)
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusTooManyRequests)
+		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "one", 0)
+		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "two", 0)
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusTooManyRequests)
 		if len(s.reached) != 2 {
 			t.Fatalf("%d requests reached the target", len(s.reached))
 		}
@@ -98,14 +98,14 @@
 // the request has not run and is told to come back soon.
 func TestRequestIsRefusedWhileNoReplicaAnswers(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, r := limitedScene(t, 1, map[string]int{"a": -1, "b": -1})
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
 		s.scripts = scripts(s.answers(0, "one"))
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		r.mu.Lock()
-		r.left["b"] = 1
+		r.permits["b"] = 1
 		r.mu.Unlock()
 		time.Sleep(time.Second)
-		s.wantAnswer(t, s.ask(t.Context(), "/once/", ""), "one", 0)
+		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "one", 0)
 	})
 }
 
@@ -113,10 +113,10 @@
 // next request.
 func TestPermitOfARequestThatDidNotRunIsUsedAgain(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, r := limitedScene(t, 1, map[string]int{"a": 1})
-		s.scripts = scripts(s.turnsAway(), s.answers(0, "next"))
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
-		s.wantAnswer(t, s.ask(t.Context(), "/once/", ""), "next", 0)
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1})
+		s.scripts = scripts(s.rejects(), s.answers(0, "next"))
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
+		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "next", 0)
 		if n := r.issued(1); n != 1 {
 			t.Fatalf("%d permits were issued", n)
 		}
@@ -127,9 +127,9 @@
 // its own, and is left out where there is none.
 func TestSecondRunTakesAPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, _ := limitedScene(t, 2, map[string]int{"a": 1})
+		s, _ := newWorkspaceLimitedRig(t, 2, map[string]int{"a": 1})
 		s.scripts = scripts(s.breaks(0), s.answers(0, "second"))
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
 			t.Fatalf("without a second permit: got %d %q", got.status, got.body)
 		}
 		if len(s.reached) != 1 {
@@ -137,12 +137,12 @@
 		}
 	})
 	inVirtualTime(t, func(t *testing.T) {
-		s, r := limitedScene(t, 2, map[string]int{"a": 2})
+		s, r := newWorkspaceLimitedRig(t, 2, map[string]int{"a": 2})
 		s.scripts = scripts(s.breaks(0), s.answers(0, "second"))
 		until := time.Now().Add(time.Second)
-		s.daemon.permits.putBack("north", until)
-		s.daemon.permits.putBack("north", until)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "second", 0)
+		s.daemon.permits.release("north", until)
+		s.daemon.permits.release("north", until)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 		if n := r.issued(2); n != 0 {
 			t.Fatalf("%d permits were issued beside those in stock", n)
 		}
--- a/internal/gateway/linkqueue_test.go
+++ b/internal/gateway/linkqueue_test.go
@@ -8,8 +8,8 @@
 func TestLongAnswersAreAdmittedAtTheLinksRate(t *testing.T) {
 	const link, size, objective = 500_000, 100_000, 800 * time.Millisecond
 	q := newLinkQueue(link)
-	q.note("long", size)
-	q.note("short", 400)
+	q.recordSize("long", size)
+	q.recordSize("short", 400)
 	now := time.Unix(0, 0)
 	admitted, refused := 0, 0
 	for i := range 1000 {
@@ -27,7 +27,7 @@
 			t.Fatal("a refusal without a wait")
 		}
 	}
-	most := link*longShare*10/size + 3
+	most := link*largeResponseShare*10/size + 3
 	if float64(admitted) > most || float64(admitted) < most-5 || refused == 0 {
 		t.Fatalf("%d admitted in 10 s, about %v are due", admitted, most)
 	}
@@ -35,7 +35,7 @@
 
 func TestWideLinkRefusesNothing(t *testing.T) {
 	q := newLinkQueue(0)
-	q.note("long", 1<<20)
+	q.recordSize("long", 1<<20)
 	for range 1000 {
 		if _, _, ok := q.admit(time.Unix(0, 0), "long", time.Millisecond); !ok {
 			t.Fatal("refused")
@@ -50,7 +50,7 @@
 	now := time.Unix(0, 0)
 	waitAfter := func(settled int64) time.Duration {
 		q := newLinkQueue(link)
-		q.note("long", size)
+		q.recordSize("long", size)
 		b, _, ok := q.admit(now, "long", objective)
 		if !ok {
 			t.Fatal("refused at an idle link")
@@ -59,7 +59,7 @@
 			b.settle(now, settled)
 			b.settle(now, 0) // counts once
 		}
-		return q.free.Sub(now)
+		return q.nextFree.Sub(now)
 	}
 	booked := waitAfter(-1)
 	for settled, want := range map[int64]time.Duration{0: 0, size: booked, 3 * size: 3 * booked} {
@@ -74,7 +74,7 @@
 func TestDownloadsOfUnknownSizeLeaveTheLinkRoom(t *testing.T) {
 	const link, objective = 325_000, 1200 * time.Millisecond // 2.6 Mbit/s
 	q := newLinkQueue(link)
-	q.assumeLong([]string{"download"})
+	q.assumeLarge([]string{"download"})
 	now := time.Unix(0, 0)
 	admitted := 0
 	for i := range 30 {
@@ -85,8 +85,8 @@
 	if admitted == 0 || admitted > 3 {
 		t.Errorf("%d of 30 downloads were let in before the size of one was known", admitted)
 	}
-	q.note("download", 400)
-	if _, _, ok := q.admit(now.Add(time.Minute), "download", objective); !ok || q.free.After(now.Add(time.Minute)) {
+	q.recordSize("download", 400)
+	if _, _, ok := q.admit(now.Add(time.Minute), "download", objective); !ok || q.nextFree.After(now.Add(time.Minute)) {
 		t.Error("the assumed size counts after one was measured")
 	}
 }
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -5,18 +5,18 @@
 )
 
 const (
-	// servedLines and otherLines are the log lines a second for requests that
+	// servedLinesPerSecond and otherLines are the log lines a second for requests that
 	// were served and for the others: several times the usual traffic of a
 	// box, and a bound under overload.
-	servedLines = 100
-	otherLines  = 200
+	servedLinesPerSecond = 100
+	otherLinesPerSecond  = 200
 )
 
 // requestLine begins the line of a request, or returns nil if it is left out.
 func (d *Daemon) requestLine(served bool) *zerolog.Event {
-	limit := d.otherLines
+	limit := d.otherLineLimit
 	if served {
-		limit = d.servedLines
+		limit = d.servedLineLimit
 	}
 	if !limit.Take(d.clock.Now()) {
 		return nil
@@ -29,10 +29,10 @@
 
 // logDroppedLines tells how many lines were left out.
 func (d *Daemon) logDroppedLines() {
-	served, others := d.servedLines.LeftOut(), d.otherLines.LeftOut()
+	served, others := d.servedLineLimit.LeftOut(), d.otherLineLimit.LeftOut()
 	if served+others == 0 {
 		return
 	}
 	d.log.Warn().Str("kind", "linesLeftOut").Uint64("served", served).Uint64("others", others).
-		Uint64("byReader", d.lines.Dropped()).Msg("log lines were left out to bound their volume")
+		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines were left out to bound their volume")
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -14,10 +14,10 @@
 	hedges      prometheus.Counter
 	connections prometheus.Counter
 	permitAsks  *prometheus.CounterVec
-	// looks, endedRuns and held are about requests that end targets.
-	looks     *prometheus.CounterVec
-	endedRuns prometheus.Counter
-	held      prometheus.Gauge
+	// targetChecks, endedRuns and held are about requests that end targets.
+	targetChecks *prometheus.CounterVec
+	crashedRuns  prometheus.Counter
+	quarantined  prometheus.Gauge
 	// targetLimits, targetPermits and skippedLimited are about targets that name limits.
 	targetLimits   prometheus.Gauge
 	targetPermits  prometheus.Counter
@@ -54,13 +54,13 @@
 	m.permitAsks = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_permit_asks_total", Help: "Calls for permits of workspaces with limits, by whether they were answered.",
 	}, []string{"answered"})
-	m.looks = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.targetChecks = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_target_looks_total", Help: "Targets that were looked at after a connection broke, by whether they had ended.",
 	}, []string{"found"})
-	m.endedRuns = prometheus.NewCounter(prometheus.CounterOpts{
+	m.crashedRuns = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "ledgesill_ended_runs_total", Help: "Requests that were at work at a target when it ended.",
 	})
-	m.held = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.quarantined = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "ledgesill_quarantine_held", Help: "Requests that reach no target as targets ended under them.",
 	})
 	m.targetLimits = prometheus.NewGauge(prometheus.GaugeOpts{
@@ -82,7 +82,7 @@
 		Name: "ledgesill_targets_leaving_total", Help: "Targets that said in an answer, to this box or another, that they leave.",
 	})
 	r.MustRegister(m.backOffs, m.backOffSkips, m.targetsLeaving,
-		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitAsks, m.looks, m.endedRuns, m.held,
+		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitAsks, m.targetChecks, m.crashedRuns, m.quarantined,
 		m.targetLimits, m.targetPermits, m.skippedLimited)
 	return m
 }
--- a/internal/gateway/metricsserver.go
+++ b/internal/gateway/metricsserver.go
@@ -10,5 +10,5 @@
 
 // serveMetrics tells counters and latencies as text, at every path.
 func (d *Daemon) serveMetrics(ctx context.Context) error {
-	return process.ServeHTTP(ctx, d.exposed, promhttp.HandlerFor(d.process.Metrics, promhttp.HandlerOpts{}))
+	return process.ServeHTTP(ctx, d.metricsListener, promhttp.HandlerFor(d.process.Metrics, promhttp.HandlerOpts{}))
 }
--- a/internal/gateway/owninterface_test.go
+++ b/internal/gateway/nativeinterface_test.go
@@ -23,15 +23,15 @@
 
 const loopback = "127.0.0.1:0"
 
-// ownSystem is one control replica and one entry box on loopback that speak
+// testSystem is one control replica and one entry box on loopback that speak
 // the project's own interface.
-type ownSystem struct {
+type testSystem struct {
 	t        *testing.T
 	operator *operator.Client
 	box      *Daemon
 }
 
-func startOwnSystem(t *testing.T) *ownSystem {
+func startTestSystem(t *testing.T) *testSystem {
 	t.Helper()
 	c, err := control.Open(config.Control{
 		Common:          config.Common{Name: "c1", PeerAddress: loopback, OperatorAddress: loopback, LogLevel: "error"},
@@ -55,7 +55,7 @@
 	}
 	run(t, c.Run)
 	run(t, box.Run)
-	return &ownSystem{t: t, operator: operator.NewClient([]string{c.OperatorAddress()}, "", &http.Transport{}), box: box}
+	return &testSystem{t: t, operator: operator.NewClient([]string{c.OperatorAddress()}, "", &http.Transport{}), box: box}
 }
 
 // run runs a daemon until the test ends.
@@ -69,8 +69,8 @@
 	})
 }
 
-// until repeats a step until it succeeds.
-func (s *ownSystem) until(step func() error) {
+// eventually repeats a step eventually it succeeds.
+func (s *testSystem) eventually(step func() error) {
 	s.t.Helper()
 	for err := step(); err != nil; err = step() {
 		select {
@@ -81,12 +81,12 @@
 	}
 }
 
-func (s *ownSystem) do(method, path string, body, into any) error {
+func (s *testSystem) do(method, path string, body, into any) error {
 	return s.operator.Do(s.t.Context(), method, path, body, into)
 }
 
 // addTarget registers a target of a zone that answers with its id.
-func (s *ownSystem) addTarget(id, zone string) {
+func (s *testSystem) addTarget(id, zone string) {
 	s.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Ledgesill-Request-Id", r.Header.Get("Ledgesill-Request-Id"))
@@ -96,11 +96,11 @@
 	target := operator.Target{
 		Service: "shop", Address: strings.TrimPrefix(server.URL, "http://"), Zone: zone, Slots: 4, Sequence: 1,
 	}
-	s.until(func() error { return s.do(http.MethodPut, "/v1/targets/"+id, target, &target) })
+	s.eventually(func() error { return s.do(http.MethodPut, "/v1/targets/"+id, target, &target) })
 }
 
 // get sends a request to the box and returns who answered it.
-func (s *ownSystem) get() (string, error) {
+func (s *testSystem) get() (string, error) {
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+s.box.CallerAddress()+"/v1/menu", nil)
 	if err != nil {
 		return "", err
@@ -136,7 +136,7 @@
 // MarshalJSON implements json.Marshaler.
 func (r rawDocument) MarshalJSON() ([]byte, error) { return r.document.Text(), nil }
 
-func (s *ownSystem) putRoutes(d catalog.Document) error {
+func (s *testSystem) putRoutes(d catalog.Document) error {
 	var v operator.RoutesVerdict
 	return s.do(http.MethodPut, "/v1/routes", rawDocument{d}, &v)
 }
@@ -144,18 +144,18 @@
 // Routes, targets and evacuations work through the project's own interface,
 // from the operator's order to the answer of a target.
 func TestOwnInterface(t *testing.T) {
-	s := startOwnSystem(t)
+	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
 	s.addTarget("t2", "z2")
-	s.until(func() error { return s.putRoutes(shopDocument(1, 0)) })
-	s.until(func() error {
+	s.eventually(func() error { return s.putRoutes(shopDocument(1, 0)) })
+	s.eventually(func() error {
 		_, err := s.get()
 		return err
 	})
 
 	var evacuations operator.Evacuations
-	s.until(func() error { return s.do(http.MethodPut, "/v1/evacuations/z1", nil, &evacuations) })
-	s.until(func() error {
+	s.eventually(func() error { return s.do(http.MethodPut, "/v1/evacuations/z1", nil, &evacuations) })
+	s.eventually(func() error {
 		for range 8 { // keyless requests go to all targets in turn
 			if by, err := s.get(); err != nil || by != "t2" {
 				return fmt.Errorf("%s answers: %w", by, err)
@@ -166,8 +166,8 @@
 	if err := s.do(http.MethodGet, "/v1/evacuations", nil, &evacuations); err != nil || !slices.Equal(evacuations.Zones, []string{"z1"}) {
 		t.Errorf("got %v, %v", evacuations, err)
 	}
-	s.until(func() error { return s.do(http.MethodDelete, "/v1/evacuations/z1", nil, &evacuations) })
-	s.until(func() error {
+	s.eventually(func() error { return s.do(http.MethodDelete, "/v1/evacuations/z1", nil, &evacuations) })
+	s.eventually(func() error {
 		if by, err := s.get(); err != nil || by != "t1" {
 			return fmt.Errorf("%s answers: %w", by, err)
 		}
@@ -178,7 +178,7 @@
 	if err := s.do(http.MethodGet, "/v1/targets", nil, &targets); err != nil || len(targets) != 2 {
 		t.Errorf("got %v, %v", targets, err)
 	}
-	s.until(func() error { return s.do(http.MethodDelete, "/v1/targets/t1", nil, &operator.Target{}) })
+	s.eventually(func() error { return s.do(http.MethodDelete, "/v1/targets/t1", nil, &operator.Target{}) })
 	if err := s.do(http.MethodGet, "/v1/targets", nil, &targets); err != nil || len(targets) != 1 || targets[0].ID != "t2" {
 		t.Errorf("got %v, %v", targets, err)
 	}
@@ -186,8 +186,8 @@
 
 // Wrong orders are refused by name and change nothing.
 func TestOwnInterfaceRefuses(t *testing.T) {
-	s := startOwnSystem(t)
-	s.until(func() error { return s.putRoutes(shopDocument(1, 0)) })
+	s := startTestSystem(t)
+	s.eventually(func() error { return s.putRoutes(shopDocument(1, 0)) })
 	unknown := shopDocument(2, 1)
 	unknown.Services = nil
 	target := operator.Target{}
--- a/internal/gateway/ownlimits_test.go
+++ b/internal/gateway/nativelimits_test.go
@@ -17,12 +17,12 @@
 // requests than the bound allows all that it allows at once are served, and the
 // others are told to come back.
 func TestOwnInterfaceKeepsLimits(t *testing.T) {
-	s := startOwnSystem(t)
+	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
 	d := shopDocument(1, 0)
 	d.Workspaces = []catalog.Workspace{{Name: "north", Keys: []string{"k"}, Limit: catalog.RateLimit{PerSecond: 50, Burst: 3}}}
 	text := bytes.ReplaceAll(d.Text(), []byte(catalog.RedactedKey), []byte("key-north"))
-	s.until(func() error {
+	s.eventually(func() error {
 		return s.do(http.MethodPut, "/v1/routes", json.RawMessage(text), &operator.RoutesVerdict{})
 	})
 	ask := func(key string) int {
@@ -44,7 +44,7 @@
 		}
 		return response.StatusCode
 	}
-	s.until(func() error {
+	s.eventually(func() error {
 		if status := ask("key-north"); status != http.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
--- a/internal/gateway/panic_test.go
+++ b/internal/gateway/panic_test.go
@@ -11,17 +11,17 @@
 	"github.com/rs/zerolog"
 )
 
-// panicking is a connection on which the first write panics.
-type panicking struct {
+// panickingConn is a connection on which the first write panics.
+type panickingConn struct {
 	net.Conn
 	closed chan struct{}
 }
 
 // Write implements net.Conn.
-func (p *panicking) Write([]byte) (int, error) { panic("write") }
+func (p *panickingConn) Write([]byte) (int, error) { panic("write") }
 
 // Close implements net.Conn.
-func (p *panicking) Close() error {
+func (p *panickingConn) Close() error {
 	close(p.closed)
 	return p.Conn.Close()
 }
@@ -29,11 +29,11 @@
 // Guards against a panic in an attempt that ends the box with all its requests.
 func TestPanicOfAnAttemptEndsItsRequestOnly(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
+		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
 		dial := s.daemon.connections.dial
-		bad := &panicking{closed: make(chan struct{})}
+		bad := &panickingConn{closed: make(chan struct{})}
 		s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			s.daemon.connections.dial = dial
 			conn, err := dial(ctx, network, address)
@@ -41,16 +41,16 @@
 			return bad, err
 		}
 		s.scripts = scripts(s.answers(0, "next"))
-		if got := s.ask(t.Context(), "/once/", ""); got.status != http.StatusBadGateway || got.body != "unknown\n" {
+		if got := s.send(t.Context(), "/once/", ""); got.status != http.StatusBadGateway || got.body != "unknown\n" {
 			t.Errorf("got %d %q", got.status, got.body)
 		}
 		<-bad.closed
-		for _, want := range []string{`"kind":"panic"`, `"panic":"write"`, "(*panicking).Write", `"mayHaveRun":true`} {
+		for _, want := range []string{`"kind":"panic"`, `"panic":"write"`, "(*panickingConn).Write", `"mayHaveRun":true`} {
 			if !strings.Contains(lines.String(), want) {
 				t.Errorf("%s is not in the log: %s", want, lines.String())
 			}
 		}
-		s.wantAnswer(t, s.ask(t.Context(), "/once/", ""), "next", 0)
-		s.wantNoneCounted(t)
+		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "next", 0)
+		s.wantNoneInFlight(t)
 	})
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -17,12 +17,12 @@
 	// permitCallTimeout bounds a call for permits: two of the longest round trips
 	// between regions and some turns of a busy replica.
 	permitCallTimeout = 250 * time.Millisecond
-	// permitTick is how often it is looked again, while requests wait, whether
+	// issuerRecheckInterval is how often it is looked again, while requests wait, whether
 	// another replica can be asked.
-	permitTick = 30 * time.Millisecond
-	// longestPermitWait bounds how long a request waits for a permit. It covers a
+	issuerRecheckInterval = 30 * time.Millisecond
+	// maxPermitWait bounds how long a request waits for a permit. It covers a
 	// replica that is silent, and one in another region that is asked after it.
-	longestPermitWait = 400 * time.Millisecond
+	maxPermitWait = 400 * time.Millisecond
 )
 
 // permits are what this box may send for workspaces, or to targets, with limits.
@@ -31,56 +31,56 @@
 	call func(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error)
 	// replicas are the addresses of those that can be asked.
 	replicas func() []string
-	// request returns the message of asks.
-	request func(asks []quota.Ask) *wire.PermitRequest
-	// answered is told how an ask has ended.
-	answered func(a quota.IssuerAsks, err error)
+	// buildRequest returns the message of asks.
+	buildRequest func(asks []quota.Ask) *wire.PermitRequest
+	// onResult is told how an ask has ended.
+	onResult func(a quota.IssuerAsks, err error)
 
 	clock *boottime.Clock
 	mu    sync.Mutex
-	stock *quota.Stock
+	cache *quota.Stock
 	// changed is closed and replaced when waiting requests may look again.
 	changed chan struct{}
-	// due holds a token when there may be something to ask.
-	due chan struct{}
+	// requestDue holds a token when there may be something to ask.
+	requestDue chan struct{}
 }
 
 func newPermits(c *boottime.Clock) *permits {
-	return &permits{clock: c, stock: quota.NewStock(), changed: make(chan struct{}), due: make(chan struct{}, 1)}
+	return &permits{clock: c, cache: quota.NewStock(), changed: make(chan struct{}), requestDue: make(chan struct{}, 1)}
 }
 
-// take returns a permit of a workspace, for which it may wait. The error is an
+// acquire returns a permit of a workspace, for which it may wait. The error is an
 // OverLimitError or SilentError of package quota, or the context's.
-func (p *permits) take(ctx context.Context, workspace string) (until time.Time, err error) {
+func (p *permits) acquire(ctx context.Context, workspace string) (until time.Time, err error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.Count(now, workspace)
-	if until, ok := p.stock.Take(now, workspace); ok {
-		p.wake()
+	p.cache.Count(now, workspace)
+	if until, ok := p.cache.Take(now, workspace); ok {
+		p.triggerRequests()
 		return until, nil
 	}
-	p.stock.SetIssuers(p.replicas())
-	latest := time.NewTimer(longestPermitWait)
+	p.cache.SetIssuers(p.replicas())
+	latest := time.NewTimer(maxPermitWait)
 	defer latest.Stop()
-	p.stock.Wait(workspace)
-	defer p.stock.Unwait(workspace)
+	p.cache.Wait(workspace)
+	defer p.cache.Unwait(workspace)
 	for {
-		if err := p.stock.Refusal(p.clock.Now(), workspace); err != nil {
+		if err := p.cache.Refusal(p.clock.Now(), workspace); err != nil {
 			return time.Time{}, err
 		}
-		p.wake()
+		p.triggerRequests()
 		if err := p.await(ctx, latest.C); err != nil {
-			return time.Time{}, errors.CombineErrors(p.stock.Refusal(p.clock.Now(), workspace), err)
+			return time.Time{}, errors.CombineErrors(p.cache.Refusal(p.clock.Now(), workspace), err)
 		}
-		if until, ok := p.stock.Take(p.clock.Now(), workspace); ok {
+		if until, ok := p.cache.Take(p.clock.Now(), workspace); ok {
 			return until, nil
 		}
 	}
 }
 
-// errNoPermitInTime says that a request has waited for a permit for too long.
-var errNoPermitInTime = errors.New("no control replica answered in time whether the limit leaves room")
+// errPermitTimeout says that a request has waited for a permit for too long.
+var errPermitTimeout = errors.New("no control replica answered in time whether the limit leaves room")
 
 // await waits, without the lock, until it is worth while to look again.
 func (p *permits) await(ctx context.Context, latest <-chan time.Time) error {
@@ -93,33 +93,33 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-latest:
-		return errNoPermitInTime
+		return errPermitTimeout
 	}
 }
 
-// takeNow takes a permit if there is one in stock.
-func (p *permits) takeNow(workspace string) (until time.Time, ok bool) {
+// tryAcquire takes a permit if there is one in stock.
+func (p *permits) tryAcquire(workspace string) (until time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stock.Take(p.clock.Now(), workspace)
+	return p.cache.Take(p.clock.Now(), workspace)
 }
 
-// putBack returns a permit that was not used.
-func (p *permits) putBack(workspace string, until time.Time) {
+// release returns a permit that was not used.
+func (p *permits) release(workspace string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.PutBack(workspace, until)
+	p.cache.PutBack(workspace, until)
 }
 
-func (p *permits) wake() {
+func (p *permits) triggerRequests() {
 	select {
-	case p.due <- struct{}{}:
+	case p.requestDue <- struct{}{}:
 	default:
 	}
 }
 
-// endedAsk is how an ask has ended.
-type endedAsk struct {
+// issuerResult is how an ask has ended.
+type issuerResult struct {
 	asks   quota.IssuerAsks
 	answer *wire.PermitAnswer
 	err    error
@@ -127,15 +127,15 @@
 
 // run asks replicas for permits until the context ends.
 func (p *permits) run(ctx context.Context) error {
-	ended := make(chan endedAsk)
+	ended := make(chan issuerResult)
 	var running sync.WaitGroup
 	defer running.Wait()
 	var tick *time.Ticker
 	var ticks <-chan time.Time
 	for {
-		for _, a := range p.plan() {
+		for _, a := range p.pendingCalls() {
 			running.Go(func() {
-				end := p.ask(ctx, a)
+				end := p.callIssuer(ctx, a)
 				select {
 				case ended <- end:
 				case <-ctx.Done():
@@ -144,7 +144,7 @@
 		}
 		switch waits := p.waiting(); {
 		case waits && tick == nil:
-			tick = time.NewTicker(permitTick)
+			tick = time.NewTicker(issuerRecheckInterval)
 			ticks = tick.C
 		case !waits && tick != nil:
 			tick.Stop()
@@ -153,35 +153,35 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.due:
+		case <-p.requestDue:
 		case <-ticks:
-			p.tell()
+			p.notifyWaiters()
 		case e := <-ended:
-			p.settle(e)
+			p.handleResult(e)
 		}
 	}
 }
 
-// plan returns what is to be asked now.
-func (p *permits) plan() []quota.IssuerAsks {
+// pendingCalls returns what is to be asked now.
+func (p *permits) pendingCalls() []quota.IssuerAsks {
 	replicas := p.replicas()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.SetIssuers(replicas)
-	return p.stock.Asks(p.clock.Now())
+	p.cache.SetIssuers(replicas)
+	return p.cache.Asks(p.clock.Now())
 }
 
 func (p *permits) waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stock.Waiting()
+	return p.cache.Waiting()
 }
 
-func (p *permits) ask(ctx context.Context, a quota.IssuerAsks) endedAsk {
+func (p *permits) callIssuer(ctx context.Context, a quota.IssuerAsks) issuerResult {
 	ctx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	answer, err := p.call(ctx, a.Address, p.request(a.Asks))
-	return endedAsk{a, answer, err}
+	answer, err := p.call(ctx, a.Address, p.buildRequest(a.Asks))
+	return issuerResult{a, answer, err}
 }
 
 // workspaceRequest is the message of asks for permits of workspaces.
@@ -193,17 +193,17 @@
 	return r
 }
 
-func (p *permits) settle(e endedAsk) {
-	p.answered(e.asks, e.err)
+func (p *permits) handleResult(e issuerResult) {
+	p.onResult(e.asks, e.err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer p.tellLocked()
+	defer p.notifyWaitersLocked()
 	if e.err != nil {
-		p.stock.Unanswered(p.clock.Now(), e.asks)
+		p.cache.Unanswered(p.clock.Now(), e.asks)
 		return
 	}
 	if e.answer.GetBehind() {
-		p.stock.Behind(p.clock.Now(), e.asks)
+		p.cache.Behind(p.clock.Now(), e.asks)
 		return
 	}
 	grants := make([]quota.Grant, 0, len(e.answer.GetGrants()))
@@ -213,40 +213,40 @@
 			Life: time.Duration(g.LifeMilli) * time.Millisecond, Wait: time.Duration(g.WaitMilli) * time.Millisecond,
 		})
 	}
-	p.stock.Answered(p.clock.Now(), e.asks, grants)
+	p.cache.Answered(p.clock.Now(), e.asks, grants)
 }
 
-// tell has waiting requests look again.
-func (p *permits) tell() {
+// notifyWaiters has waiting requests look again.
+func (p *permits) notifyWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tellLocked()
+	p.notifyWaitersLocked()
 }
 
-func (p *permits) tellLocked() {
+func (p *permits) notifyWaitersLocked() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// forget drops what is known of workspaces without requests.
-func (p *permits) forget(now time.Time) {
+// prune drops what is known of workspaces without requests.
+func (p *permits) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.Forget(now)
+	p.cache.Forget(now)
 }
 
 func (d *Daemon) documentNumber() uint64 {
-	if rules := d.rules.Load(); rules != nil {
+	if rules := d.routing.Load(); rules != nil {
 		return rules.document.Number
 	}
 	return 0
 }
 
-// recordPermits counts an ask that has ended. Why it was not answered is told once,
+// recordPermitCall counts an ask that has ended. Why it was not answered is told once,
 // until the replica answers again.
-func (d *Daemon) recordPermits(a quota.IssuerAsks, err error) {
+func (d *Daemon) recordPermitCall(a quota.IssuerAsks, err error) {
 	d.metrics.permitAsks.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
-	if !d.permitWord.note(a.Address, err == nil) {
+	if !d.permitReachability.record(a.Address, err == nil) {
 		return
 	}
 	if err != nil {
--- a/internal/gateway/permitlinks_test.go
+++ b/internal/gateway/permitstreams_test.go
@@ -12,8 +12,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// issuers answers requests for permits on each stream that is opened.
-func issuers(answer func(stream int, r *wire.PermitRequest) *wire.PermitAnswer) (open func(context.Context, string) (*link.Messages, error), opened func() int) {
+// fakePermitStreams answers requests for permits on each stream that is opened.
+func fakePermitStreams(answer func(stream int, r *wire.PermitRequest) *wire.PermitAnswer) (open func(context.Context, string) (*link.Messages, error), opened func() int) {
 	var mu sync.Mutex
 	count := 0
 	open = func(context.Context, string) (*link.Messages, error) {
@@ -50,10 +50,10 @@
 
 // Requests that wait at once get their own answers, over one stream.
 func TestPermitsOfOneStreamAreNotMixedUp(t *testing.T) {
-	open, opened := issuers(func(_ int, r *wire.PermitRequest) *wire.PermitAnswer {
+	open, opened := fakePermitStreams(func(_ int, r *wire.PermitRequest) *wire.PermitAnswer {
 		return &wire.PermitAnswer{Grants: []*wire.PermitGrant{{Workspace: r.Asks[0].Workspace}}}
 	})
-	p := newPermitLinks(open)
+	p := newPermitStreams(open)
 	defer p.close()
 	var running sync.WaitGroup
 	for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -75,13 +75,13 @@
 // A stream on which an answer is late is given up, so that the late one can't be
 // taken for that to the next request.
 func TestLateAnswerIsNotTakenForTheNext(t *testing.T) {
-	open, opened := issuers(func(stream int, r *wire.PermitRequest) *wire.PermitAnswer {
+	open, opened := fakePermitStreams(func(stream int, r *wire.PermitRequest) *wire.PermitAnswer {
 		if stream == 1 {
 			return nil
 		}
 		return &wire.PermitAnswer{Grants: []*wire.PermitGrant{{Workspace: r.Asks[0].Workspace}}}
 	})
-	p := newPermitLinks(open)
+	p := newPermitStreams(open)
 	defer p.close()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -11,7 +11,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// newIsolation returns what keeps requests from targets that ended under them.
+// newIsolation returns the component that keeps requests which crash their targets from reaching
+// more of them.
 func (d *Daemon) newIsolation() *isolation.Isolation {
 	return isolation.New(isolation.Config{
 		Clock: d.clock,
@@ -20,33 +21,33 @@
 		},
 		DialTimeout: dialTimeout,
 		Leaving:     d.isLeaving,
-		Replicas:    d.controls.all,
-		Tell:        d.tellEvidence,
-		Looked:      func(l isolation.Look) { d.metrics.looks.WithLabelValues(l.String()).Inc() },
-		Ended:       d.recordEnded,
+		Replicas:    d.controlReplicas.all,
+		Tell:        d.sendEvidence,
+		Looked:      func(l isolation.Look) { d.metrics.targetChecks.WithLabelValues(l.String()).Inc() },
+		Ended:       d.recordEndedRun,
 	})
 }
 
-// tellEvidence tells one control replica.
-func (d *Daemon) tellEvidence(ctx context.Context, address string, e *wire.Evidence) error {
+// sendEvidence sends evidence to one control replica.
+func (d *Daemon) sendEvidence(ctx context.Context, address string, e *wire.Evidence) error {
 	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
 	_, err := d.node.Call(ctx, address, &wire.CallRequest{Evidence: e})
 	return err
 }
 
-func (d *Daemon) recordEnded(r isolation.Run) {
-	d.metrics.endedRuns.Inc()
-	if !d.otherLines.Take(d.clock.Now()) {
+func (d *Daemon) recordEndedRun(r isolation.Run) {
+	d.metrics.crashedRuns.Inc()
+	if !d.otherLineLimit.Take(d.clock.Now()) {
 		return
 	}
 	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.End.Request.String()).
 		Str("target", r.End.Life).Str("route", r.End.Route).Str("service", r.End.Service).
-		Dur("ran", r.End.Ended.Sub(r.End.Began)).Msg("a target ended while it ran a request")
+		Dur("ran", r.End.Ended.Sub(r.End.Began)).Msg("target crashed while it ran a request")
 }
 
-// putQuarantine takes the requests that are watched or held.
-func (d *Daemon) putQuarantine(list []*wire.Quarantined, version uint64) {
+// applyQuarantine applies the list of requests that are on probation or quarantined.
+func (d *Daemon) applyQuarantine(list []*wire.Quarantined, version uint64) {
 	entries := quarantine.EntriesOf(list)
 	d.isolation.SetList(entries)
 	held := 0
@@ -55,37 +56,38 @@
 			held++
 		}
 	}
-	d.metrics.held.Set(float64(held))
+	d.metrics.quarantined.Set(float64(held))
 	line := d.log.Info().Str("kind", "quarantine").Int("held", held).Int("watched", len(entries)-held).
-		Uint64("stateVersion", version).Dur("controlAge", d.following.Age())
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age())
 	if n := len(entries); n > 0 {
 		line = line.Str("latestDigest", entries[n-1].Request.String()).Bool("latestHeld", entries[n-1].Held)
 	}
-	line.Msg("quarantined requests in force")
+	line.Msg("quarantine list applied")
 }
 
-// identity is what a request is known by when it comes again.
-type identity struct {
+// fingerprint identifies a request that is sent again.
+type fingerprint struct {
 	digest quarantine.Digest
 	caller quarantine.Caller
 }
 
-// identity works out the digests of the request, which takes the longer the longer the body.
-func (c *call) identity() identity {
-	if c.known != nil {
-		return *c.known
+// fingerprint returns the request's fingerprint. Computing it takes time proportional to the length
+// of the body.
+func (c *callerRequest) fingerprint() fingerprint {
+	if c.cachedFingerprint != nil {
+		return *c.cachedFingerprint
 	}
 	r := quarantine.Request{
 		Method: c.request.Method, Host: c.request.Host, Target: c.request.RequestURI,
 		Length: c.body.length, Body: c.body.data,
 	}
-	c.known = &identity{r.Digest(), quarantine.CallerOf(c.callerName())}
-	return *c.known
+	c.cachedFingerprint = &fingerprint{r.Digest(), quarantine.CallerOf(c.callerID())}
+	return *c.cachedFingerprint
 }
 
-// callerName is what tells callers apart that ask for the same: the workspace, or the
-// address where there is none.
-func (c *call) callerName() string {
+// callerID distinguishes callers that send the same request: the name of the workspace, or the
+// remote address if there is none.
+func (c *callerRequest) callerID() string {
 	if c.workspace != nil {
 		return c.workspace.Name
 	}
@@ -96,21 +98,21 @@
 	return host
 }
 
-// passQuarantine reports whether the request may reach a target; if not, it has been
-// answered: it has not run, and comes back in vain before it is let go. It costs nothing
-// while nothing is known of any request.
-func (c *call) passQuarantine() bool {
+// checkQuarantine reports whether the request may reach a target. If not, it has not run and has
+// been answered, and sending it again fails until it is released. The check costs nothing while no
+// request is suspected.
+func (c *callerRequest) checkQuarantine() bool {
 	if c.gateway.isolation.Idle() {
 		return true
 	}
-	if !c.takeBody() {
+	if !c.bufferBody() {
 		return false
 	}
-	id := c.identity()
+	id := c.fingerprint()
 	v := c.gateway.isolation.Admit(id.digest, id.caller)
 	switch v.Decision {
 	case quarantine.OnProbation:
-		c.probation = true
+		c.onProbation = true
 	case quarantine.Busy, quarantine.Held:
 		c.verdict = &v
 		c.refuse(v.Decision.String(), v.Wait)
@@ -119,9 +121,9 @@
 	return true
 }
 
-// takeBody reads the body if that has not been done, and reports whether it is there; if
-// not, the caller has been answered.
-func (c *call) takeBody() bool {
+// bufferBody reads the body if that has not been done yet and reports whether it succeeded. If not,
+// the caller has been answered.
+func (c *callerRequest) bufferBody() bool {
 	if c.body != nil {
 		return true
 	}
@@ -133,52 +135,53 @@
 	return true
 }
 
-func (c *call) leaveQuarantine() {
-	if c.probation {
-		c.gateway.isolation.Finish(c.known.digest)
+func (c *callerRequest) finishProbation() {
+	if c.onProbation {
+		c.gateway.isolation.Finish(c.cachedFingerprint.digest)
 	}
 }
 
-// canRepeat reports whether the request may go to a further target as far as targets
-// that ended under it are concerned.
-func (c *call) canRepeat() bool {
+// quarantineAllowsRepeat reports whether the request may go to a further target, given the targets
+// that crashed while they ran it.
+func (c *callerRequest) quarantineAllowsRepeat() bool {
 	if c.gateway.isolation.Idle() {
 		return true
 	}
-	id := c.identity()
-	return !c.probation && c.gateway.isolation.MayRepeat(id.digest, id.caller)
+	id := c.fingerprint()
+	return !c.onProbation && c.gateway.isolation.MayRepeat(id.digest, id.caller)
 }
 
-// recordBroken takes that the connection of an attempt broke: its target may have ended.
-func (c *call) recordBroken(e attemptEnd) {
-	id := c.identity()
+// recordBrokenConnection reports that the connection of an attempt broke: its target may have
+// crashed.
+func (c *callerRequest) recordBrokenConnection(e attemptEnd) {
+	id := c.fingerprint()
 	now := c.gateway.clock.Now()
 	c.gateway.isolation.Broke(isolation.Run{
 		End: quarantine.End{
 			Request: id.digest, Caller: id.caller, Life: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
-			Began: e.began, Ended: now,
+			Began: e.startedAt, Ended: now,
 		},
 		Address: e.choice.Target.Address,
-		Request: c.id,
+		Request: c.requestID,
 	})
 }
 
-// recordAnswer takes that a target gave a whole answer.
-func (c *call) recordAnswer() {
+// recordCompleteResponse reports that a target gave a complete response.
+func (c *callerRequest) recordCompleteResponse() {
 	if c.gateway.isolation.Idle() {
 		return
 	}
-	id := c.identity()
+	id := c.fingerprint()
 	c.gateway.isolation.Answered(id.digest, id.caller)
 }
 
-// otherTargets are the targets that got the request besides the last one, and what became
-// of it there.
-func (c *call) otherTargets() []string {
+// otherTargets lists the targets that received the request apart from the last one, each with its
+// outcome.
+func (c *callerRequest) otherTargets() []string {
 	var out []string
-	for _, r := range c.records {
+	for _, r := range c.endedAttempts {
 		name := r.target.ID + " " + r.outcome.String()
-		if r.target.ID != c.last.target.ID && !slices.Contains(out, name) {
+		if r.target.ID != c.lastAttempt.target.ID && !slices.Contains(out, name) {
 			out = append(out, name)
 		}
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// contactTime is within how long all boxes must know of a request that has ended
+	// maxSpreadTime is within how long all boxes must know of a request that has ended
 	// three targets, and retriesAfter how many more it may reach later than that.
-	contactTime  = 3 * time.Second
-	retriesAfter = 3
+	maxSpreadTime  = 3 * time.Second
+	maxLateRetries = 3
 )
 
-// mortals are targets that end while they run a request of /…/fatal and answer all
+// crashingTargets are targets that end while they run a request of /…/fatal and answer all
 // others. A target that has ended refuses connections.
-type mortals struct {
-	scene *scene
+type crashingTargets struct {
+	rig *rig
 	// reached is when the fatal request reached a target.
 	reached chan time.Time
 	ended   []atomic.Bool
 }
 
-func newMortals(t *testing.T, targets int) *mortals {
+func newCrashingTargets(t *testing.T, targets int) *crashingTargets {
 	t.Helper()
-	m := &mortals{scene: newScene(t, testConfig(), targets), reached: make(chan time.Time, 1000), ended: make([]atomic.Bool, targets)}
+	m := &crashingTargets{rig: newRig(t, testConfig(), targets), reached: make(chan time.Time, 1000), ended: make([]atomic.Bool, targets)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	own := m.scene.daemon.isolation // a test may put another in its place
+	own := m.rig.daemon.isolation // a test may put another in its place
 	go func() { ended <- own.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
 	})
-	for i, one := range m.scene.targets {
-		one.script = func(_ int, r *http.Request, c net.Conn) bool { return m.play(i, r, c) }
+	for i, one := range m.rig.targets {
+		one.script = func(_ int, r *http.Request, c net.Conn) bool { return m.serve(i, r, c) }
 	}
-	dial := m.scene.daemon.connections.dial
-	m.scene.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	dial := m.rig.daemon.connections.dial
+	m.rig.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		var n int
 		if _, err := fmt.Sscan(address, &n); err != nil {
 			return nil, err
@@ -57,10 +57,10 @@
 	return m
 }
 
-func (m *mortals) play(i int, r *http.Request, c net.Conn) bool {
+func (m *crashingTargets) serve(i int, r *http.Request, c net.Conn) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.URL.Query().Get("n") != "fatal" {
-		answerWith(c, r.Header.Get("Test-Id"), "hello")
+		writeResponse(c, r.Header.Get("Test-Id"), "hello")
 		return true
 	}
 	m.reached <- time.Now()
@@ -78,9 +78,9 @@
 	for _, route := range []string{"long", "once", "single"} {
 		t.Run(route, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				m := newMortals(t, 60)
+				m := newCrashingTargets(t, 60)
 				for range 20 {
-					got := m.scene.ask(context.Background(), "/"+route+"/x?n=fatal", "body")
+					got := m.rig.send(context.Background(), "/"+route+"/x?n=fatal", "body")
 					if got.status == http.StatusOK {
 						t.Fatalf("answered with %d", got.status)
 					}
@@ -95,7 +95,7 @@
 
 // wantFewRetries checks how often the fatal request reached targets later than
 // contactTime after it had ended the third.
-func (m *mortals) wantFewRetries(t *testing.T) {
+func (m *crashingTargets) wantFewRetries(t *testing.T) {
 	t.Helper()
 	close(m.reached)
 	var all []time.Time
@@ -107,11 +107,11 @@
 	}
 	late := 0
 	for _, at := range all {
-		if at.After(all[2].Add(contactTime)) {
+		if at.After(all[2].Add(maxSpreadTime)) {
 			late++
 		}
 	}
-	if late > retriesAfter {
-		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want %d at most", len(all), late, contactTime, retriesAfter)
+	if late > maxLateRetries {
+		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want %d at most", len(all), late, maxSpreadTime, maxLateRetries)
 	}
 }
