--- a/internal/gateway/countedtarget_test.go
+++ b/internal/gateway/recordingtarget_test.go
@@ -27,31 +27,31 @@
 const (
 	// limitHeader is how the targets of these tests name their limit.
 	limitHeader = "Test-Limit"
-	// needWindow is the span in which a rate-limited target counts what it gets.
-	needWindow = 4 * time.Second
-	// needExcess and needSlack are what it may get in it beyond its limit, and toldBefore is
+	// limitWindow is the span in which a rate-limited target counts what it gets.
+	limitWindow = 4 * time.Second
+	// limitExcess and needSlack are what it may get in it beyond its limit, and toldBefore is
 	// how long ago a box must have been told for its requests to count.
-	needExcess = 1.5
-	needSlack  = 5
-	toldBefore = 500 * time.Millisecond
+	limitExcess   = 1.5
+	limitSlack    = 5
+	announceDelay = 500 * time.Millisecond
 )
 
-// countedTarget is a target that may be rate-limited. It counts what reaches it.
-type countedTarget struct {
+// recordingTarget is a target that may be rate-limited. It counts what reaches it.
+type recordingTarget struct {
 	mu sync.Mutex
 	// limit is what it names, empty for nothing.
 	limit    string
 	arrivals []arrival
-	// rejects is what it rejects requests with, nil where it serves them, and rejections
+	// activeRejection is what it activeRejection requests with, nil where it serves them, and rejections
 	// are those that asked for a back-off.
-	rejects    *rejection
-	rejections []backOff
+	activeRejection *rejection
+	backOffs        []backOff
 	// leaving tells that its answers say that it leaves, and toldLeaving when each box first
 	// got one that does.
-	leaving     bool
-	toldLeaving map[int]time.Time
-	// told are when each box first got an answer that names a limit.
-	told map[int]time.Time
+	leaving            bool
+	leavingAnnouncedAt map[int]time.Time
+	// limitAnnouncedAt are when each box first got an answer that names a limit.
+	limitAnnouncedAt map[int]time.Time
 }
 
 type arrival struct {
@@ -59,14 +59,14 @@
 	box int
 }
 
-func (n *countedTarget) name(limit string) {
+func (n *recordingTarget) setLimit(limit string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.limit = limit
 }
 
 // serve answers the requests of one connection of a box.
-func (n *countedTarget) serve(box int, c net.Conn) {
+func (n *recordingTarget) serve(box int, c net.Conn) {
 	s := &target{script: func(_ int, r *http.Request, c net.Conn) bool {
 		n.arrive(box)
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -74,8 +74,8 @@
 			return true
 		}
 		time.Sleep(20 * time.Millisecond)
-		named := n.sayLeaving(box)
-		if limit := n.tell(box); limit != "" {
+		named := n.announceLeaving(box)
+		if limit := n.announceLimit(box); limit != "" {
 			named += limitHeader + ": " + limit + "\r\n"
 		}
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\n%sContent-Length: 2\r\n\r\nok", r.Header.Get("Test-Id"), named)
@@ -84,36 +84,36 @@
 	s.serve(c)
 }
 
-func (n *countedTarget) arrive(box int) {
+func (n *recordingTarget) arrive(box int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.arrivals = append(n.arrivals, arrival{time.Now(), box})
 }
 
-// tell returns the limit that is named to a box now.
-func (n *countedTarget) tell(box int) string {
+// announceLimit returns the limit that is named to a box now.
+func (n *recordingTarget) announceLimit(box int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, told := n.told[box]; n.limit != "" && !told {
-		n.told[box] = time.Now()
+	if _, told := n.limitAnnouncedAt[box]; n.limit != "" && !told {
+		n.limitAnnouncedAt[box] = time.Now()
 	}
 	return n.limit
 }
 
-// most returns the most requests in any window that ends at from or later, of boxes that
+// maxInWindow returns the maxInWindow requests in any window that ends at from or later, of boxes that
 // had been told.
-func (n *countedTarget) most(from time.Time) int {
+func (n *recordingTarget) maxInWindow(from time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var counted []time.Time
 	for _, a := range n.arrivals {
-		if told, ok := n.told[a.box]; ok && a.at.Sub(told) >= toldBefore {
+		if told, ok := n.limitAnnouncedAt[a.box]; ok && a.at.Sub(told) >= announceDelay {
 			counted = append(counted, a.at)
 		}
 	}
 	most, first := 0, 0
 	for i, at := range counted {
-		for at.Sub(counted[first]) > needWindow {
+		for at.Sub(counted[first]) > limitWindow {
 			first++
 		}
 		if !at.Before(from) {
@@ -123,9 +123,9 @@
 	return most
 }
 
-// inSecond returns the most requests in any second that begins at from or later, of all
+// maxPerSecond returns the most requests in any second that begins at from or later, of all
 // boxes.
-func (n *countedTarget) inSecond(from time.Time) int {
+func (n *recordingTarget) maxPerSecond(from time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	most := 0
@@ -143,8 +143,8 @@
 	return most
 }
 
-// between counts all requests of a span.
-func (n *countedTarget) between(from, to time.Time) int {
+// countBetween counts all requests of a span.
+func (n *recordingTarget) countBetween(from, to time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
@@ -156,31 +156,31 @@
 	return count
 }
 
-// controlScene is some control replicas that issue permits of targets and tell boxes of
+// fakeControl is some control replicas that issue permits of targets and tell boxes of
 // limits, in virtual time. It is as far from all boxes as another region is from half of
 // them.
-type controlScene struct {
+type fakeControl struct {
 	mu      sync.Mutex
 	issuers map[string]*quota.TargetIssuer
-	// off tells replicas that do not answer.
-	off   map[string]bool
-	asked int
+	// down tells replicas that do not answer.
+	down  map[string]bool
+	calls int
 }
 
 const (
-	controlWay  = 20 * time.Millisecond
-	gossipPause = 50 * time.Millisecond
+	controlLatency = 20 * time.Millisecond
+	gossipInterval = 50 * time.Millisecond
 )
 
-func newControlScene(replicas int) *controlScene {
-	c := &controlScene{issuers: make(map[string]*quota.TargetIssuer), off: make(map[string]bool)}
-	for _, a := range c.names(replicas) {
-		c.start(a, c.names(replicas))
+func newFakeControl(replicas int) *fakeControl {
+	c := &fakeControl{issuers: make(map[string]*quota.TargetIssuer), down: make(map[string]bool)}
+	for _, a := range c.replicaNames(replicas) {
+		c.start(a, c.replicaNames(replicas))
 	}
 	return c
 }
 
-func (c *controlScene) names(replicas int) (out []string) {
+func (c *fakeControl) replicaNames(replicas int) (out []string) {
 	for i := range replicas {
 		out = append(out, fmt.Sprint("replica", i))
 	}
@@ -188,35 +188,35 @@
 }
 
 // start has a replica begin without any memory.
-func (c *controlScene) start(name string, all []string) {
+func (c *fakeControl) start(name string, all []string) {
 	i := quota.NewTargetIssuer(name)
 	i.SetReplicas(time.Now(), all)
 	c.issuers[name] = i
 }
 
-func (c *controlScene) addresses() []string {
+func (c *fakeControl) addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.issuers))
 }
 
-// setOff has replicas answer no more, or again.
-func (c *controlScene) setOff(off bool, names ...string) {
+// setDown has replicas answer no more, or again.
+func (c *fakeControl) setDown(off bool, names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		c.off[name] = off
+		c.down[name] = off
 	}
 }
 
-func (c *controlScene) call(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error) {
-	time.Sleep(controlWay)
+func (c *fakeControl) call(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error) {
+	time.Sleep(controlLatency)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.off[address] {
+	if c.down[address] {
 		return nil, errors.New("no answer")
 	}
-	c.asked++
+	c.calls++
 	i := c.issuers[address]
 	var asks []quota.Ask
 	for _, a := range r.TargetAsks {
@@ -231,10 +231,10 @@
 }
 
 // gossip carries what boxes were told to all replicas and from these to all boxes.
-func (c *controlScene) gossip(ctx context.Context, boxes []*Daemon) {
+func (c *fakeControl) gossip(ctx context.Context, boxes []*Daemon) {
 	known := make(map[string]uint64)
 	for ctx.Err() == nil {
-		time.Sleep(gossipPause)
+		time.Sleep(gossipInterval)
 		var told []*wire.TargetLimit
 		for _, d := range boxes {
 			told = append(told, d.targetLimits.pendingReports()...)
@@ -242,7 +242,7 @@
 		var news []*wire.TargetLimit
 		c.mu.Lock()
 		for name, i := range c.issuers {
-			if c.off[name] {
+			if c.down[name] {
 				continue
 			}
 			for _, w := range told {
@@ -255,37 +255,37 @@
 			}
 		}
 		c.mu.Unlock()
-		time.Sleep(controlWay)
+		time.Sleep(controlLatency)
 		for _, d := range boxes {
-			d.takeUpdates(news)
+			d.mergeUpdates(news)
 		}
 	}
 }
 
-// targetScene is some boxes that share targets in virtual time.
-type targetScene struct {
+// testCluster is some boxes that share targets in virtual time.
+type testCluster struct {
 	boxes   []*Daemon
-	targets []*countedTarget
-	control *controlScene
-	// asleep is for how long the machine of each box was suspended, in nanoseconds.
-	asleep []*atomic.Int64
-	random *rand.Rand
-	asked  int
+	targets []*recordingTarget
+	control *fakeControl
+	// suspended is for how long the machine of each box was suspended, in nanoseconds.
+	suspended []*atomic.Int64
+	random    *rand.Rand
+	sent      int
 	// served and refused count the answers to callers; told are the times that refused ones
 	// got, and slowest is how long a refusal took at most.
 	mu              sync.Mutex
 	served, refused int
-	told            map[string]bool
-	slowest         time.Duration
+	retryAfters     map[string]bool
+	slowestRefusal  time.Duration
 	// inTime counts those that were served within fullObjective, and deadline is what
 	// callers say that they wait, in milliseconds.
 	inTime   int
 	deadline string
 }
 
-func newTargetScene(t *testing.T, boxes, targets int) *targetScene {
+func newTestCluster(t *testing.T, boxes, targets int) *testCluster {
 	t.Helper()
-	s := &targetScene{random: rand.New(rand.NewPCG(1, 1)), control: newControlScene(6), told: make(map[string]bool), deadline: "1500"}
+	s := &testCluster{random: rand.New(rand.NewPCG(1, 1)), control: newFakeControl(6), retryAfters: make(map[string]bool), deadline: "1500"}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	t.Cleanup(func() {
@@ -294,7 +294,7 @@
 	})
 	var addresses []string
 	for i := range targets {
-		s.targets = append(s.targets, &countedTarget{told: make(map[int]time.Time), toldLeaving: make(map[int]time.Time)})
+		s.targets = append(s.targets, &recordingTarget{limitAnnouncedAt: make(map[int]time.Time), leavingAnnouncedAt: make(map[int]time.Time)})
 		addresses = append(addresses, fmt.Sprint(i))
 	}
 	var list []*wire.EntryBox
@@ -305,10 +305,10 @@
 		config := testConfig()
 		config.Name = list[i].Name
 		asleep := &atomic.Int64{}
-		s.asleep = append(s.asleep, asleep)
+		s.suspended = append(s.suspended, asleep)
 		config.Clock = boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
 		d := newDaemon(t, config, addresses...)
-		d.setBoxes(list)
+		d.setEntryBoxes(list)
 		d.connections.dial = s.dialer(func(n int, c net.Conn) { s.targets[n].serve(i, c) })
 		d.targetLimits.permits.call = s.control.call
 		d.targetLimits.permits.replicas = s.control.addresses
@@ -319,15 +319,15 @@
 	t.Cleanup(func() {
 		for _, d := range s.boxes {
 			d.connections.close()
-			_ = d.callers.listener.Close()
-			_ = d.ready.Close()
+			_ = d.callerServer.listener.Close()
+			_ = d.readyListener.Close()
 		}
 	})
 	return s
 }
 
 // dialer connects a box to targets, which serve their ends of the connections.
-func (s *targetScene) dialer(serve func(target int, c net.Conn)) func(context.Context, string, string) (net.Conn, error) {
+func (s *testCluster) dialer(serve func(target int, c net.Conn)) func(context.Context, string, string) (net.Conn, error) {
 	return func(_ context.Context, _, address string) (net.Conn, error) {
 		var n int
 		if _, err := fmt.Sscan(address, &n); err != nil {
@@ -339,21 +339,21 @@
 	}
 }
 
-// load has callers send requests for a time, each at a box by lot.
-func (s *targetScene) load(perSecond int, length time.Duration) {
+// sendLoad has callers send requests for a time, each at a box by lot.
+func (s *testCluster) sendLoad(perSecond int, length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Second / time.Duration(perSecond)) {
-		s.asked++
-		go s.ask(s.boxes[s.random.IntN(len(s.boxes))], s.asked)
+		s.sent++
+		go s.send(s.boxes[s.random.IntN(len(s.boxes))], s.sent)
 	}
 }
 
-// settle waits until all requests have been answered.
-func (s *targetScene) settle() {
+// waitForResponses waits until all requests have been answered.
+func (s *testCluster) waitForResponses() {
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 }
 
-func (s *targetScene) ask(d *Daemon, n int) {
+func (s *testCluster) send(d *Daemon, n int) {
 	r := httptest.NewRequest(http.MethodPost, "/safe/", strings.NewReader(""))
 	r.Host = "a.example"
 	r.Header.Set("Test-Id", fmt.Sprint("id", n))
@@ -372,10 +372,10 @@
 		return
 	}
 	s.refused++
-	s.told[w.Header().Get("Retry-After")] = true
-	s.slowest = max(s.slowest, time.Since(began))
+	s.retryAfters[w.Header().Get("Retry-After")] = true
+	s.slowestRefusal = max(s.slowestRefusal, time.Since(began))
 }
 
 func allowedInWindow(limit float64) int {
-	return int(needExcess*limit*needWindow.Seconds() + needSlack)
+	return int(limitExcess*limit*limitWindow.Seconds() + limitSlack)
 }
--- a/internal/gateway/replaced_bench_test.go
+++ b/internal/gateway/replaced_bench_test.go
@@ -15,12 +15,12 @@
 func BenchmarkTargetsReplaced(b *testing.B) {
 	for _, n := range []int{400, 1356, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
 			}
-			d.putInForce(s, nil)
+			d.applyState(s, nil)
 			next, oldest := n, 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -40,7 +40,7 @@
 					b.Fatal(err)
 				}
 				s = after
-				d.putInForce(s, commands)
+				d.applyState(s, commands)
 			}
 		})
 	}
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -9,27 +9,27 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// endedReport tells that a report to a replica has ended, and how.
-type endedReport struct {
+// reportResult tells that a report to a replica has ended, and how.
+type reportResult struct {
 	address string
 	err     error
 }
 
-// report tells every control replica that this box serves, each at its own
+// sendReports tells every control replica that this box serves, each at its own
 // times.
-func (d *Daemon) report(ctx context.Context) error {
+func (d *Daemon) sendReports(ctx context.Context) error {
 	schedule := lookup.NewReportSchedule()
-	ended := make(chan endedReport)
+	ended := make(chan reportResult)
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
 		now := d.clock.Now()
 		schedule.SetInterval(lookup.ReportInterval(d.boxCount()))
-		schedule.SetReplicas(now, d.controls.all())
+		schedule.SetReplicas(now, d.controlReplicas.all())
 		due, next := schedule.Due(now)
 		for _, address := range due {
 			running.Go(func() {
-				end := endedReport{address, d.reportTo(ctx, address)}
+				end := reportResult{address, d.reportTo(ctx, address)}
 				select {
 				case ended <- end:
 				case <-ctx.Done():
@@ -54,9 +54,9 @@
 	}
 }
 
-// reportsChanged has the reports told at once: what they say or the replicas
+// triggerReport has the reports told at once: what they say or the replicas
 // that they go to have changed.
-func (d *Daemon) reportsChanged() {
+func (d *Daemon) triggerReport() {
 	select {
 	case d.reportDue <- struct{}{}:
 	default:
@@ -74,7 +74,7 @@
 // answered or their time is over.
 func (d *Daemon) reportToAll(ctx context.Context) {
 	var running sync.WaitGroup
-	for _, address := range d.controls.all() {
+	for _, address := range d.controlReplicas.all() {
 		running.Go(func() { _ = d.reportTo(ctx, address) }) // noted there; the usual reports follow
 	}
 	running.Wait()
@@ -84,14 +84,14 @@
 func (d *Daemon) reportTo(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
-	request := &wire.CallRequest{Report: &wire.Report{Boxes: []*wire.BoxReport{d.ownReport()}, Limits: d.targetLimits.pendingReports()}}
+	request := &wire.CallRequest{Report: &wire.Report{Boxes: []*wire.BoxReport{d.boxReport()}, Limits: d.targetLimits.pendingReports()}}
 	_, err := d.node.Call(ctx, address, request)
-	d.recordControl(address, err)
+	d.recordControlCall(address, err)
 	return err
 }
 
-// ownReport is what this box says of itself.
-func (d *Daemon) ownReport() *wire.BoxReport {
+// boxReport is what this box says of itself.
+func (d *Daemon) boxReport() *wire.BoxReport {
 	report := &wire.BoxReport{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
@@ -100,7 +100,7 @@
 		Address:     d.config.PeerAddress,
 		Stopping:    d.stopping.Load(),
 	}
-	if rules := d.rules.Load(); rules != nil {
+	if rules := d.routing.Load(); rules != nil {
 		report.Version = rules.version
 		report.CallerAddress = d.config.CallerAddress
 	}
--- a/internal/gateway/request_bench_test.go
+++ b/internal/gateway/request_bench_test.go
@@ -10,12 +10,12 @@
 // What a whole request costs a box, target and loopback included: one at a time, on kept
 // connections.
 func BenchmarkRequest(b *testing.B) {
-	target := newTarget(b, served)
+	target := newTarget(b, respondHello)
 	d := newDaemon(b, testConfig(), target.listener.Addr().String())
 	b.Cleanup(func() {
 		d.connections.close()
-		_ = d.callers.listener.Close()
-		_ = d.ready.Close()
+		_ = d.callerServer.listener.Close()
+		_ = d.readyListener.Close()
 	})
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -6,19 +6,19 @@
 	"github.com/rs/zerolog"
 )
 
-// log tells what became of the request and what decided it.
-func (c *call) log(status int, reason string, cause error) {
+// logRequest tells what became of the request and what decided it.
+func (c *callerRequest) logRequest(status int, reason string, cause error) {
 	d := c.gateway
-	took := c.gateway.clock.Since(c.began)
+	took := c.gateway.clock.Since(c.startedAt)
 	d.metrics.count(c.route.Name, status, reason, took)
 	line := d.requestLine(status < http.StatusBadRequest && cause == nil)
 	if line == nil {
 		return
 	}
-	line = line.Str("kind", "request").Str("request", c.id).Int("status", status).Dur("took", took).
-		Str("route", c.route.Name).Str("service", c.service).Str("key", c.key())
-	if c.rules != nil {
-		line = line.Uint64("routes", c.rules.document.Number).Uint64("stateVersion", c.rules.version)
+	line = line.Str("kind", "request").Str("request", c.requestID).Int("status", status).Dur("took", took).
+		Str("route", c.route.Name).Str("service", c.service).Str("key", c.affinityKey())
+	if c.routing != nil {
+		line = line.Uint64("routes", c.routing.document.Number).Uint64("stateVersion", c.routing.version)
 	}
 	if c.workspace != nil {
 		line = line.Str("workspace", c.workspace.Name).Int("permits", len(c.permits)).Dur("permitAfter", c.permitWait)
@@ -27,12 +27,12 @@
 	if reason != "" {
 		line = line.Str("reason", reason)
 	}
-	if c.last.target.ID != "" {
-		line = line.Str("target", c.last.target.ID).Str("targetZone", c.last.target.Zone).Str("outcome", c.last.outcome.String()).
-			Uint64("targetsVersion", c.last.choice.Version).Dur("targetTook", c.last.took).Dur("wait", c.last.choice.Wait).Float64("load", c.last.choice.Load).
-			Bool("newConnection", c.last.fresh).Int("sent", c.sent).Int("dials", c.dials).Bool("mayHaveRun", c.mayHaveRun)
-		if c.last.choice.Skipped != "" {
-			line = line.Str("skipped", c.last.choice.Skipped)
+	if c.lastAttempt.target.ID != "" {
+		line = line.Str("target", c.lastAttempt.target.ID).Str("targetZone", c.lastAttempt.target.Zone).Str("outcome", c.lastAttempt.outcome.String()).
+			Uint64("targetsVersion", c.lastAttempt.choice.Version).Dur("targetTook", c.lastAttempt.took).Dur("wait", c.lastAttempt.choice.Wait).Float64("load", c.lastAttempt.choice.Load).
+			Bool("newConnection", c.lastAttempt.newConnection).Int("sent", c.sent).Int("dials", c.dials).Bool("mayHaveRun", c.mayHaveRun)
+		if c.lastAttempt.choice.Skipped != "" {
+			line = line.Str("skipped", c.lastAttempt.choice.Skipped)
 		}
 	}
 	line = c.addHedges(line)
@@ -40,7 +40,7 @@
 	line = c.addQuarantine(line)
 	line = c.addSkipped(line)
 	if cause == nil {
-		cause = c.last.err
+		cause = c.lastAttempt.err
 	}
 	if cause != nil {
 		line = line.AnErr("cause", cause)
@@ -49,22 +49,22 @@
 }
 
 // addRefusal adds what decided a refusal to the line of a request.
-func (c *call) addRefusal(line *zerolog.Event) *zerolog.Event {
-	if c.told > 0 {
-		line = line.Dur("retryAfter", c.told)
+func (c *callerRequest) addRefusal(line *zerolog.Event) *zerolog.Event {
+	if c.sentRetryAfter > 0 {
+		line = line.Dur("retryAfter", c.sentRetryAfter)
 	}
-	if c.none == nil {
+	if c.noTarget == nil {
 		return line
 	}
-	return line.Int("registered", c.none.Registered).Str("fullTarget", c.none.Target).Float64("fullLoad", c.none.Load).
-		Int("fullSlots", c.none.Slots).Dur("reckonedWait", c.none.Wait).Dur("longestWait", c.none.Longest).
-		Float64("serviceLoad", c.none.ServiceLoad).Int("backedOff", c.none.BackedOff)
+	return line.Int("registered", c.noTarget.Registered).Str("fullTarget", c.noTarget.Target).Float64("fullLoad", c.noTarget.Load).
+		Int("fullSlots", c.noTarget.Slots).Dur("reckonedWait", c.noTarget.Wait).Dur("longestWait", c.noTarget.Longest).
+		Float64("serviceLoad", c.noTarget.ServiceLoad).Int("backedOff", c.noTarget.BackedOff)
 }
 
 // addHedges adds the hedged attempts.
-func (c *call) addHedges(line *zerolog.Event) *zerolog.Event {
-	if c.hedges.none != nil {
-		line = line.Str("noneBeside", c.hedges.none.Error())
+func (c *callerRequest) addHedges(line *zerolog.Event) *zerolog.Event {
+	if c.hedges.lastError != nil {
+		line = line.Str("noneBeside", c.hedges.lastError.Error())
 	}
 	if others := c.otherTargets(); len(others) > 0 {
 		line = line.Strs("otherTargets", others)
@@ -72,27 +72,27 @@
 	if c.hedges.count == 0 {
 		return line
 	}
-	return line.Int("beside", c.hedges.count).Dur("besideAfter", c.hedges.after)
+	return line.Int("beside", c.hedges.count).Dur("besideAfter", c.hedges.delay)
 }
 
 // addSkipped adds the rate-limited targets that the request was kept from, and why.
-func (c *call) addSkipped(line *zerolog.Event) *zerolog.Event {
+func (c *callerRequest) addSkipped(line *zerolog.Event) *zerolog.Event {
 	if c.targetPermitWait > 0 {
 		line = line.Dur("targetPermitWait", c.targetPermitWait)
 	}
 	if len(c.skippedLimited) == 0 {
 		return line
 	}
-	return line.Strs("skippedLimited", c.skippedLimited).AnErr("skippedFor", c.skippedFor)
+	return line.Strs("skippedLimited", c.skippedLimited).AnErr("skippedFor", c.skipCause)
 }
 
 // addQuarantine adds by what the request is known again, where that was worked out, and
 // what is known against it.
-func (c *call) addQuarantine(line *zerolog.Event) *zerolog.Event {
-	if c.known != nil {
-		line = line.Str("digest", c.known.digest.String())
+func (c *callerRequest) addQuarantine(line *zerolog.Event) *zerolog.Event {
+	if c.cachedFingerprint != nil {
+		line = line.Str("digest", c.cachedFingerprint.digest.String())
 	}
-	if c.probation {
+	if c.onProbation {
 		line = line.Bool("onProbation", true)
 	}
 	if c.verdict != nil {
--- a/internal/gateway/reborn_test.go
+++ b/internal/gateway/restartedtarget_test.go
@@ -19,9 +19,9 @@
 	expected := make(chan string, 1)
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		expected <- r.Header.Get("Test-Expect")
-		return served(n, r, c)
+		return respondHello(n, r, c)
 	})
-	dead := newTarget(t, served)
+	dead := newTarget(t, respondHello)
 	_ = dead.listener.Close()
 	g := newGateway(t)
 	d := g.daemon
@@ -30,7 +30,7 @@
 		state, _ = state.Apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{
 			Id: "t0", Service: "s", Address: address, Zone: "z", Slots: 4, Sequence: sequence, BornUnixMilli: born,
 		}}})
-		d.putInForce(state, nil)
+		d.applyState(state, nil)
 	}
 	apply(100, 57, dead.listener.Addr().String())
 	for i := range 3 {
@@ -46,7 +46,7 @@
 		t.Errorf("the target was asked for as %q", got)
 	}
 	former, latter := catalog.Life{ID: "t0", Born: 100}, catalog.Life{ID: "t0", Born: 200}
-	if d.knows(former.String()) || !d.knows(latter.String()) {
+	if d.isRegistered(former.String()) || !d.isRegistered(latter.String()) {
 		t.Error("the box goes by the former life")
 	}
 }
--- a/internal/gateway/scene_test.go
+++ b/internal/gateway/rig_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// patience is what the balancer gives a target of these routes, which nothing
+	// hedgeDelay is what the balancer gives a target of these routes, which nothing
 	// is known of: three times 5/4 of the objective.
-	patience = 750 * time.Millisecond
-	// atWork is longer than the patience and ends long before the time-out.
-	atWork = 2 * time.Second
+	hedgeDelay = 750 * time.Millisecond
+	// slowResponseTime is longer than the patience and ends long before the time-out.
+	slowResponseTime = 2 * time.Second
 )
 
-// patientRoutes are those of these tests: /long/ may be repeated, /once/ not,
+// hedgedRoutes are those of these tests: /long/ may be repeated, /once/ not,
 // and /single/ has one attempt.
-func patientRoutes([]byte) (catalog.Document, error) {
+func hedgedRoutes([]byte) (catalog.Document, error) {
 	route := func(name string, repeat catalog.Repeat, attempts int) catalog.Route {
 		return catalog.Route{
 			Name: name, Prefix: "/" + name + "/", Repeat: repeat, Objective: 200 * time.Millisecond, Timeout: 5 * time.Second,
@@ -46,9 +46,9 @@
 // is kept.
 type script func(r *http.Request, c net.Conn) bool
 
-// scene is a box in virtual time with targets behind a network in memory. The
+// rig is a box in virtual time with targets behind a network in memory. The
 // n-th request that reaches any target gets the n-th script; one more gets no answer.
-type scene struct {
+type rig struct {
 	daemon  *Daemon
 	targets []*target
 	scripts chan script
@@ -60,14 +60,14 @@
 	key string
 }
 
-func newScene(t *testing.T, config Config, targets int) *scene {
+func newRig(t *testing.T, config Config, targets int) *rig {
 	t.Helper()
-	config.DecodeRoutes = patientRoutes
-	s := &scene{reached: make(chan *target, 8), ended: make(chan string, 8)}
+	config.DecodeRoutes = hedgedRoutes
+	s := &rig{reached: make(chan *target, 8), ended: make(chan string, 8)}
 	addresses := make([]string, 0, targets)
 	for i := range targets {
 		one := &target{}
-		one.script = func(_ int, r *http.Request, c net.Conn) bool { return s.play(one, r, c) }
+		one.script = func(_ int, r *http.Request, c net.Conn) bool { return s.runScript(one, r, c) }
 		s.targets = append(s.targets, one)
 		addresses = append(addresses, fmt.Sprint(i))
 	}
@@ -84,13 +84,13 @@
 	}
 	t.Cleanup(func() {
 		s.daemon.connections.close()
-		_ = s.daemon.callers.listener.Close()
-		_ = s.daemon.ready.Close()
+		_ = s.daemon.callerServer.listener.Close()
+		_ = s.daemon.readyListener.Close()
 	})
 	return s
 }
 
-func (s *scene) play(at *target, r *http.Request, c net.Conn) bool {
+func (s *rig) runScript(at *target, r *http.Request, c net.Conn) bool {
 	s.reached <- at
 	_, _ = io.Copy(io.Discard, r.Body)
 	next, ok := <-s.scripts
@@ -109,18 +109,18 @@
 
 // answers works for a time, then answers with a body, unless its connection ends
 // before.
-func (s *scene) answers(after time.Duration, body string) script {
+func (s *rig) answers(after time.Duration, body string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
 		}
-		answerWith(c, r.Header.Get("Test-Id"), body)
+		writeResponse(c, r.Header.Get("Test-Id"), body)
 		return true
 	}
 }
 
-// status answers with a status after a time.
-func (s *scene) status(after time.Duration, code int) script {
+// answersStatus answers with a answersStatus after a time.
+func (s *rig) answersStatus(after time.Duration, code int) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
@@ -131,16 +131,16 @@
 }
 
 // silent never answers.
-func (s *scene) silent() script {
+func (s *rig) silent() script {
 	return func(r *http.Request, c net.Conn) bool { return !s.endsWithin(time.Hour, r, c) }
 }
 
-func (s *scene) turnsAway() script {
-	return func(r *http.Request, c net.Conn) bool { return turnAway(0, r, c) }
+func (s *rig) rejects() script {
+	return func(r *http.Request, c net.Conn) bool { return rejectNotRun(0, r, c) }
 }
 
 // breaks ends the connection after a time.
-func (s *scene) breaks(after time.Duration) script {
+func (s *rig) breaks(after time.Duration) script {
 	return func(r *http.Request, c net.Conn) bool {
 		s.endsWithin(after, r, c)
 		return false
@@ -148,7 +148,7 @@
 }
 
 // endsWithin reports whether the connection ends within a time.
-func (s *scene) endsWithin(d time.Duration, r *http.Request, c net.Conn) bool {
+func (s *rig) endsWithin(d time.Duration, r *http.Request, c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.Read(make([]byte, 1))
 	_ = c.SetReadDeadline(time.Time{})
@@ -167,8 +167,8 @@
 	took   time.Duration
 }
 
-// ask sends a request; its caller waits for 5 s.
-func (s *scene) ask(ctx context.Context, path, body string) result {
+// send sends a request; its caller waits for 5 s.
+func (s *rig) send(ctx context.Context, path, body string) result {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	r.Host = "a.example"
 	r.Header.Set("Test-Id", "id1")
@@ -182,7 +182,7 @@
 	return result{status: w.Code, header: w.Header(), body: w.Body.String(), took: time.Since(began)}
 }
 
-func (s *scene) wantAnswer(t *testing.T, got result, body string, took time.Duration) {
+func (s *rig) wantResponse(t *testing.T, got result, body string, took time.Duration) {
 	t.Helper()
 	if got.status != http.StatusOK || got.body != body {
 		t.Fatalf("got %d %q after %s, want %q", got.status, got.body, got.took, body)
@@ -192,9 +192,9 @@
 	}
 }
 
-// wantSettled checks that as many requests reached targets, each another one,
+// wantAttempts checks that as many requests reached targets, each another one,
 // that as many connections ended there, and that the balancer counts none.
-func (s *scene) wantSettled(t *testing.T, reached, ended int) {
+func (s *rig) wantAttempts(t *testing.T, reached, ended int) {
 	t.Helper()
 	synctest.Wait()
 	if len(s.reached) != reached || len(s.ended) != ended {
@@ -208,13 +208,13 @@
 		}
 		seen[at] = true
 	}
-	s.wantNoneCounted(t)
+	s.wantNoneInFlight(t)
 }
 
-// wantNoneCounted checks that the balancer counts no request at any target. What
+// wantNoneInFlight checks that the balancer counts no request at any target. What
 // targets told of their load is forgotten before, and none is left out by then
 // unless a request counts as being there.
-func (s *scene) wantNoneCounted(t *testing.T) {
+func (s *rig) wantNoneInFlight(t *testing.T) {
 	t.Helper()
 	time.Sleep(time.Minute)
 	var tried []string
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -11,98 +11,97 @@
 )
 
 const (
-	// defaultDeadline is for callers that name none.
+	// defaultDeadline applies to callers that send no deadline.
 	defaultDeadline = 10 * time.Second
-	// maxDials is how many targets are tried for a connection.
+	// maxDials bounds how many targets are dialed for one request.
 	maxDials = 4
-	// leastLeft is the shortest time with which an attempt is begun.
-	leastLeft = 10 * time.Millisecond
+	// minAttemptTime is the least time before the deadline with which an attempt is started.
+	minAttemptTime = 10 * time.Millisecond
 )
 
-// call is one request of a caller on its way to an answer.
-type call struct {
-	gateway *Daemon
-	request *http.Request
-	writer  http.ResponseWriter
-	began   time.Time
-	// ends is when the caller or the route's time-out gives up.
-	ends  time.Time
-	id    string
-	rules *inForce
-	route catalog.Route
-	// workspace is the one whose key the request carries, nil for none, and
-	// regions are those that may serve it; all if it is empty.
+// callerRequest is one request of a caller, from its arrival to its response.
+type callerRequest struct {
+	gateway   *Daemon
+	request   *http.Request
+	writer    http.ResponseWriter
+	startedAt time.Time
+	// deadline is the earlier of the caller's deadline and the route's timeout.
+	deadline  time.Time
+	requestID string
+	routing   *routing
+	route     catalog.Route
+	// workspace owns the API key that the request carries, nil if there is none. regions are the
+	// regions that may serve the request; empty means all.
 	workspace *catalog.Workspace
 	regions   []string
-	// permits are what the request holds of its workspace's limit, possibleRuns is how
-	// many targets may have run it, and permitWait when the first permit was there.
+	// permits are the expiry times of the permits that the request holds of its workspace's rate
+	// limit, possibleRuns is how many targets may have run it, and permitWait how long it took
+	// until the first permit was granted.
 	permits      []time.Time
 	possibleRuns int
 	permitWait   time.Duration
-	// skippedLimited are rate-limited targets for which there was no permit, and skippedFor is
-	// why for the last one; targetPermitWait is how long was waited for such permits.
+	// skippedLimited are the rate-limited targets that granted no permit, skipCause is why the last
+	// of them did not, and targetPermitWait the total time spent waiting for such permits.
 	skippedLimited   []string
-	skippedFor       error
+	skipCause        error
 	targetPermitWait time.Duration
 	body             *requestBody
-	// service is the destination that the request is for.
+	// service is the destination that the request is routed to.
 	service string
 	tried   []string
-	// sent counts the targets that may have got the request; mayHaveRun tells
-	// that one of them may have run it.
+	// sent counts the targets that may have received the request; mayHaveRun is set once one of
+	// them may have run it.
 	sent       int
 	dials      int
 	mayHaveRun bool
-	// retry tells that the next target takes a retry from the budget.
-	retry bool
-	last  attemptRecord
-	// pending are the attempts that have not ended; their ends come on ended.
+	// nextIsRetry tells that the next attempt must be paid for from the retry budget.
+	nextIsRetry bool
+	lastAttempt attemptRecord
+	// pending are the attempts in flight; their results arrive on ended.
 	pending []*pendingAttempt
 	ended   chan attemptEnd
-	// alarm rings when another target is to be sought beside them.
-	alarm  *time.Timer
-	hedges hedgeRecord
-	// booked is what the answer was given of the link.
-	booked *booking
-	// records are those of all attempts that have ended, and fallback is an
-	// answer that is given if no better one comes.
-	records  []attemptRecord
-	fallback *answer
-	// none is why no target was found, and told what the caller of a refused
-	// request was told to wait.
-	none *balance.NoTargetError
-	told time.Duration
-	// known is what the request is known by when it comes again, nil until it is needed.
-	// probation tells that it may run at one target only, and verdict why it was kept
-	// from targets.
-	known     *identity
-	probation bool
-	verdict   *quarantine.Verdict
+	// hedgeTimer fires when a hedged attempt is due beside the pending ones.
+	hedgeTimer *time.Timer
+	hedges     hedgeRecord
+	// reservation is the link capacity reserved for the response.
+	reservation *reservation
+	// endedAttempts are the records of all attempts that have ended. fallback is a response that is
+	// sent if no better one arrives.
+	endedAttempts []attemptRecord
+	fallback      *targetResponse
+	// noTarget is why no target was found, and sentRetryAfter the Retry-After of a refusal.
+	noTarget       *balance.NoTargetError
+	sentRetryAfter time.Duration
+	// cachedFingerprint is nil until a fingerprint is needed. onProbation tells that the request
+	// may run at one target only, and verdict why the quarantine kept it from all targets.
+	cachedFingerprint *fingerprint
+	onProbation       bool
+	verdict           *quarantine.Verdict
 }
 
-// attemptRecord is what the log tells of the last attempt.
+// attemptRecord is what the log reports of an attempt.
 type attemptRecord struct {
-	target  balance.Target
-	choice  balance.Choice
-	outcome balance.Outcome
-	fresh   bool
-	took    time.Duration
-	err     error
+	target        balance.Target
+	choice        balance.Choice
+	outcome       balance.Outcome
+	newConnection bool
+	took          time.Duration
+	err           error
 }
 
-// hedgeRecord is what the log tells of hedged attempts.
+// hedgeRecord is what the log reports of hedged attempts.
 type hedgeRecord struct {
 	count int
-	// after is how long the first had been waited for when the last one began.
-	after time.Duration
-	// none is why no target was found when one was sought last.
-	none error
+	// delay is the time between the start of the oldest pending attempt and of the last hedged one.
+	delay time.Duration
+	// lastError is why the last search for a target found none.
+	lastError error
 }
 
-// ServeHTTP takes a request of a caller.
+// ServeHTTP serves one request of a caller.
 func (d *Daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{gateway: d, request: r, writer: w, began: d.clock.Now(), rules: d.rules.Load()}
-	c.id = d.config.Protocol.requestID(r)
+	c := &callerRequest{gateway: d, request: r, writer: w, startedAt: d.clock.Now(), routing: d.routing.Load()}
+	c.requestID = d.config.Protocol.requestID(r)
 	if d.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -111,8 +110,8 @@
 	c.serve()
 }
 
-// requestID returns the id of a request, which is given one if it has none and
-// the protocol allows that.
+// requestID returns the id of a request. A request without one gets one if the protocol allows
+// that.
 func (p Protocol) requestID(r *http.Request) string {
 	id := r.Header.Get(p.RequestID)
 	if id == "" && p.NewRequestID != nil {
@@ -122,55 +121,55 @@
 	return id
 }
 
-func (c *call) serve() {
-	if c.rules == nil {
-		c.refuse("noRoutes", c.gateway.untilRoutes())
+func (c *callerRequest) serve() {
+	if c.routing == nil {
+		c.refuse("noRoutes", c.gateway.routesRetryAfter())
 		return
 	}
-	route, ok := c.rules.table.Match(c.request.Host, c.request.URL.EscapedPath())
+	route, ok := c.routing.table.Match(c.request.Host, c.request.URL.EscapedPath())
 	if !ok {
 		c.deny(http.StatusNotFound, "noRoute")
 		return
 	}
 	c.route = route
-	if !c.identify() {
+	if !c.authorizeWorkspace() {
 		return
 	}
-	if limit := c.rules.document.Limits.BodyBytes; limit > 0 && c.request.ContentLength > limit {
+	if limit := c.routing.document.Limits.BodyBytes; limit > 0 && c.request.ContentLength > limit {
 		c.fail(http.StatusRequestEntityTooLarge, "bodyTooLarge", nil)
 		return
 	}
-	c.ends = c.began.Add(min(c.deadline(), route.Timeout))
-	ctx, cancel := c.gateway.clock.WithDeadline(c.request.Context(), c.ends)
+	c.deadline = c.startedAt.Add(min(c.callerTimeout(), route.Timeout))
+	ctx, cancel := c.gateway.clock.WithDeadline(c.request.Context(), c.deadline)
 	defer cancel()
-	if !c.passQuarantine() {
+	if !c.checkQuarantine() {
 		return
 	}
-	defer c.leaveQuarantine()
+	defer c.finishProbation()
 	if !c.obtainPermit(ctx) {
 		return
 	}
 	defer c.returnPermits()
-	if !c.takeBody() {
+	if !c.bufferBody() {
 		return
 	}
-	booked, wait, ok := c.gateway.longAnswers.admit(c.began, route.Name, route.Objective)
+	booked, wait, ok := c.gateway.linkQueue.admit(c.startedAt, route.Name, route.Objective)
 	if !ok {
 		c.refuse("linkFull", wait)
 		return
 	}
-	c.booked = booked
+	c.reservation = booked
 	defer func() { booked.settle(c.gateway.clock.Now(), 0) }()
-	if !c.renewPermit(ctx) {
+	if !c.replaceExpiredPermit(ctx) {
 		return
 	}
 	c.service = c.gateway.destination(route)
-	c.gateway.countFirst(c.service)
-	c.attempts(ctx)
+	c.gateway.recordFirstAttempt(c.service)
+	c.sendToTargets(ctx)
 }
 
-// deadline is how long the caller will wait.
-func (c *call) deadline() time.Duration {
+// callerTimeout returns how long the caller waits for its response.
+func (c *callerRequest) callerTimeout() time.Duration {
 	text := c.request.Header.Get(c.gateway.config.Protocol.Deadline)
 	if millis, err := strconv.Atoi(text); err == nil && millis > 0 {
 		return time.Duration(millis) * time.Millisecond
--- a/internal/gateway/shaper_test.go
+++ b/internal/gateway/shaper_test.go
@@ -27,8 +27,8 @@
 				t.Fatal(err)
 			}
 		}
-		rate := link * longShare
-		least := time.Duration(float64(2*link-2*shapedPiece) / rate * float64(time.Second))
+		rate := link * largeResponseShare
+		least := time.Duration(float64(2*link-2*shapedChunk) / rate * float64(time.Second))
 		if took := time.Since(began); took < least {
 			t.Fatalf("took %s, at least %s is due", took, least)
 		}
@@ -67,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const link, size = 100_000, 50_000
 		s := newShaper(link)
-		alone := time.Duration(float64(size) / (link * longShare) * float64(time.Second))
+		alone := time.Duration(float64(size) / (link * largeResponseShare) * float64(time.Second))
 		began := time.Now()
 		ended := make(chan time.Duration, 2)
 		send := func(ctx context.Context, wanted error) {
--- a/internal/gateway/splits.go
+++ b/internal/gateway/splits.go
@@ -26,33 +26,33 @@
 	return r.Destinations[s.Next(weights)].Service
 }
 
-// rememberedFactor bounds the routes that the box remembers something of, when a
+// retainedRoutesFactor bounds the routes that the box remembers something of, when a
 // document comes into force, to so many times those of the document. With 1 the
 // requests of a box would wait at each document that drops a route; with 2 they wait
 // once for as many dropped routes as the document has.
-const rememberedFactor = 2
+const retainedRoutesFactor = 2
 
-// forgetRoutes drops what the box remembers of routes that a document no longer
+// pruneRoutes drops what the box remembers of routes that a document no longer
 // has, once that is too much.
-func (d *Daemon) forgetRoutes(document catalog.Document) {
+func (d *Daemon) pruneRoutes(document catalog.Document) {
 	most := 0
 	for _, h := range document.Hosts {
-		most += rememberedFactor * len(h.Routes)
+		most += retainedRoutesFactor * len(h.Routes)
 	}
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	if len(d.balancing.splits) > most {
-		keepSplits(d.balancing.splits, document)
+		pruneSplits(d.balancing.splits, document)
 	}
 	if d.balancing.balancer.Routes() > most {
 		d.balancing.balancer.KeepRoutes(routeNames(document))
 	}
 }
 
-// keepSplits forgets the splits of routes that a document no longer has. Those
+// pruneSplits forgets the splits of routes that a document no longer has. Those
 // that stay go on where they are, so that many documents in a row do not give
 // the first requests after each to the same service.
-func keepSplits(splits map[string]*balance.Split, document catalog.Document) {
+func pruneSplits(splits map[string]*balance.Split, document catalog.Document) {
 	routes := routeNames(document)
 	for name := range splits {
 		if !routes[name] {
--- a/internal/gateway/splits_test.go
+++ b/internal/gateway/splits_test.go
@@ -13,7 +13,7 @@
 	Destinations: []catalog.Destination{{Service: "a", Weight: 60}, {Service: "b", Weight: 40}},
 }
 
-func newSplitting(box string) *Daemon {
+func newSplitBox(box string) *Daemon {
 	d := &Daemon{config: Config{Name: box}}
 	d.balancing.splits = make(map[string]*balance.Split)
 	return d
@@ -30,12 +30,12 @@
 // The first request after each of many documents does not always go to the
 // same service.
 func TestSharesHoldOverManyDocuments(t *testing.T) {
-	d := newSplitting("box")
+	d := newSplitBox("box")
 	document := catalog.Document{Hosts: []catalog.Host{{Routes: []catalog.Route{splitRoute}}}}
 	count := make(map[string]int)
 	for range 100 {
 		count[d.destination(splitRoute)]++
-		keepSplits(d.balancing.splits, document)
+		pruneSplits(d.balancing.splits, document)
 	}
 	checkSplit(t, count)
 }
@@ -44,16 +44,16 @@
 func TestSharesHoldOverManyBoxes(t *testing.T) {
 	count := make(map[string]int)
 	for i := range 100 {
-		count[newSplitting(fmt.Sprintf("box%d", i)).destination(splitRoute)]++
+		count[newSplitBox(fmt.Sprintf("box%d", i)).destination(splitRoute)]++
 	}
 	checkSplit(t, count)
 }
 
 // A route that left the document is forgotten.
 func TestSplitsOfGoneRoutesAreForgotten(t *testing.T) {
-	d := newSplitting("box")
+	d := newSplitBox("box")
 	d.destination(splitRoute)
-	keepSplits(d.balancing.splits, catalog.Document{})
+	pruneSplits(d.balancing.splits, catalog.Document{})
 	if len(d.balancing.splits) != 0 {
 		t.Errorf("%d splits are kept", len(d.balancing.splits))
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,25 +9,25 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// putInForce takes the next state from control.
-func (d *Daemon) putInForce(s steering.State, _ []*wire.Command) {
+// applyState takes the next state from control.
+func (d *Daemon) applyState(s steering.State, _ []*wire.Command) {
 	c := s.Catalog()
 	// Before the routes: a box that starts takes no request without the list.
-	if before := d.steered; before == nil && len(c.Quarantined()) > 0 || before != nil && !c.SharesQuarantined(*before) {
-		d.putQuarantine(c.Quarantined(), s.Version())
+	if before := d.lastState; before == nil && len(c.Quarantined()) > 0 || before != nil && !c.SharesQuarantined(*before) {
+		d.applyQuarantine(c.Quarantined(), s.Version())
 	}
-	d.putRoutes(c, s.Version())
-	d.putTargets(c, s.Version())
+	d.applyRoutes(c, s.Version())
+	d.applyTargets(c, s.Version())
 }
 
-func (d *Daemon) putRoutes(c catalog.State, version uint64) {
+func (d *Daemon) applyRoutes(c catalog.State, version uint64) {
 	text := c.Document()
 	if text == nil {
 		return
 	}
-	before := d.rules.Load()
+	before := d.routing.Load()
 	if before != nil && before.document.Number == text.Number {
-		d.rules.Store(&inForce{document: before.document, table: before.table, keys: before.keys, version: version})
+		d.routing.Store(&routing{document: before.document, table: before.table, keys: before.keys, version: version})
 		return
 	}
 	document, err := d.config.DecodeRoutes(text.Text)
@@ -35,20 +35,20 @@
 		d.log.Error().Str("kind", "routes").Uint64("number", text.Number).Err(err).Msg("can't read the document of routes; the one before stays in force")
 		return
 	}
-	next := &inForce{document: document, table: catalog.NewTable(document), keys: catalog.NewKeyTable(document), version: version}
-	d.setCold(document.Services)
-	d.longAnswers.assumeLong(downloads(document))
-	d.rules.Store(next)
-	d.forgetRoutes(document)
+	next := &routing{document: document, table: catalog.NewTable(document), keys: catalog.NewKeyTable(document), version: version}
+	d.setColdLimits(document.Services)
+	d.linkQueue.assumeLarge(downloadRoutes(document))
+	d.routing.Store(next)
+	d.pruneRoutes(document)
 	if before == nil {
-		d.reportsChanged() // from now on it serves
+		d.triggerReport() // from now on it serves
 	}
 	d.log.Info().Str("kind", "routes").Uint64("number", document.Number).Uint64("stateVersion", version).
-		Dur("controlAge", d.following.Age()).Msg("document of routes in force")
+		Dur("controlAge", d.follower.Age()).Msg("document of routes in force")
 }
 
-// downloads returns the names of the routes whose answers are large.
-func downloads(document catalog.Document) (names []string) {
+// downloadRoutes returns the names of the routes whose answers are large.
+func downloadRoutes(document catalog.Document) (names []string) {
 	for _, h := range document.Hosts {
 		for _, r := range h.Routes {
 			if r.Repeat == catalog.Download {
@@ -59,7 +59,7 @@
 	return names
 }
 
-func (d *Daemon) setCold(services []catalog.Service) {
+func (d *Daemon) setColdLimits(services []catalog.Service) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	for _, s := range services {
@@ -67,16 +67,16 @@
 	}
 }
 
-// putTargets takes the targets and evacuations unless they are in force, and of the
+// applyTargets takes the targets and evacuations unless they are in force, and of the
 // targets those that changed: requests wait meanwhile, and a box hears of tens of states a
 // second while targets are replaced.
-func (d *Daemon) putTargets(c catalog.State, version uint64) {
+func (d *Daemon) applyTargets(c catalog.State, version uint64) {
 	var before catalog.State
-	if d.steered != nil {
-		before = *d.steered
+	if d.lastState != nil {
+		before = *d.lastState
 	}
-	known := d.steered != nil && c.SharesTargets(before)
-	d.steered = &c // also if known, so that no earlier document is kept in memory
+	known := d.lastState != nil && c.SharesTargets(before)
+	d.lastState = &c // also if known, so that no earlier document is kept in memory
 	if known {
 		d.balancing.Lock()
 		d.balancing.balancer.SetVersion(version)
@@ -86,11 +86,11 @@
 	registrations, ended := c.TargetsSince(before)
 	changed := make([]balance.Target, 0, len(registrations))
 	for _, r := range registrations {
-		changed = append(changed, d.target(r))
+		changed = append(changed, d.balanceTarget(r))
 	}
 	now := d.clock.Now()
 	d.balancing.Lock()
-	d.balancing.balancer.ChangeTargets(now, changed, names(ended))
+	d.balancing.balancer.ChangeTargets(now, changed, incarnationNames(ended))
 	d.balancing.balancer.SetEvacuated(now, c.Evacuated())
 	d.balancing.balancer.SetVersion(version)
 	for _, t := range changed {
@@ -100,12 +100,12 @@
 		}
 	}
 	d.balancing.Unlock()
-	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", draining(c.Targets())).
+	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", countDraining(c.Targets())).
 		Int("changed", len(changed)).Int("ended", len(ended)).Strs("evacuated", c.Evacuated()).
-		Uint64("stateVersion", version).Dur("controlAge", d.following.Age()).Msg("targets in force")
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age()).Msg("targets in force")
 }
 
-func (d *Daemon) target(r *wire.Registration) balance.Target {
+func (d *Daemon) balanceTarget(r *wire.Registration) balance.Target {
 	return balance.Target{
 		ID:       catalog.LifeOf(r).String(),
 		Name:     r.Id,
@@ -120,7 +120,7 @@
 	}
 }
 
-func names(list []catalog.Life) []string {
+func incarnationNames(list []catalog.Life) []string {
 	out := make([]string, 0, len(list))
 	for _, l := range list {
 		out = append(out, l.String())
@@ -128,7 +128,7 @@
 	return out
 }
 
-func draining(list []*wire.Registration) (n int) {
+func countDraining(list []*wire.Registration) (n int) {
 	for _, r := range list {
 		if r.Draining {
 			n++
@@ -137,8 +137,8 @@
 	return n
 }
 
-// knows reports whether a target is registered.
-func (d *Daemon) knows(target string) bool {
+// isRegistered reports whether a target is registered.
+func (d *Daemon) isRegistered(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return d.balancing.balancer.Knows(target)
@@ -151,8 +151,8 @@
 	return d.balancing.balancer.IsLeaving(target)
 }
 
-// setBoxes takes the entry boxes that serve.
-func (d *Daemon) setBoxes(boxes []*wire.EntryBox) {
+// setEntryBoxes takes the entry boxes that serve.
+func (d *Daemon) setEntryBoxes(boxes []*wire.EntryBox) {
 	out := make([]balance.Box, 0, len(boxes))
 	names := make([]string, 0, len(boxes))
 	for _, b := range boxes {
@@ -173,26 +173,26 @@
 	return d.balancing.balancer.Choose(d.clock.Now(), r)
 }
 
-func (d *Daemon) done(r balance.Report) {
+func (d *Daemon) recordOutcome(r balance.Report) {
 	d.metrics.attempts.WithLabelValues(r.Outcome.String()).Inc()
 	d.balancing.Lock()
 	change := d.balancing.balancer.Done(d.clock.Now(), r)
 	d.balancing.Unlock()
-	d.logTarget(change, r)
+	d.logTargetChange(change, r)
 }
 
-// overdue tells the balancer of a request whose target has not answered for longer
+// reportOverdue tells the balancer of a request whose target has not answered for longer
 // than it is waited for; the request stays under way.
-func (d *Daemon) overdue(r balance.Report) {
+func (d *Daemon) reportOverdue(r balance.Report) {
 	d.balancing.Lock()
 	change := d.balancing.balancer.Overdue(d.clock.Now(), r)
 	d.balancing.Unlock()
-	d.logTarget(change, r)
+	d.logTargetChange(change, r)
 }
 
-// logTarget tells that a target was lost or is back.
-func (d *Daemon) logTarget(change balance.Change, r balance.Report) {
-	if change == balance.Unchanged || !d.otherLines.Take(d.clock.Now()) {
+// logTargetChange tells that a target was lost or is back.
+func (d *Daemon) logTargetChange(change balance.Change, r balance.Report) {
+	if change == balance.Unchanged || !d.otherLineLimit.Take(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
@@ -217,23 +217,23 @@
 }
 
 const (
-	// routesTime is how long after its start a box usually has routes: 0.6 s
+	// usualRoutesDelay is how long after its start a box usually has routes: 0.6 s
 	// where control starts with it, most of it until a leader is elected.
-	routesTime = 700 * time.Millisecond
-	// routesOverdue is what a caller is told to wait once that time is over.
-	routesOverdue = 250 * time.Millisecond
-	// longestRoutesWait bounds what is told to callers of an unknown route, who wait
+	usualRoutesDelay = 700 * time.Millisecond
+	// overdueRoutesRetry is what a caller is told to wait once that time is over.
+	overdueRoutesRetry = 250 * time.Millisecond
+	// maxRoutesRetry bounds what is told to callers of an unknown route, who wait
 	// for as long again as control has been silent; a cut may last for minutes.
-	longestRoutesWait = 5 * time.Second
-	// leastRoutesWait bounds what is told before.
-	leastRoutesWait = 50 * time.Millisecond
+	maxRoutesRetry = 5 * time.Second
+	// minRoutesRetry bounds what is told before.
+	minRoutesRetry = 50 * time.Millisecond
 )
 
-// untilRoutes is when a caller may come back to a box that has no routes yet.
-func (d *Daemon) untilRoutes() time.Duration {
-	left := routesTime - d.clock.Since(d.started)
+// routesRetryAfter is when a caller may come back to a box that has no routes yet.
+func (d *Daemon) routesRetryAfter() time.Duration {
+	left := usualRoutesDelay - d.clock.Since(d.started)
 	if left < 0 {
-		return routesOverdue
+		return overdueRoutesRetry
 	}
-	return max(left, leastRoutesWait)
+	return max(left, minRoutesRetry)
 }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -61,12 +61,12 @@
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		began <- struct{}{}
 		<-release
-		answerWith(c, r.Header.Get("Test-Id"), "hello")
+		writeResponse(c, r.Header.Get("Test-Id"), "hello")
 		return true
 	})
 	g := newGateway(t, s)
-	served := g.daemon.callers.serve()
-	address := "http://" + g.daemon.callers.listener.Addr().String()
+	served := g.daemon.callerServer.serve()
+	address := "http://" + g.daemon.callerServer.listener.Addr().String()
 	got := make(chan string, 1)
 	go func() {
 		r, err := http.NewRequest(http.MethodPost, address+"/unsafe/", nil)
@@ -97,7 +97,7 @@
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		if err := g.daemon.callers.server.Shutdown(context.Background()); err != nil {
+		if err := g.daemon.callerServer.server.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
 	}()
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -18,8 +18,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// suspensions lets a test suspend the machine.
-func suspensions(t *testing.T) (suspend func(time.Duration)) {
+// simulateSuspension lets a test suspend the machine.
+func simulateSuspension(t *testing.T) (suspend func(time.Duration)) {
 	t.Helper()
 	var asleep atomic.Int64
 	t.Cleanup(boottime.Simulate(func() time.Duration { return time.Duration(asleep.Load()) }))
@@ -30,13 +30,13 @@
 // A permit of a window that is over would count in two windows.
 func TestPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, r := limitedScene(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.turnsAway(), s.answers(0, "old"))
+		suspend := simulateSuspension(t)
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
+		s.scripts = scripts(s.rejects(), s.answers(0, "old"))
 		// The target turned it away, so that its permit is in stock again.
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		suspend(5 * time.Second)
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusTooManyRequests)
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusTooManyRequests)
 		if n := r.issued(1); n != 1 {
 			t.Fatalf("%d permits were issued", n)
 		}
@@ -46,16 +46,16 @@
 // A target closes what rests longer than it told; a request sent on it then may be lost.
 func TestIdleConnectionIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
 		s.scripts = scripts(s.answers(0, "first"), s.answers(0, "second"), s.answers(0, "third"))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", 0)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "second", 0)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", 0)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 		if n := s.targets[0].conns.Load(); n != 1 {
 			t.Fatalf("%d connections before the suspension", n)
 		}
-		suspend(defaultIdle)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "third", 0)
+		suspend(defaultKeepAlive)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "third", 0)
 		if n := s.targets[0].conns.Load(); n != 2 {
 			t.Fatalf("%d connections after the suspension, want a new one", n)
 		}
@@ -65,12 +65,12 @@
 // What a box earned of retries before belongs to a window that is over.
 func TestRetriesEarnedBeforeASuspensionHaveExpired(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
+		suspend := simulateSuspension(t)
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 1, 0
-		s := newScene(t, config, 2)
+		s := newRig(t, config, 2)
 		for range 4 {
-			s.daemon.countFirst("s")
+			s.daemon.recordFirstAttempt("s")
 		}
 		if !s.daemon.allowsRetry("s") {
 			t.Fatal("no retry is allowed before the suspension")
@@ -85,13 +85,13 @@
 // A request whose caller's time is over is not sent on.
 func TestRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 2)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(func(*http.Request, net.Conn) bool {
 			suspend(10 * time.Second)
 			return false // the first target breaks off as the machine wakes
 		}, s.answers(0, "late"))
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout {
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout {
 			t.Fatalf("got %d %q, want a time out", got.status, got.body)
 		}
 		if len(s.reached) != 1 {
@@ -104,11 +104,11 @@
 // wakes, not when what was left of its time by the steady clock is over.
 func TestWaitingRequestEndsOnWaking(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
 		s.scripts = scripts(s.silent())
 		answered := make(chan result, 1)
-		go func() { answered <- s.ask(t.Context(), "/single/", "") }()
+		go func() { answered <- s.send(t.Context(), "/single/", "") }()
 		time.Sleep(time.Second)
 		suspend(10 * time.Second)
 		boottime.Now() // as the next request does
@@ -126,14 +126,14 @@
 
 // wantNotSent has a request wait for its connection while something happens, and checks
 // that no target gets it and its caller is told so.
-func (s *scene) wantNotSent(t *testing.T, meanwhile func()) {
+func (s *rig) wantNotSent(t *testing.T, meanwhile func()) {
 	t.Helper()
 	dial := s.daemon.connections.dial
 	s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		meanwhile()
 		return dial(ctx, network, address)
 	}
-	if got := s.ask(t.Context(), "/once/", ""); got.status != http.StatusServiceUnavailable {
+	if got := s.send(t.Context(), "/once/", ""); got.status != http.StatusServiceUnavailable {
 		t.Fatalf("got %d %q, want a word that it has not run", got.status, got.body)
 	}
 	if len(s.reached) != 0 {
@@ -145,8 +145,8 @@
 // sent after its time; it has not run.
 func TestChosenRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
 		s.scripts = scripts(s.answers(0, "late"))
 		s.wantNotSent(t, func() { suspend(10 * time.Second) })
 	})
@@ -156,8 +156,8 @@
 // over: the request is not sent on it.
 func TestTakenPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := limitedScene(t, 1, map[string]int{"a": 1, "b": 0})
+		suspend := simulateSuspension(t)
+		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
 		s.scripts = scripts(s.answers(0, "old"))
 		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's time
 	})
@@ -175,7 +175,7 @@
 // A body that takes longer than a permit lasts costs another permit, not the request.
 func TestSlowBodyGetsAnotherPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, r := limitedScene(t, 1, map[string]int{"a": 2, "b": 0})
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 2, "b": 0})
 		s.scripts = scripts(s.answers(0, "served"))
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/once/", &slowBody{2 * time.Second})
 		request.Host = "a.example"
@@ -193,15 +193,15 @@
 // What is in stock is looked at by the clock that counts, also where nothing else looks.
 func TestStockIsForgottenInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := limitedScene(t, 1, map[string]int{"a": 0, "b": 0})
-		s.daemon.permits.putBack("north", boottime.Now().Add(time.Second))
+		suspend := simulateSuspension(t)
+		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 0, "b": 0})
+		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
 		suspend(2 * time.Second)
-		if until, ok := s.daemon.permits.takeNow("north"); ok {
+		if until, ok := s.daemon.permits.tryAcquire("north"); ok {
 			t.Errorf("a permit was taken that ended %s ago", boottime.Since(until))
 		}
-		s.daemon.permits.putBack("north", boottime.Now().Add(time.Second))
-		if _, ok := s.daemon.permits.takeNow("north"); !ok {
+		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
+		if _, ok := s.daemon.permits.tryAcquire("north"); !ok {
 			t.Error("a permit of after the suspension was not taken")
 		}
 	})
@@ -211,9 +211,9 @@
 // time, and an evacuation's targets are cold as long as they should from then on.
 func TestColdTargetsWarmUpInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
-		s.daemon.setCold([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
+		s.daemon.setColdLimits([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
 		s.daemon.setColdLeft("t0", 3*time.Second)
 		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second}
 		if _, err := s.daemon.choose(request); err == nil {
@@ -232,29 +232,29 @@
 // evidence holds nothing.
 func TestEvidenceAfterASuspensionIsFresh(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		m := newMortals(t, 4)
+		suspend := simulateSuspension(t)
+		m := newCrashingTargets(t, 4)
 		told := make(chan *wire.Evidence, 100)
-		tell := m.scene.daemon.isolation
+		tell := m.rig.daemon.isolation
 		own := isolation.New(isolation.Config{
 			Dial: func(ctx context.Context, address string) (net.Conn, error) {
-				return m.scene.daemon.connections.dial(ctx, "tcp4", address)
+				return m.rig.daemon.connections.dial(ctx, "tcp4", address)
 			},
 			DialTimeout: time.Second, Leaving: func(string) bool { return false }, Replicas: func() []string { return []string{"a"} },
 			Tell:  func(_ context.Context, _ string, e *wire.Evidence) error { told <- e; return nil },
 			Ended: func(isolation.Run) {}, Looked: func(isolation.Look) {},
 		})
-		m.scene.daemon.isolation = own
+		m.rig.daemon.isolation = own
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- own.Run(ctx) }()
 		defer func() {
 			cancel()
 			<-ended
-			m.scene.daemon.isolation = tell
+			m.rig.daemon.isolation = tell
 		}()
 		suspend(20 * time.Second)
-		m.scene.ask(t.Context(), "/single/x?n=fatal", "body")
+		m.rig.send(t.Context(), "/single/x?n=fatal", "body")
 		time.Sleep(time.Second)
 		synctest.Wait()
 		select {
@@ -272,17 +272,17 @@
 // may send it what came free meanwhile.
 func TestLimitsOfTargetsAgeInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := namedScene(t, 1, map[string]int{"a": -1, "b": -1})
+		suspend := simulateSuspension(t)
+		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
 		s.daemon.targetLimits.setBoxes([]string{"box"})
-		if _, err := s.daemon.targetLimits.permit(t.Context(), "t0", targetPermitWait); err == nil {
+		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err == nil {
 			t.Fatal("a permit of a limit that was just named")
 		}
-		suspend(2 * reportTime)
+		suspend(2 * updateRepeatTime)
 		if told := s.daemon.targetLimits.pendingReports(); len(told) > 0 {
 			t.Errorf("still tells %v", told)
 		}
-		if _, err := s.daemon.targetLimits.permit(t.Context(), "t0", targetPermitWait); err != nil {
+		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err != nil {
 			t.Errorf("after the suspension: %v", err)
 		}
 	})
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -28,31 +28,31 @@
 	// longer for it, and lacks the permit for objects of its own.
 	maxSkippedLimited       = 4
 	maxSkippedLimitedObject = 1
-	// permitPause is for how long a target gets nothing for which no permit came in time.
-	permitPause = 50 * time.Millisecond
-	// leastPermitPause keeps a target from being asked for by each request in turn.
-	leastPermitPause = 5 * time.Millisecond
-	// reportTime is for how long each report carries an update: three of the longest
+	// throttleTime is for how long a target gets nothing for which no permit came in time.
+	throttleTime = 50 * time.Millisecond
+	// minThrottleTime keeps a target from being asked for by each request in turn.
+	minThrottleTime = 5 * time.Millisecond
+	// updateRepeatTime is for how long each report carries an update: three of the longest
 	// intervals between two, as reports may be lost and replicas start anew.
-	reportTime = 6 * time.Second
-	// reportPause is the least time between two reports for the sake of limits. Asks for permits
+	updateRepeatTime = 6 * time.Second
+	// minReportInterval is the least time between two reports for the sake of limits. Asks for permits
 	// tell what is new besides.
-	reportPause = 250 * time.Millisecond
-	// maxReported bounds the targets in one report, of some 40 bytes each.
-	maxReported = 256
+	minReportInterval = 250 * time.Millisecond
+	// maxReportedTargets bounds the targets in one report, of some 40 bytes each.
+	maxReportedTargets = 256
 )
 
 // targetLimits is what a box knows of targets that name limits, and what it may send them.
 type targetLimits struct {
 	clock   *boottime.Clock
 	permits *permits
-	// named is how many targets name limits: while there are none, answers without a limit
+	// limited is how many targets name limits: while there are none, answers without a limit
 	// say nothing new.
-	named atomic.Int32
+	limited atomic.Int32
 
-	mu    sync.Mutex
-	known *targetstatus.Registry
-	alone *quota.Alone
+	mu       sync.Mutex
+	registry *targetstatus.Registry
+	fallback *quota.Alone
 	// pending are changes that answers to this box brought, by incarnation, with the times
 	// since which they are reported.
 	pending map[string]time.Time
@@ -62,34 +62,34 @@
 
 func newTargetLimits(box string, c *boottime.Clock) *targetLimits {
 	p := newPermits(c)
-	p.stock = quota.NewTargetStock()
-	l := &targetLimits{clock: c, permits: p, known: targetstatus.NewRegistry(), alone: quota.NewAlone(box), pending: make(map[string]time.Time)}
-	p.request = l.request
+	p.cache = quota.NewTargetStock()
+	l := &targetLimits{clock: c, permits: p, registry: targetstatus.NewRegistry(), fallback: quota.NewAlone(box), pending: make(map[string]time.Time)}
+	p.buildRequest = l.buildRequest
 	return l
 }
 
-// request is for permits; it carries what is known of the limits, as the replica
+// buildRequest is for permits; it carries what is known of the limits, as the replica
 // may have started since.
-func (l *targetLimits) request(asks []quota.Ask) *wire.PermitRequest {
+func (l *targetLimits) buildRequest(asks []quota.Ask) *wire.PermitRequest {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &wire.PermitRequest{}
 	for _, a := range asks {
-		known := targetstatus.Messages(now, l.known.Updates(a.Of))
+		known := targetstatus.Messages(now, l.registry.Updates(a.Of))
 		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: known[0], Further: known[1:], Count: uint32(a.Count)})
 	}
 	return r
 }
 
-// receive takes what an answer to this box says.
-func (l *targetLimits) receive(u targetstatus.Update) (c targetstatus.Change, changed bool) {
-	if !u.HasLimit() && !u.Leaving && l.named.Load() == 0 {
+// recordResponse takes what an answer to this box says.
+func (l *targetLimits) recordResponse(u targetstatus.Update) (c targetstatus.Change, changed bool) {
+	if !u.HasLimit() && !u.Leaving && l.limited.Load() == 0 {
 		return c, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, changed = l.take(u)
+	c, changed = l.apply(u)
 	if changed {
 		l.pending[u.Incarnation] = u.Received
 	}
@@ -100,8 +100,8 @@
 func (l *targetLimits) merge(u targetstatus.Update) (c targetstatus.Change, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, changed = l.take(u)
-	if l.known.Limit(u.Incarnation) != u.Limit || l.known.IsLeaving(u.Incarnation) && !u.Leaving {
+	c, changed = l.apply(u)
+	if l.registry.Limit(u.Incarnation) != u.Limit || l.registry.IsLeaving(u.Incarnation) && !u.Leaving {
 		l.pending[u.Incarnation] = l.clock.Now()
 	}
 	return c, changed
@@ -112,17 +112,17 @@
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.reportedAt) < reportPause {
+	if now.Sub(l.reportedAt) < minReportInterval {
 		return false
 	}
 	l.reportedAt = now
 	return true
 }
 
-func (l *targetLimits) take(u targetstatus.Update) (targetstatus.Change, bool) {
-	c, changed := l.known.Take(u)
+func (l *targetLimits) apply(u targetstatus.Update) (targetstatus.Change, bool) {
+	c, changed := l.registry.Take(u)
 	if changed {
-		l.named.Store(int32(l.known.Limited()))
+		l.limited.Store(int32(l.registry.Limited()))
 	}
 	return c, changed
 }
@@ -131,14 +131,14 @@
 func (l *targetLimits) limit(target string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Limit(target)
+	return l.registry.Limit(target)
 }
 
 // isLeaving reports whether a target reported that it leaves.
 func (l *targetLimits) isLeaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.IsLeaving(target)
+	return l.registry.IsLeaving(target)
 }
 
 func (l *targetLimits) hasLimit(target string) bool { return l.limit(target) < targetstatus.NoLimit }
@@ -148,14 +148,14 @@
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.pending, func(_ string, since time.Time) bool { return now.Sub(since) > reportTime })
+	maps.DeleteFunc(l.pending, func(_ string, since time.Time) bool { return now.Sub(since) > updateRepeatTime })
 	if len(l.pending) == 0 {
 		return nil
 	}
 	lives := slices.SortedFunc(maps.Keys(l.pending), func(a, b string) int { return l.pending[b].Compare(l.pending[a]) })
 	var out []*wire.TargetLimit
-	for _, life := range lives[:min(len(lives), maxReported)] {
-		out = append(out, targetstatus.Messages(now, l.known.Updates(life))...)
+	for _, life := range lives[:min(len(lives), maxReportedTargets)] {
+		out = append(out, targetstatus.Messages(now, l.registry.Updates(life))...)
 	}
 	return out
 }
@@ -163,32 +163,32 @@
 func (l *targetLimits) setBoxes(names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alone.SetBoxes(names)
+	l.fallback.SetBoxes(names)
 }
 
-// keep forgets targets whose lives are over.
-func (l *targetLimits) keep(now time.Time, lives func(life string) bool) {
-	l.permits.forget(now)
+// prune forgets targets whose lives are over.
+func (l *targetLimits) prune(now time.Time, lives func(life string) bool) {
+	l.permits.prune(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known.Keep(now, lives)
+	l.registry.Keep(now, lives)
 	maps.DeleteFunc(l.pending, func(life string, _ time.Time) bool { return !lives(life) })
-	l.alone.Keep(func(life string) bool { return l.known.HasLimit(life) })
-	l.named.Store(int32(l.known.Limited()))
+	l.fallback.Keep(func(life string) bool { return l.registry.HasLimit(life) })
+	l.limited.Store(int32(l.registry.Limited()))
 }
 
-// permit returns a permit to send a request to a target, for which it may wait. The error
+// acquirePermit returns a acquirePermit to send a request to a target, for which it may wait. The error
 // tells why there is none.
-func (l *targetLimits) permit(ctx context.Context, life string, wait time.Duration) (until time.Time, err error) {
+func (l *targetLimits) acquirePermit(ctx context.Context, life string, wait time.Duration) (until time.Time, err error) {
 	if wait <= 0 {
-		if until, ok := l.permits.takeNow(life); ok {
+		if until, ok := l.permits.tryAcquire(life); ok {
 			return until, nil
 		}
-		return until, errNoPermitInTime
+		return until, errPermitTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if until, err = l.permits.take(ctx, life); err == nil {
+	if until, err = l.permits.acquire(ctx, life); err == nil {
 		return until, nil
 	}
 	var over *quota.OverLimitError
@@ -197,51 +197,51 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until, ok := l.alone.Take(l.clock.Now(), life, l.known.Limit(life)); ok {
+	if until, ok := l.fallback.Take(l.clock.Now(), life, l.registry.Limit(life)); ok {
 		return until, nil
 	}
 	return time.Time{}, err
 }
 
-// pauseAfter is for how long a target gets nothing for which there was no permit.
-func pauseAfter(err error) time.Duration {
+// throttleTimeAfter is for how long a target gets nothing for which there was no permit.
+func throttleTimeAfter(err error) time.Duration {
 	var over *quota.OverLimitError
 	if errors.As(err, &over) {
-		return max(over.Room, leastPermitPause)
+		return max(over.Room, minThrottleTime)
 	}
-	return permitPause
+	return throttleTime
 }
 
-// chosen is a target that a request is to be sent to, and until when its permit may be
+// permittedChoice is a target that a request is to be sent to, and until when its permit may be
 // used; zero if it needs none.
-type chosen struct {
+type permittedChoice struct {
 	balance.Choice
-	permitEnds time.Time
+	permitExpiry time.Time
 }
 
-// choosePermitted chooses a target. A rate-limited one is skipped without a permit,
+// choosePermittedTarget chooses a target. A rate-limited one is skipped without a permit,
 // for which it waits no longer than a time.
-func (c *call) choosePermitted(ctx context.Context, wait time.Duration) (chosen, error) {
-	waitEnds := c.gateway.permitWaitEnds(wait)
+func (c *callerRequest) choosePermittedTarget(ctx context.Context, wait time.Duration) (permittedChoice, error) {
+	waitEnds := c.gateway.permitWaitDeadline(wait)
 	for {
-		wanted := c.wanted()
-		wanted.Unlimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
+		wanted := c.balanceRequest()
+		wanted.Unlimited = len(c.skippedLimited) >= maxSkippedFor(wanted)
 		choice, err := c.gateway.choose(wanted)
 		if err != nil || !choice.Limited {
-			return chosen{Choice: choice}, err
+			return permittedChoice{Choice: choice}, err
 		}
 		began := c.gateway.clock.Now()
-		until, err := c.gateway.targetLimits.permit(ctx, choice.Target.ID, waitEnds.Sub(began))
+		until, err := c.gateway.targetLimits.acquirePermit(ctx, choice.Target.ID, waitEnds.Sub(began))
 		c.targetPermitWait += c.gateway.clock.Since(began)
 		if err == nil {
 			c.gateway.metrics.targetPermits.Inc()
-			return chosen{choice, until}, nil
+			return permittedChoice{choice, until}, nil
 		}
-		c.skip(choice, err)
+		c.skipLimitedTarget(choice, err)
 	}
 }
 
-func maxSkippedOf(r balance.Request) int {
+func maxSkippedFor(r balance.Request) int {
 	if r.Key != "" {
 		return maxSkippedLimitedObject
 	}
@@ -249,33 +249,33 @@
 }
 
 // returnPermit gives a permit back with which nothing was sent.
-func (d *Daemon) returnPermit(choice chosen) {
-	if !choice.permitEnds.IsZero() {
-		d.targetLimits.permits.putBack(choice.Target.ID, choice.permitEnds)
+func (d *Daemon) returnPermit(choice permittedChoice) {
+	if !choice.permitExpiry.IsZero() {
+		d.targetLimits.permits.release(choice.Target.ID, choice.permitExpiry)
 	}
 }
 
-func (d *Daemon) permitWaitEnds(wait time.Duration) time.Time {
-	if d.targetLimits.named.Load() == 0 {
+func (d *Daemon) permitWaitDeadline(wait time.Duration) time.Time {
+	if d.targetLimits.limited.Load() == 0 {
 		return time.Time{} // the usual request needs no time
 	}
 	return d.clock.Now().Add(wait)
 }
 
-// skip takes a choice back for which there is no permit.
-func (c *call) skip(choice balance.Choice, cause error) {
+// skipLimitedTarget takes a choice back for which there is no permit.
+func (c *callerRequest) skipLimitedTarget(choice balance.Choice, cause error) {
 	d := c.gateway
 	d.metrics.skippedLimited.Inc()
 	c.skippedLimited = append(c.skippedLimited, choice.Target.ID)
-	c.skippedFor = cause
+	c.skipCause = cause
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	now := c.gateway.clock.Now()
-	d.balancing.balancer.ThrottleUntil(now, choice.Target.ID, now.Add(pauseAfter(cause)))
+	d.balancing.balancer.ThrottleUntil(now, choice.Target.ID, now.Add(throttleTimeAfter(cause)))
 }
 
-// takeUpdates takes what targets said to other boxes.
-func (d *Daemon) takeUpdates(list []*wire.TargetLimit) {
+// mergeUpdates takes what targets said to other boxes.
+func (d *Daemon) mergeUpdates(list []*wire.TargetLimit) {
 	now := d.clock.Now()
 	for _, m := range list {
 		if change, changed := d.targetLimits.merge(targetstatus.UpdateOf(now, m)); changed {
@@ -294,7 +294,7 @@
 		d.balancing.balancer.SetLeaving(d.clock.Now(), c.Incarnation)
 	}
 	d.balancing.Unlock()
-	d.metrics.targetLimits.Set(float64(d.targetLimits.named.Load()))
+	d.metrics.targetLimits.Set(float64(d.targetLimits.limited.Load()))
 	if c.LimitChanged() {
 		d.logLimit(c, request)
 	}
@@ -304,7 +304,7 @@
 }
 
 func (d *Daemon) logLimit(c targetstatus.Change, request string) {
-	if !d.otherLines.Take(d.clock.Now()) {
+	if !d.otherLineLimit.Take(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "targetLimit").Str("target", c.Incarnation)
@@ -323,7 +323,7 @@
 
 func (d *Daemon) logLeaving(c targetstatus.Change, request string) {
 	d.metrics.targetsLeaving.Inc()
-	if !d.otherLines.Take(d.clock.Now()) {
+	if !d.otherLineLimit.Take(d.clock.Now()) {
 		return
 	}
 	line := d.log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation)
--- a/internal/gateway/targetlimits_test.go
+++ b/internal/gateway/targetlimits_test.go
@@ -20,21 +20,21 @@
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				const limit = 5.6
-				s := newTargetScene(t, boxes, 4)
-				s.control.setOff(true, s.control.addresses()...)
-				s.load(80, 2*time.Second)
-				s.targets[0].name("5.6")
+				s := newTestCluster(t, boxes, 4)
+				s.control.setDown(true, s.control.addresses()...)
+				s.sendLoad(80, 2*time.Second)
+				s.targets[0].setLimit("5.6")
 				named := time.Now()
-				s.load(80, 12*time.Second)
-				s.settle()
-				if got := s.targets[0].most(named.Add(needWindow)); got > allowedInWindow(limit) {
-					t.Errorf("a target that names %v a second got %d requests in %s from boxes that it had told, allowed %d", limit, got, needWindow, allowedInWindow(limit))
+				s.sendLoad(80, 12*time.Second)
+				s.waitForResponses()
+				if got := s.targets[0].maxInWindow(named.Add(limitWindow)); got > allowedInWindow(limit) {
+					t.Errorf("a target that names %v a second got %d requests in %s from boxes that it had told, allowed %d", limit, got, limitWindow, allowedInWindow(limit))
 				}
-				if got := s.targets[0].between(named.Add(time.Second), time.Now()); float64(got) < 0.1*limit*11 {
+				if got := s.targets[0].countBetween(named.Add(time.Second), time.Now()); float64(got) < 0.1*limit*11 {
 					t.Errorf("got %d requests in 11 s, it could do more", got)
 				}
 				if s.refused > 0 {
-					t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.asked)
+					t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.sent)
 				}
 			})
 		})
@@ -48,39 +48,39 @@
 		for _, limit := range []float64{0, 1.5, 5.6, 9.6} {
 			t.Run(fmt.Sprint(boxes, " boxes, ", limit), func(t *testing.T) {
 				inVirtualTime(t, func(t *testing.T) {
-					s := newTargetScene(t, boxes, 4)
-					s.load(80, 2*time.Second)
-					s.targets[0].name(fmt.Sprint(limit))
+					s := newTestCluster(t, boxes, 4)
+					s.sendLoad(80, 2*time.Second)
+					s.targets[0].setLimit(fmt.Sprint(limit))
 					named := time.Now()
-					s.load(80, 4*time.Second)
+					s.sendLoad(80, 4*time.Second)
 					from := time.Now()
-					s.load(80, 10*time.Second)
-					used := float64(s.targets[0].between(from, time.Now())) / time.Since(from).Seconds()
-					s.settle()
-					if got := s.targets[0].most(named.Add(needWindow)); got > allowedInWindow(limit) {
-						t.Errorf("got %d requests in %s, allowed %d", got, needWindow, allowedInWindow(limit))
+					s.sendLoad(80, 10*time.Second)
+					used := float64(s.targets[0].countBetween(from, time.Now())) / time.Since(from).Seconds()
+					s.waitForResponses()
+					if got := s.targets[0].maxInWindow(named.Add(limitWindow)); got > allowedInWindow(limit) {
+						t.Errorf("got %d requests in %s, allowed %d", got, limitWindow, allowedInWindow(limit))
 					}
-					if got := s.targets[0].inSecond(from); float64(got) > 2*limit+needSlack {
+					if got := s.targets[0].maxPerSecond(from); float64(got) > 2*limit+limitSlack {
 						t.Errorf("got %d requests in a second with a limit of %v", got, limit)
 					}
 					if used < 0.9*limit {
 						t.Errorf("got %v requests a second of %v", used, limit)
 					}
 					if s.refused > 0 {
-						t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.asked)
+						t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.sent)
 					}
-					t.Logf("used %v of %v, %d asks, most %d of %d", used, limit, s.control.asked, s.targets[0].most(named.Add(needWindow)), allowedInWindow(limit))
+					t.Logf("used %v of %v, %d asks, most %d of %d", used, limit, s.control.calls, s.targets[0].maxInWindow(named.Add(limitWindow)), allowedInWindow(limit))
 				})
 			})
 		}
 	}
 }
 
-// wantWithin checks what a target got in each window that ends at from or later.
-func (s *targetScene) wantWithin(t *testing.T, target int, limit float64, from time.Time) {
+// wantWithinLimit checks what a target got in each window that ends at from or later.
+func (s *testCluster) wantWithinLimit(t *testing.T, target int, limit float64, from time.Time) {
 	t.Helper()
-	if got := s.targets[target].most(from); got > allowedInWindow(limit) {
-		t.Errorf("target %d, which names %v a second, got %d requests in %s, allowed %d", target, limit, got, needWindow, allowedInWindow(limit))
+	if got := s.targets[target].maxInWindow(from); got > allowedInWindow(limit) {
+		t.Errorf("target %d, which names %v a second, got %d requests in %s, allowed %d", target, limit, got, limitWindow, allowedInWindow(limit))
 	}
 }
 
@@ -90,25 +90,25 @@
 	for _, boxes := range []int{1, 9, 60} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newTargetScene(t, boxes, 4)
-				s.load(80, time.Second)
+				s := newTestCluster(t, boxes, 4)
+				s.sendLoad(80, time.Second)
 				for _, limit := range []float64{10, 2, 7} {
-					s.targets[0].name(fmt.Sprint(limit))
-					from := time.Now().Add(needWindow)
-					s.load(80, 10*time.Second)
-					used := float64(s.targets[0].between(from, time.Now())) / time.Since(from).Seconds()
+					s.targets[0].setLimit(fmt.Sprint(limit))
+					from := time.Now().Add(limitWindow)
+					s.sendLoad(80, 10*time.Second)
+					used := float64(s.targets[0].countBetween(from, time.Now())) / time.Since(from).Seconds()
 					if used < 0.9*limit || used > 1.1*limit {
 						t.Errorf("got %v requests a second of %v", used, limit)
 					}
 				}
-				s.targets[0].name("")
-				s.load(80, 2*time.Second)
+				s.targets[0].setLimit("")
+				s.sendLoad(80, 2*time.Second)
 				from := time.Now()
-				s.load(80, 4*time.Second)
-				if used := float64(s.targets[0].between(from, time.Now())) / 4; used < 15 {
+				s.sendLoad(80, 4*time.Second)
+				if used := float64(s.targets[0].countBetween(from, time.Now())) / 4; used < 15 {
 					t.Errorf("got %v requests a second after the limit was taken back, the others some 20", used)
 				}
-				s.settle()
+				s.waitForResponses()
 				if s.refused > 0 {
 					t.Errorf("%d requests were refused", s.refused)
 				}
@@ -124,31 +124,31 @@
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				const limit = 4.0
-				s := newTargetScene(t, boxes, 4)
-				s.load(80, time.Second)
+				s := newTestCluster(t, boxes, 4)
+				s.sendLoad(80, time.Second)
 				for _, target := range s.targets {
-					target.name(fmt.Sprint(limit))
+					target.setLimit(fmt.Sprint(limit))
 				}
-				from := time.Now().Add(needWindow)
-				s.load(80, needWindow)
+				from := time.Now().Add(limitWindow)
+				s.sendLoad(80, limitWindow)
 				s.mu.Lock()
-				clear(s.told)
+				clear(s.retryAfters)
 				s.mu.Unlock()
-				s.load(80, 10*time.Second)
+				s.sendLoad(80, 10*time.Second)
 				used, length := 0, time.Since(from).Seconds()
 				for i := range s.targets {
-					used += s.targets[i].between(from, time.Now())
-					s.wantWithin(t, i, limit, from)
+					used += s.targets[i].countBetween(from, time.Now())
+					s.wantWithinLimit(t, i, limit, from)
 				}
-				s.settle()
+				s.waitForResponses()
 				if perSecond := float64(used) / length; perSecond < 0.9*4*limit {
 					t.Errorf("the service got %v requests a second of %v", perSecond, 4*limit)
 				}
-				if len(s.told) < 300 {
-					t.Errorf("%d times to come back for some 640 refused callers", len(s.told))
+				if len(s.retryAfters) < 300 {
+					t.Errorf("%d times to come back for some 640 refused callers", len(s.retryAfters))
 				}
-				if s.slowest > 4*controlWay+targetPermitWait {
-					t.Errorf("a refusal took %s", s.slowest)
+				if s.slowestRefusal > 4*controlLatency+targetPermitWait {
+					t.Errorf("a refusal took %s", s.slowestRefusal)
 				}
 			})
 		})
@@ -160,29 +160,29 @@
 func TestLimitHoldsThroughRestarts(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		const limit = 5.6
-		s := newTargetScene(t, 9, 4)
-		s.load(80, time.Second)
-		s.targets[0].name(fmt.Sprint(limit))
-		from := time.Now().Add(needWindow)
+		s := newTestCluster(t, 9, 4)
+		s.sendLoad(80, time.Second)
+		s.targets[0].setLimit(fmt.Sprint(limit))
+		from := time.Now().Add(limitWindow)
 		all := s.control.addresses()
 		for i := range 24 {
-			s.load(80, time.Second)
+			s.sendLoad(80, time.Second)
 			name := all[i%len(all)]
 			switch i % 4 {
 			case 0:
-				s.control.setOff(true, name)
+				s.control.setDown(true, name)
 			case 1:
-				s.control.setOff(true, all...)
+				s.control.setDown(true, all...)
 			case 2:
 				s.control.mu.Lock()
 				s.control.start(name, all)
 				s.control.mu.Unlock()
 			case 3:
-				s.control.setOff(false, all...)
+				s.control.setDown(false, all...)
 			}
 		}
-		s.settle()
-		s.wantWithin(t, 0, limit, from)
+		s.waitForResponses()
+		s.wantWithinLimit(t, 0, limit, from)
 		if s.refused > 0 {
 			t.Errorf("%d requests were refused, the other targets have room for all", s.refused)
 		}
@@ -194,17 +194,17 @@
 func TestLimitHoldsWhileSingleBoxesAreSuspended(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		const limit = 9.6
-		s := newTargetScene(t, 9, 4)
-		s.load(80, time.Second)
-		s.targets[0].name(fmt.Sprint(limit))
-		from := time.Now().Add(needWindow)
+		s := newTestCluster(t, 9, 4)
+		s.sendLoad(80, time.Second)
+		s.targets[0].setLimit(fmt.Sprint(limit))
+		from := time.Now().Add(limitWindow)
 		for i := range 40 {
-			s.load(80, 350*time.Millisecond)
-			s.asleep[i%3].Add(int64(2 * time.Second))
+			s.sendLoad(80, 350*time.Millisecond)
+			s.suspended[i%3].Add(int64(2 * time.Second))
 		}
-		used := float64(s.targets[0].between(from, time.Now())) / time.Since(from).Seconds()
-		s.settle()
-		s.wantWithin(t, 0, limit, from)
+		used := float64(s.targets[0].countBetween(from, time.Now())) / time.Since(from).Seconds()
+		s.waitForResponses()
+		s.wantWithinLimit(t, 0, limit, from)
 		if used < 0.9*limit {
 			t.Errorf("got %v requests a second of %v", used, limit)
 		}
@@ -220,7 +220,7 @@
 // once it names no limit: they have one home each time.
 func TestObjectsOfALimitedTargetHaveASecondHome(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 8)
+		s := newTestCluster(t, 1, 8)
 		homes := func() map[string]string {
 			out := make(map[string]string)
 			for i := range 40 {
@@ -230,7 +230,7 @@
 					t.Fatal(err)
 				}
 				out[key] = choice.Target.ID
-				s.boxes[0].done(balance.Report{TargetID: choice.Target.ID, Route: "r", Outcome: balance.Answered, Took: time.Millisecond})
+				s.boxes[0].recordOutcome(balance.Report{TargetID: choice.Target.ID, Route: "r", Outcome: balance.Answered, Took: time.Millisecond})
 			}
 			return out
 		}
@@ -256,23 +256,23 @@
 // another rate-limited one.
 func TestObjectIsKeptFromItsHomeAlone(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 4)
+		s := newTestCluster(t, 1, 4)
 		d := s.boxes[0]
 		now := d.clock.Now()
 		for i := range s.targets {
 			word := targetstatus.Update{Incarnation: fmt.Sprint("t", i), Limit: 1, Sent: now, Received: now}
-			if c, changed := d.targetLimits.receive(word); changed {
+			if c, changed := d.targetLimits.recordResponse(word); changed {
 				d.applyChange(c, "")
 			}
 		}
-		s.ask(d, 1)
+		s.send(d, 1)
 		if passed := s.skippedLimited(t); passed != 1 || s.refused != 1 {
 			t.Errorf("%v targets were passed over, %d requests refused", passed, s.refused)
 		}
 	})
 }
 
-func (s *targetScene) skippedLimited(t *testing.T) float64 {
+func (s *testCluster) skippedLimited(t *testing.T) float64 {
 	t.Helper()
 	m := &dto.Metric{}
 	if err := s.boxes[0].metrics.skippedLimited.Write(m); err != nil {
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -12,13 +12,13 @@
 // errWithdrawn says why a request was not sent to the target that was chosen for it.
 var errWithdrawn = errors.New("not sent: after it was chosen the target asked for a back-off, drained, left or was evacuated")
 
-// observe takes what an answer says of its target as soon as its head has come, whatever
+// recordTargetStatus takes what an answer says of its target as soon as its head has come, whatever
 // becomes of the body and the request.
-func (a *attempt) observe(response *http.Response) targetstatus.Status {
+func (a *attempt) recordTargetStatus(response *http.Response) targetstatus.Status {
 	d := a.gateway
 	status := d.config.Protocol.Status.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
 	if len(status.Unread) > 0 {
-		d.logUnread(a, status.Unread)
+		d.logUnparsedHeaders(a, status.Unread)
 	}
 	if status.ColdLeft > 0 {
 		d.setColdLeft(a.target.ID, status.ColdLeft)
@@ -27,20 +27,20 @@
 		d.backOff(a, status)
 	}
 	if status.ReportsLimit() || status.Leaving {
-		d.share(a, status)
+		d.shareTargetStatus(a, status)
 	}
 	return status
 }
 
-// share takes what an answer says to all boxes, and has them told if that is new.
-func (d *Daemon) share(a *attempt, status targetstatus.Status) {
-	change, changed := d.targetLimits.receive(status.Update(a.target.ID, a.began, d.clock.Now()))
+// shareTargetStatus takes what an answer says to all boxes, and has them told if that is new.
+func (d *Daemon) shareTargetStatus(a *attempt, status targetstatus.Status) {
+	change, changed := d.targetLimits.recordResponse(status.Update(a.target.ID, a.chosenAt, d.clock.Now()))
 	if !changed {
 		return
 	}
-	d.applyChange(change, a.id)
+	d.applyChange(change, a.requestID)
 	if d.targetLimits.allowReport() {
-		d.reportsChanged()
+		d.triggerReport()
 	}
 }
 
@@ -54,9 +54,9 @@
 		return
 	}
 	d.metrics.backOffs.Inc()
-	if d.otherLines.Take(now) {
+	if d.otherLineLimit.Take(now) {
 		d.log.Warn().Str("kind", "backOff").Str("target", a.target.ID).Str("targetZone", a.target.Zone).
-			Str("request", a.id).Dur("retryAfter", status.BackOff).Msg("target asked for a back-off")
+			Str("request", a.requestID).Dur("retryAfter", status.BackOff).Msg("target asked for a back-off")
 	}
 }
 
@@ -67,31 +67,31 @@
 	return d.balancing.balancer.CanSend(d.clock.Now(), target)
 }
 
-// reportBackOffs logs the back-offs that have ended.
-func (d *Daemon) reportBackOffs() {
+// logEndedBackOffs logs the back-offs that have ended.
+func (d *Daemon) logEndedBackOffs() {
 	now := d.clock.Now()
 	d.balancing.Lock()
 	ended := d.balancing.balancer.EndedBackOffs(now)
 	d.balancing.Unlock()
 	for _, e := range ended {
 		d.metrics.backOffSkips.Add(float64(e.Skipped))
-		if d.otherLines.Take(now) {
+		if d.otherLineLimit.Take(now) {
 			d.log.Info().Str("kind", "backOff").Str("target", e.TargetID).Int("skipped", e.Skipped).Msg("back-off ended")
 		}
 	}
 }
 
-// backedOff returns how many targets this box sends nothing at their request.
-func (d *Daemon) backedOff() float64 {
+// backedOffTargets returns how many targets this box sends nothing at their request.
+func (d *Daemon) backedOffTargets() float64 {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return float64(d.balancing.balancer.BackedOff(d.clock.Now()))
 }
 
-// logUnread logs headers of a target that could not be read; the answer counts as without.
-func (d *Daemon) logUnread(a *attempt, headers []string) {
-	if d.otherLines.Take(d.clock.Now()) {
-		d.log.Warn().Str("kind", "unreadHeaders").Str("target", a.target.ID).Str("request", a.id).Strs("headers", headers).
+// logUnparsedHeaders logs headers of a target that could not be read; the answer counts as without.
+func (d *Daemon) logUnparsedHeaders(a *attempt, headers []string) {
+	if d.otherLineLimit.Take(d.clock.Now()) {
+		d.log.Warn().Str("kind", "unreadHeaders").Str("target", a.target.ID).Str("request", a.requestID).Strs("headers", headers).
 			Msg("headers of a target can't be read")
 	}
 }
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newTargetScene(t, 1, 2)
+				s := newTestCluster(t, 1, 2)
 				d := s.boxes[0]
 				dial := d.connections.dial
 				d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -43,8 +43,8 @@
 					return dial(ctx, network, address)
 				}
 				for range 4 {
-					s.asked++
-					go s.ask(d, s.asked)
+					s.sent++
+					go s.send(d, s.sent)
 				}
 				time.Sleep(100 * time.Millisecond)
 				d.balancing.Lock()
@@ -52,7 +52,7 @@
 				d.balancing.Unlock()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				if got := s.targets[0].between(time.Time{}, time.Now()); got > 0 {
+				if got := s.targets[0].countBetween(time.Time{}, time.Now()); got > 0 {
 					t.Errorf("%d requests were sent to the closed target", got)
 				}
 				if s.served != c.served {
@@ -67,16 +67,16 @@
 // targets of one state come into force one after the other.
 func TestRequestLineTellsTheVersionOfItsTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
+		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
 		s.scripts = scripts(s.answers(0, "a"), s.answers(0, "a"), s.answers(0, "a"))
-		evacuated, _ := s.daemon.steered.ApplyEvacuation(&wire.EvacuationCommand{Zone: "y"})
-		for i, c := range []catalog.State{*s.daemon.steered, evacuated, evacuated} {
+		evacuated, _ := s.daemon.lastState.ApplyEvacuation(&wire.EvacuationCommand{Zone: "y"})
+		for i, c := range []catalog.State{*s.daemon.lastState, evacuated, evacuated} {
 			version := uint64(i + 2)
-			s.daemon.putTargets(c, version)
+			s.daemon.applyTargets(c, version)
 			lines.Reset()
-			s.ask(t.Context(), "/long/", "")
+			s.send(t.Context(), "/long/", "")
 			if want := fmt.Sprintf(`"targetsVersion":%d,`, version); !strings.Contains(lines.String(), want) {
 				t.Errorf("no %s in %s", want, lines.String())
 			}
--- a/internal/gateway/identity_test.go
+++ b/internal/gateway/workspace_test.go
@@ -34,24 +34,24 @@
 	return d, err
 }
 
-// keyedProtocol has headers for keys beside those of the other tests.
-func keyedProtocol() Protocol {
+// workspaceProtocol has headers for keys beside those of the other tests.
+func workspaceProtocol() Protocol {
 	p := testProtocol()
 	p.WorkspaceKey = "Test-Secret"
 	p.Workspace = "Test-Workspace"
 	return p
 }
 
-// keyedBox is a box with one target, which tells the headers that it gets.
-func keyedBox(t *testing.T) (ask func(path string, header http.Header) *http.Response, seen chan http.Header, d *Daemon) {
+// newWorkspaceBox is a box with one target, which tells the headers that it gets.
+func newWorkspaceBox(t *testing.T) (ask func(path string, header http.Header) *http.Response, seen chan http.Header, d *Daemon) {
 	t.Helper()
 	seen = make(chan http.Header, 16)
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		seen <- r.Header
-		return served(n, r, c)
+		return respondHello(n, r, c)
 	})
 	config := testConfig()
-	config.Protocol = keyedProtocol()
+	config.Protocol = workspaceProtocol()
 	config.DecodeRoutes = workspaceRoutes
 	d = newDaemon(t, config, s.listener.Addr().String())
 	g := serveDaemon(t, d)
@@ -75,7 +75,7 @@
 }
 
 func TestTargetGetsTheWorkspaceAndNotTheKey(t *testing.T) {
-	ask, seen, _ := keyedBox(t)
+	ask, seen, _ := newWorkspaceBox(t)
 	for _, c := range []struct {
 		name, path string
 		header     http.Header
@@ -103,7 +103,7 @@
 }
 
 func TestRequestWithoutAKnownKeyIsDenied(t *testing.T) {
-	ask, seen, d := keyedBox(t)
+	ask, seen, d := newWorkspaceBox(t)
 	headers := map[string]http.Header{
 		"none": {}, "unknown": {"Test-Secret": {"who"}}, "empty": {"Test-Secret": {""}}, "two": {"Test-Secret": {"key-n1", "key-n1"}},
 		"shown": {"Test-Secret": {catalog.RedactedKey}},
@@ -114,7 +114,7 @@
 		}
 	}
 	// Without word of control the key may have been added.
-	d.controlAge = func() time.Duration { return staleAfter + 1 }
+	d.controlAge = func() time.Duration { return maxControlAge + 1 }
 	for name, h := range headers {
 		if response := ask("/safe/", h); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 			t.Errorf("%s, old word of control: status %d", name, response.StatusCode)
@@ -126,7 +126,7 @@
 }
 
 func TestRegionsOfWorkspaceAndRouteBothBind(t *testing.T) {
-	ask, seen, _ := keyedBox(t)
+	ask, seen, _ := newWorkspaceBox(t)
 	south := http.Header{"Test-Secret": {"key-s"}}
 	for _, path := range []string{"/safe/", "/there/"} {
 		if response := ask(path, south); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
@@ -139,7 +139,7 @@
 }
 
 func TestKeysStandInNoLog(t *testing.T) {
-	ask, _, d := keyedBox(t)
+	ask, _, d := newWorkspaceBox(t)
 	var lines bytes.Buffer
 	d.log = zerolog.New(&lines)
 	for _, key := range []string{"key-n1", "secret-unknown"} {
