--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -182,12 +182,12 @@
 func (c *callerRequest) recordEvidenceAfterStream(e attemptEnd) {
 	finish := e.out.finish
 	e.out.finish = func(whole bool) {
-		wanted := c.request.Context().Err() == nil && e.ctx.Err() == nil
+		stillWanted := c.request.Context().Err() == nil && e.ctx.Err() == nil
 		finish(whole)
 		switch {
 		case whole:
 			c.recordCompleteResponse()
-		case wanted:
+		case stillWanted:
 			c.recordBrokenConnection(e)
 		}
 	}
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -16,34 +16,33 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt: two of the longest round trips
-	// between regions (70 ms) and the target's handshake, with room for one
-	// lost packet on the shorter ways.
+	// dialTimeout bounds a connection attempt: two of the longest round trips between regions (70
+	// ms) and the target's handshake, with room for one lost packet on the shorter paths.
 	dialTimeout = 300 * time.Millisecond
-	// defaultKeepAlive is how long a connection is kept whose target does not tell
-	// when it closes idle ones.
+	// defaultKeepAlive is how long a connection is kept if its target declares no keep-alive
+	// timeout.
 	defaultKeepAlive = 3 * time.Second
-	// idleFraction is the part of the time told by the target for which an idle
-	// connection is used, so that it does not close while a request is sent.
+	// idleFraction is the fraction of the target's keep-alive timeout for which an idle connection
+	// is used, so that the target does not close it while a request is sent.
 	idleFraction = 0.7
-	// maxIdlePerTarget bounds the idle connections to one target: its slots are few.
+	// maxIdlePerTarget bounds the idle connections to one target: a target has few slots.
 	maxIdlePerTarget = 16
-	// readBuffer holds a usual answer's header.
+	// readBuffer holds a typical response header.
 	readBuffer = 2 << 10
 )
 
-// connection is one connection to a target. One request at a time uses it.
+// connection is a connection to a target. One request at a time uses it.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
 	// used tells that a request was sent on it before.
 	used bool
-	// outOfSync tells that something came on it that belongs to no request.
+	// outOfSync tells that a response to another request was read from it.
 	outOfSync bool
 	idleUntil time.Time
 }
 
-// connectionPool keeps idle connectionPool by target.
+// connectionPool keeps idle connections by target.
 type connectionPool struct {
 	dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	clock  *boottime.Clock
@@ -58,7 +57,7 @@
 	return &connectionPool{idle: make(map[string][]*connection), onOpen: opened, dial: dialer.DialContext}
 }
 
-// get returns an idle connection that is still sound, or a new one.
+// get returns an idle connection that is still reusable, or a new one.
 func (p *connectionPool) get(ctx context.Context, target, address string) (*connection, error) {
 	for {
 		c := p.pop(target)
@@ -68,7 +67,7 @@
 		if p.clock.Now().Before(c.idleUntil) && isReusable(c.Conn) {
 			return c, nil
 		}
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request is in flight on it
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -92,7 +91,7 @@
 	return c
 }
 
-// put keeps a connection on which nothing is under way.
+// put returns a connection without a request in flight to the pool.
 func (p *connectionPool) put(target string, c *connection, idle time.Duration) {
 	c.used = true
 	c.idleUntil = p.clock.Now().Add(time.Duration(float64(idle) * idleFraction))
@@ -105,15 +104,15 @@
 	p.idle[target] = append(p.idle[target], c)
 }
 
-// closeExpired closes connections that have been idle for too long and those of
-// targets that are gone.
-func (p *connectionPool) closeExpired(now time.Time, known func(target string) bool) {
+// closeExpired closes connections that have been idle for too long and those of targets that are no
+// longer registered.
+func (p *connectionPool) closeExpired(now time.Time, registered func(target string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if known(target) && now.Before(c.idleUntil) {
+			if registered(target) && now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
@@ -134,9 +133,8 @@
 	p.closed = true
 }
 
-// isReusable reports whether a connection is open and nothing has come on it: a
-// target that has closed it, or sent something that nobody asked for, must not
-// get another request on it.
+// isReusable reports whether a connection is open and has no unread data: a target that has closed
+// it, or sent data without a request, must not get another request on it.
 func isReusable(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -156,8 +154,7 @@
 	return err == nil && quiet
 }
 
-// keepAliveTimeout reads how long a target keeps idle connections from its Keep-Alive
-// header.
+// keepAliveTimeout parses the timeout that a target declares in its Keep-Alive header.
 func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/gateway/controlreplicas.go
+++ b/internal/gateway/controlreplicas.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// membershipInterval is how often a replica is asked for the others.
+	// membershipInterval is how often a replica is asked for the membership.
 	membershipInterval = time.Second
 	// controlCallTimeout bounds a call to a replica.
 	controlCallTimeout = 600 * time.Millisecond
 )
 
-// replicas are the control replicas as far as they are known: those that were
-// named at the start, and those that these know.
+// replicas are the known control replicas: the configured seeds and the members that those
+// reported.
 type replicas struct {
 	mu      sync.Mutex
 	seeds   []string
@@ -28,13 +28,13 @@
 
 func newReplicas(seeds []string) *replicas { return &replicas{seeds: slices.Clone(seeds)} }
 
-// reachability are the processes that did not answer when they were asked last.
+// reachability tracks which processes did not answer the last call.
 type reachability struct {
 	mu          sync.Mutex
 	unreachable map[string]bool
 }
 
-// record takes whether a process answered and reports whether that is news.
+// record records whether a process answered and reports whether that is a change.
 func (s *reachability) record(address string, answered bool) (news bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +63,8 @@
 	return out
 }
 
-// membersOrSeeds returns the peer addresses of the members, or of those named at the start while
-// the members are not known.
+// membersOrSeeds returns the peer addresses of the members, or of the seeds while the members are
+// unknown.
 func (c *replicas) membersOrSeeds() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	return true
 }
 
-// next returns the replica to ask next, one after the other.
+// next returns the replica to ask next, in round-robin order.
 func (c *replicas) next() (string, bool) {
 	all := c.all()
 	if len(all) == 0 {
@@ -107,7 +107,8 @@
 	return all[c.cursor%len(all)], true
 }
 
-// sources returns the replicas to follow, best first, spread over the boxes.
+// sources returns the replicas to follow, best first. The ranking spreads the boxes over the
+// replicas.
 func (d *Daemon) sources() []distribution.Source {
 	all := d.controlReplicas.all()
 	slices.SortFunc(all, func(a, b string) int { return distribution.CompareRank(d.config.Name, a, b) })
@@ -118,7 +119,7 @@
 	return out
 }
 
-// refreshMembership asks the replicas for the membership, one after the other.
+// refreshMembership asks the replicas for the membership, in round-robin order.
 func (d *Daemon) refreshMembership(ctx context.Context) error {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
@@ -147,19 +148,19 @@
 	if answer.GetHello().GetLeader() == "" || !d.controlReplicas.setMembers(answer.Hello.Membership) {
 		return
 	}
-	d.log.Info().Str("kind", "controls").Strs("addresses", d.controlReplicas.all()).Str("from", address).Msg("knows the control replicas")
+	d.log.Info().Str("kind", "controls").Strs("addresses", d.controlReplicas.all()).Str("from", address).Msg("control replicas updated")
 	d.follower.SourcesChanged()
 	d.triggerReport()
 }
 
-// recordControlCall tells that a control replica was lost or is back.
+// recordControlCall logs that a control replica became unreachable or reachable again.
 func (d *Daemon) recordControlCall(address string, err error) {
 	if !d.controlReachability.record(address, err == nil) {
 		return
 	}
 	if err != nil {
-		d.log.Warn().Str("kind", "control").Str("address", address).Err(err).Msg("a control replica does not answer")
+		d.log.Warn().Str("kind", "control").Str("address", address).Err(err).Msg("control replica is unreachable")
 		return
 	}
-	d.log.Info().Str("kind", "control").Str("address", address).Msg("a control replica answers again")
+	d.log.Info().Str("kind", "control").Str("address", address).Msg("control replica is reachable again")
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -24,12 +24,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// routing is the document of routes that the box goes by.
+// routing is the active routes document with the tables built from it.
 type routing struct {
 	document catalog.Document
 	table    *catalog.Table
 	keys     *catalog.KeyTable
-	// version is that of the replicated state.
+	// version is the version of the replicated state.
 	version uint64
 }
 
@@ -43,7 +43,7 @@
 	started   time.Time
 	node      *link.Node
 	follower  *relay.Following
-	// controlAge is how long ago control was last heard of.
+	// controlAge returns the time since the last contact with control.
 	controlAge      func() time.Duration
 	controlReplicas *replicas
 	connections     *connectionPool
@@ -51,10 +51,11 @@
 	linkQueue       *linkQueue
 	permits         *permits
 	permitStreams   *permitStreams
-	// targetLimits are about targets that name limits.
+	// targetLimits tracks rate-limited targets.
 	targetLimits *targetLimits
 	isolation    *isolation.Isolation
-	// controlReachability and permitWord tell which replicas take reports and issue permits.
+	// controlReachability and permitReachability track which replicas take reports and which issue
+	// permits.
 	controlReachability reachability
 	permitReachability  reachability
 	metrics             *metrics
@@ -64,16 +65,16 @@
 	readyListener       net.Listener
 	metricsListener     net.Listener
 
-	// reportDue holds a token when the replicas must be told of this box at once.
+	// reportDue holds a token when the replicas must get a report at once.
 	reportDue chan struct{}
 
 	routing atomic.Pointer[routing]
-	// lastState is the last state, whose targets are in force; only putInForce uses it.
+	// lastState is the last state that was applied; only applyState uses it.
 	lastState *catalog.State
 	stopping  atomic.Bool
 	inFlight  atomic.Int64
 
-	// balancing guards what requests decide by.
+	// balancing guards the state by which targets are chosen.
 	balancing struct {
 		sync.Mutex
 		balancer     *balance.Balancer
@@ -83,12 +84,11 @@
 	}
 }
 
-// maxControlAge is how old the word of control may be before another replica is
-// followed: replicas tell it each second, and a target's drain must reach all
-// boxes within 2 s.
+// maxControlAge is the time without contact with control after which another replica is followed.
+// Replicas send an update each second, and a target's drain must reach all boxes within 2 s.
 const maxControlAge = 1600 * time.Millisecond
 
-// Open listens. Run must follow.
+// Open listens on the configured addresses. Run must follow.
 func Open(c Config, log io.Writer) (*Daemon, error) {
 	lines := process.NewLogWriter(log)
 	p, err := process.New(c.Name, lines, c.LogLevel, "")
@@ -133,7 +133,7 @@
 	d.isolation = d.newIsolation()
 	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
+	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // writing to a hash never fails
 	d.follower = relay.NewFollowing(relay.Subscriber{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
@@ -154,8 +154,8 @@
 	return d, d.listen()
 }
 
-// recordEvent keeps an event in the time line. What comes into force has its own
-// line in the log, one for many commands; other events are logged as they are.
+// recordEvent adds an event to the timeline. States that are applied have log lines of their own,
+// one for many commands; other events are logged here.
 func (d *Daemon) recordEvent(e *wire.TimelineEvent) {
 	if e.Kind == relay.EventInForce {
 		d.process.Event(e)
@@ -186,14 +186,14 @@
 
 const (
 	sweepInterval = time.Second
-	// droppedLinesInterval is how often left out log lines are told of.
+	// droppedLinesInterval is how often the number of dropped log lines is logged.
 	droppedLinesInterval = 5 * time.Second
 )
 
-// Run serves until the context ends, then stops as planned.
+// Run serves until the context ends, then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.log.Info().Str("kind", "start").Str("zone", d.config.Zone).Str("region", d.config.Region).
-		Str("incarnation", d.process.Incarnation).Strs("seeds", d.config.Seeds).Msg("entry box starts")
+		Str("incarnation", d.process.Incarnation).Strs("seeds", d.config.Seeds).Msg("entry box starting")
 	logging, stopLogging := context.WithCancel(context.Background())
 	logged := make(chan error, 1)
 	go func() { logged <- d.logWriter.Run(logging) }()
@@ -217,7 +217,7 @@
 	d.connections.close()
 	d.permitStreams.close()
 	err = errors.CombineErrors(err, d.node.Close())
-	d.log.Info().Str("kind", "stop").Int64("inFlight", d.inFlight.Load()).Msg("entry box stops")
+	d.log.Info().Str("kind", "stop").Int64("inFlight", d.inFlight.Load()).Msg("entry box stopped")
 	stopLogging()
 	<-logged
 	return errors.CombineErrors(err, d.process.Close())
@@ -246,7 +246,8 @@
 // isReady reports whether the box can serve callers.
 func (d *Daemon) isReady() bool { return d.routing.Load() != nil && !d.stopping.Load() }
 
-// sweep closes connections that have rested too long, on both sides.
+// sweep closes connections that have been idle for too long, to callers and to targets, and drops
+// expired entries.
 func (d *Daemon) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -269,13 +270,13 @@
 	}
 }
 
-// CallerAddress is where the box listens for callers.
+// CallerAddress returns the address on which the box listens for callers.
 func (d *Daemon) CallerAddress() string { return d.callerServer.listener.Addr().String() }
 
 // Log returns the log of the process.
 func (d *Daemon) Log() zerolog.Logger { return d.log }
 
-// SetSeeds replaces the control replicas that were named at the start.
+// SetSeeds replaces the control replicas that were configured at the start.
 func (d *Daemon) SetSeeds(seeds []string) {
 	d.controlReplicas.setSeeds(seeds)
 	d.follower.SourcesChanged()
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -178,8 +178,8 @@
 }
 
 func (a *attempt) exchange(c *connection) (*targetResponse, error) {
-	words := targetHeaders{target: a.target.Name, workspace: a.workspace, timeout: a.gateway.clock.Until(a.deadline), bodyLength: a.body.length}
-	sent := a.body.send(c, a.gateway.config.Protocol.requestHead(a.request, words))
+	headers := targetHeaders{target: a.target.Name, workspace: a.workspace, timeout: a.gateway.clock.Until(a.deadline), bodyLength: a.body.length}
+	sent := a.body.send(c, a.gateway.config.Protocol.requestHead(a.request, headers))
 	for range maxStaleResponses {
 		response, err := readFinalResponse(c, a.request)
 		if err != nil {
--- a/internal/gateway/head.go
+++ b/internal/gateway/head.go
@@ -58,7 +58,7 @@
 }
 
 // requestHead returns the request line and headers that are sent to a target.
-func (p Protocol) requestHead(r *http.Request, words targetHeaders) []byte {
+func (p Protocol) requestHead(r *http.Request, headers targetHeaders) []byte {
 	const usualHead = 512
 	out := make([]byte, 0, usualHead)
 	out = append(out, r.Method...)
@@ -75,16 +75,16 @@
 			out = appendLine(out, name, v)
 		}
 	}
-	out = appendLine(out, p.Deadline, strconv.FormatInt(max(words.timeout.Milliseconds(), 1), 10))
-	out = appendLine(out, p.ExpectTarget, words.target)
-	if words.workspace != "" {
-		out = appendLine(out, p.Workspace, words.workspace)
+	out = appendLine(out, p.Deadline, strconv.FormatInt(max(headers.timeout.Milliseconds(), 1), 10))
+	out = appendLine(out, p.ExpectTarget, headers.target)
+	if headers.workspace != "" {
+		out = appendLine(out, p.Workspace, headers.workspace)
 	}
 	switch {
-	case words.bodyLength < 0:
+	case headers.bodyLength < 0:
 		out = appendLine(out, "Transfer-Encoding", "chunked")
-	case words.bodyLength > 0 || r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0:
-		out = appendLine(out, "Content-Length", strconv.FormatInt(words.bodyLength, 10))
+	case headers.bodyLength > 0 || r.Header.Get("Content-Length") != "" || len(r.TransferEncoding) > 0:
+		out = appendLine(out, "Content-Length", strconv.FormatInt(headers.bodyLength, 10))
 	}
 	return append(out, "\r\n"...)
 }
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -211,7 +211,7 @@
 // cancelPending cancels the pending attempts and waits for them, so that each is reported and none
 // outlives the response.
 func (c *callerRequest) cancelPending() {
-	won := c.lastAttempt
+	final := c.lastAttempt
 	for _, u := range c.pending {
 		u.cancel(errOtherResponded)
 	}
@@ -222,5 +222,5 @@
 			e.out.discard()
 		}
 	}
-	c.lastAttempt = won
+	c.lastAttempt = final
 }
--- a/internal/gateway/linkqueue.go
+++ b/internal/gateway/linkqueue.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// minLargeResponse is the size from which an answer counts as one that fills a
-	// narrow link: 0.1 s of the narrowest link of the users (2.6 Mbit/s).
+	// minLargeResponse is the size from which a response counts as large: 0.1 s of the narrowest
+	// link of the users (2.6 Mbit/s).
 	minLargeResponse = 32 << 10
-	// maxQueueShare is the part of a route's objective for which a long answer
-	// may wait for the link: the rest is what a target that knows the object and the
-	// way over the link take.
+	// maxQueueShare is the fraction of a route's objective for which a large response may wait for
+	// the link. The rest is needed by a target that has the object cached and by the transfer
+	// itself.
 	maxQueueShare = 0.25
-	// sizeSmoothing is the weight of one answer in the mean size of a route's.
+	// sizeSmoothing is the weight of one response in the exponential moving average of a route's
+	// sizes.
 	sizeSmoothing = 0.1
 	// assumedDownloadSize is the size, in bytes, of a download until one was measured: 0.2 s of the
-	// narrowest link of the users. A box that starts while callers come back would else
-	// let in downloads that fill its link for seconds, and hear nothing of control.
+	// narrowest link of the users. Without it a box that starts while callers come back would admit
+	// downloads that fill its link for seconds, and lose contact with control.
 	assumedDownloadSize = 64 << 10
 )
 
-// linkQueue bounds the long answers that are asked for to what the link
-// carries, so that neither they nor short answers wait for it too long. It
-// reckons with the mean size of a route's answers.
+// linkQueue admits only as many large responses as the link can carry, so that neither they nor
+// small responses wait for the link too long. It estimates the size of a response by the mean size
+// of its route's responses.
 type linkQueue struct {
 	timePerByte time.Duration
 	mu          sync.Mutex
@@ -31,14 +32,14 @@
 	sizes       map[string]responseSize
 }
 
-// responseSize is the mean size of a route's answers in bytes, assumed until one was measured.
+// responseSize is the mean size of a route's responses in bytes, assumed until one was measured.
 type responseSize struct {
 	mean    float64
 	assumed bool
 }
 
-// newLinkQueue returns a queue for a link of a number of bytes a second; zero
-// for a link without a bound.
+// newLinkQueue returns a queue for a link of linkBytes bytes per second; zero means an unlimited
+// link.
 func newLinkQueue(linkBytes float64) *linkQueue {
 	q := &linkQueue{sizes: make(map[string]responseSize)}
 	if linkBytes > 0 {
@@ -47,15 +48,15 @@
 	return q
 }
 
-// reservation is what was booked on the link for one answer.
+// reservation is the link capacity reserved for one response.
 type reservation struct {
 	queue   *linkQueue
 	bytes   int64
 	settled bool
 }
 
-// admit books a request's answer on the link; settle must follow. If the answer
-// would wait for longer than the objective allows, it returns when there may be room.
+// admit reserves link capacity for a request's response; settle must follow. If the response would
+// wait for longer than the objective allows, it returns when there may be capacity.
 func (q *linkQueue) admit(now time.Time, route string, objective time.Duration) (b *reservation, wait time.Duration, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -76,9 +77,9 @@
 	return b, 0, true
 }
 
-// settle puts the size of the answer, zero if none came, in the place of what was
-// booked: of downloads whose sizes spread by 0.6 more would be let in than the link
-// carries: the slowest takes 6.7 s then, 4.1 s so. Only the first call counts.
+// settle replaces the reserved size by the actual size of the response, zero if there was none.
+// Without this, downloads whose sizes vary by a factor with a standard deviation of 0.6 overload
+// the link: the slowest takes 6.7 s instead of 4.1 s. Only the first call counts.
 func (b *reservation) settle(now time.Time, size int64) {
 	q := b.queue
 	q.mu.Lock()
@@ -96,19 +97,19 @@
 	q.nextFree = q.nextFree.Add(time.Duration(size-b.bytes) * q.timePerByte)
 }
 
-// recordSize takes the size of an answer.
+// recordSize records the size of a response.
 func (q *linkQueue) recordSize(route string, size int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	known, ok := q.sizes[route]
-	if !ok || known.assumed {
+	previous, ok := q.sizes[route]
+	if !ok || previous.assumed {
 		q.sizes[route] = responseSize{mean: float64(size)}
 		return
 	}
-	q.sizes[route] = responseSize{mean: known.mean + sizeSmoothing*(float64(size)-known.mean)}
+	q.sizes[route] = responseSize{mean: previous.mean + sizeSmoothing*(float64(size)-previous.mean)}
 }
 
-// assumeLarge has routes of which no answer was measured count as long.
+// assumeLarge assumes large responses for routes without a measured size.
 func (q *linkQueue) assumeLarge(routes []string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// servedLinesPerSecond and otherLines are the log lines a second for requests that
-	// were served and for the others: several times the usual traffic of a
-	// box, and a bound under overload.
+	// servedLinesPerSecond and otherLinesPerSecond limit the log lines for requests that were
+	// served and for all others: several times the usual traffic of a box, and a bound under
+	// overload.
 	servedLinesPerSecond = 100
 	otherLinesPerSecond  = 200
 )
 
-// requestLine begins the line of a request, or returns nil if it is left out.
+// requestLine begins the log line of a request, or returns nil if it is dropped.
 func (d *Daemon) requestLine(served bool) *zerolog.Event {
 	limit := d.otherLineLimit
 	if served {
@@ -27,12 +27,12 @@
 	return d.log.Warn()
 }
 
-// logDroppedLines tells how many lines were left out.
+// logDroppedLines logs how many lines were dropped.
 func (d *Daemon) logDroppedLines() {
 	served, others := d.servedLineLimit.LeftOut(), d.otherLineLimit.LeftOut()
 	if served+others == 0 {
 		return
 	}
 	d.log.Warn().Str("kind", "linesLeftOut").Uint64("served", served).Uint64("others", others).
-		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines were left out to bound their volume")
+		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines dropped to limit their volume")
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics count what became of requests.
+// metrics count the requests and their outcomes.
 type metrics struct {
 	requests    *prometheus.CounterVec
 	latency     *prometheus.HistogramVec
@@ -14,23 +14,22 @@
 	hedges      prometheus.Counter
 	connections prometheus.Counter
 	permitAsks  *prometheus.CounterVec
-	// targetChecks, endedRuns and held are about requests that end targets.
+	// targetChecks, crashedRuns and quarantined are about requests that crash their targets.
 	targetChecks *prometheus.CounterVec
 	crashedRuns  prometheus.Counter
 	quarantined  prometheus.Gauge
-	// targetLimits, targetPermits and skippedLimited are about targets that name limits.
+	// targetLimits, targetPermits and skippedLimited are about rate-limited targets.
 	targetLimits   prometheus.Gauge
 	targetPermits  prometheus.Counter
 	skippedLimited prometheus.Counter
-	// backOffs and backOffSkips are about targets that ask this box for a back-off.
+	// backOffs and backOffSkips are about targets that ask this box to back off.
 	backOffs     prometheus.Counter
 	backOffSkips prometheus.Counter
-	// targetsLeaving counts targets that said in an answer that they leave.
+	// targetsLeaving counts targets that reported in a response that they are shutting down.
 	targetsLeaving prometheus.Counter
 }
 
-// latencyBuckets are in seconds; the objectives of the users' routes lie
-// between 0.3 and 0.6.
+// latencyBuckets are in seconds; the objectives of the users' routes lie between 0.3 and 0.6.
 var latencyBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1, 1.5, 2, 3, 4}
 
 func newMetrics(r *prometheus.Registry) *metrics {
--- a/internal/gateway/metricsserver.go
+++ b/internal/gateway/metricsserver.go
@@ -8,7 +8,7 @@
 	"ledgesill.dev/ledgesill/internal/process"
 )
 
-// serveMetrics tells counters and latencies as text, at every path.
+// serveMetrics serves the metrics in text format, at every path.
 func (d *Daemon) serveMetrics(ctx context.Context) error {
 	return process.ServeHTTP(ctx, d.metricsListener, promhttp.HandlerFor(d.process.Metrics, promhttp.HandlerOpts{}))
 }
--- a/internal/gateway/nativeprotocol.go
+++ b/internal/gateway/nativeprotocol.go
@@ -11,9 +11,8 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// NativeProtocol returns the headers of the project's own interface. A request
-// without an id gets one, so that the answer of its target can be told from
-// others.
+// NativeProtocol returns the headers of the project's native interface. A request without an id
+// gets one, so that its response can be told from others.
 func NativeProtocol() Protocol {
 	return Protocol{
 		RequestID:    "Ledgesill-Request-Id",
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// permitCallTimeout bounds a call for permits: two of the longest round trips
-	// between regions and some turns of a busy replica.
+	// permitCallTimeout bounds a permit call: two of the longest round trips between regions and
+	// some scheduling delay of a busy replica.
 	permitCallTimeout = 250 * time.Millisecond
-	// issuerRecheckInterval is how often it is looked again, while requests wait, whether
-	// another replica can be asked.
+	// issuerRecheckInterval is how often waiting requests check whether another replica can be
+	// asked.
 	issuerRecheckInterval = 30 * time.Millisecond
-	// maxPermitWait bounds how long a request waits for a permit. It covers a
-	// replica that is silent, and one in another region that is asked after it.
+	// maxPermitWait bounds how long a request waits for a permit. It is enough for an unresponsive
+	// replica and a second call to one in another region.
 	maxPermitWait = 400 * time.Millisecond
 )
 
-// permits are what this box may send for workspaces, or to targets, with limits.
+// permits holds the permits of this box, either of workspaces or of targets with rate limits.
 type permits struct {
-	// call asks a replica.
+	// call sends a permit request to a replica.
 	call func(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error)
-	// replicas are the addresses of those that can be asked.
+	// replicas returns the addresses of the replicas that can be asked.
 	replicas func() []string
-	// buildRequest returns the message of asks.
+	// buildRequest returns the message of permit requests.
 	buildRequest func(asks []quota.Ask) *wire.PermitRequest
-	// onResult is told how an ask has ended.
+	// onResult is called with the result of each issuer call.
 	onResult func(a quota.IssuerAsks, err error)
 
 	clock *boottime.Clock
 	mu    sync.Mutex
 	cache *quota.Stock
-	// changed is closed and replaced when waiting requests may look again.
+	// changed is closed and replaced when waiting requests should check again.
 	changed chan struct{}
-	// requestDue holds a token when there may be something to ask.
+	// requestDue holds a token when permits may have to be requested.
 	requestDue chan struct{}
 }
 
@@ -49,7 +49,7 @@
 	return &permits{clock: c, cache: quota.NewStock(), changed: make(chan struct{}), requestDue: make(chan struct{}, 1)}
 }
 
-// acquire returns a permit of a workspace, for which it may wait. The error is an
+// acquire returns a permit of a workspace or target and may wait for one. The error is an
 // OverLimitError or SilentError of package quota, or the context's.
 func (p *permits) acquire(ctx context.Context, workspace string) (until time.Time, err error) {
 	now := p.clock.Now()
@@ -61,8 +61,8 @@
 		return until, nil
 	}
 	p.cache.SetIssuers(p.replicas())
-	latest := time.NewTimer(maxPermitWait)
-	defer latest.Stop()
+	timeout := time.NewTimer(maxPermitWait)
+	defer timeout.Stop()
 	p.cache.Wait(workspace)
 	defer p.cache.Unwait(workspace)
 	for {
@@ -70,7 +70,7 @@
 			return time.Time{}, err
 		}
 		p.triggerRequests()
-		if err := p.await(ctx, latest.C); err != nil {
+		if err := p.await(ctx, timeout.C); err != nil {
 			return time.Time{}, errors.CombineErrors(p.cache.Refusal(p.clock.Now(), workspace), err)
 		}
 		if until, ok := p.cache.Take(p.clock.Now(), workspace); ok {
@@ -79,11 +79,11 @@
 	}
 }
 
-// errPermitTimeout says that a request has waited for a permit for too long.
-var errPermitTimeout = errors.New("no control replica answered in time whether the limit leaves room")
+// errPermitTimeout says that a request has waited too long for a permit.
+var errPermitTimeout = errors.New("no control replica answered the permit request in time")
 
-// await waits, without the lock, until it is worth while to look again.
-func (p *permits) await(ctx context.Context, latest <-chan time.Time) error {
+// await waits, with the lock released, until it is worth checking again.
+func (p *permits) await(ctx context.Context, timeout <-chan time.Time) error {
 	changed := p.changed
 	p.mu.Unlock()
 	defer p.mu.Lock()
@@ -92,12 +92,12 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-latest:
+	case <-timeout:
 		return errPermitTimeout
 	}
 }
 
-// tryAcquire takes a permit if there is one in stock.
+// tryAcquire takes a permit if one is cached.
 func (p *permits) tryAcquire(workspace string) (until time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,14 +118,14 @@
 	}
 }
 
-// issuerResult is how an ask has ended.
+// issuerResult is the result of an issuer call.
 type issuerResult struct {
 	asks   quota.IssuerAsks
 	answer *wire.PermitAnswer
 	err    error
 }
 
-// run asks replicas for permits until the context ends.
+// run requests permits from replicas until the context ends.
 func (p *permits) run(ctx context.Context) error {
 	ended := make(chan issuerResult)
 	var running sync.WaitGroup
@@ -162,7 +162,7 @@
 	}
 }
 
-// pendingCalls returns what is to be asked now.
+// pendingCalls returns the issuer calls that are due.
 func (p *permits) pendingCalls() []quota.IssuerAsks {
 	replicas := p.replicas()
 	p.mu.Lock()
@@ -184,7 +184,7 @@
 	return issuerResult{a, answer, err}
 }
 
-// workspaceRequest is the message of asks for permits of workspaces.
+// workspaceRequest returns the message of permit requests for workspaces.
 func (d *Daemon) workspaceRequest(asks []quota.Ask) *wire.PermitRequest {
 	r := &wire.PermitRequest{Number: d.documentNumber()}
 	for _, one := range asks {
@@ -216,7 +216,7 @@
 	p.cache.Answered(p.clock.Now(), e.asks, grants)
 }
 
-// notifyWaiters has waiting requests look again.
+// notifyWaiters wakes the waiting requests.
 func (p *permits) notifyWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,7 +228,7 @@
 	p.changed = make(chan struct{})
 }
 
-// prune drops what is known of workspaces without requests.
+// prune drops workspaces without recent requests.
 func (p *permits) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,22 +236,22 @@
 }
 
 func (d *Daemon) documentNumber() uint64 {
-	if rules := d.routing.Load(); rules != nil {
-		return rules.document.Number
+	if routing := d.routing.Load(); routing != nil {
+		return routing.document.Number
 	}
 	return 0
 }
 
-// recordPermitCall counts an ask that has ended. Why it was not answered is told once,
-// until the replica answers again.
+// recordPermitCall counts an issuer call that has ended. A failure is logged once, until the
+// replica answers again.
 func (d *Daemon) recordPermitCall(a quota.IssuerAsks, err error) {
 	d.metrics.permitAsks.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
 	if !d.permitReachability.record(a.Address, err == nil) {
 		return
 	}
 	if err != nil {
-		d.log.Warn().Str("kind", "permits").Str("address", a.Address).Err(err).Msg("a control replica issues no permits")
+		d.log.Warn().Str("kind", "permits").Str("address", a.Address).Err(err).Msg("control replica issues no permits")
 		return
 	}
-	d.log.Info().Str("kind", "permits").Str("address", a.Address).Msg("a control replica issues permits again")
+	d.log.Info().Str("kind", "permits").Str("address", a.Address).Msg("control replica issues permits again")
 }
--- a/internal/gateway/permitstreams.go
+++ b/internal/gateway/permitstreams.go
@@ -10,36 +10,36 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// permitStreams keep a stream to each replica that is asked for permits: a new stream for each
-// ask would cost more than the ask.
+// permitStreams keeps a stream to each replica that issues permits: a new stream for each call
+// would cost more than the call.
 type permitStreams struct {
 	open func(ctx context.Context, address string) (*link.Messages, error)
 	mu   sync.Mutex
-	// streams are those that are open, by address.
+	// streams holds the open streams by address.
 	streams map[string]*permitStream
 }
 
-// permitStream is one stream. Its answers come in the order of its requests.
+// permitStream is one stream. Answers arrive in the order of the requests.
 type permitStream struct {
 	messages *link.Messages
-	// writeMu keeps requests in the order of waiting. It is held while one is
-	// written, which must not keep answers from being read.
+	// writeMu keeps the requests on the stream in the order of pending. It is separate from mu, so
+	// that answers can be read while a request is written.
 	writeMu sync.Mutex
 	mu      sync.Mutex
-	// pending are for the answers that have not come, the oldest first.
+	// pending are the channels for outstanding answers, oldest first.
 	pending []chan *wire.PermitAnswer
 	closed  chan struct{}
 }
 
-// errPermitStreamClosed says that a stream ended before the answer came.
-var errPermitStreamClosed = errors.New("the stream for permits has ended")
+// errPermitStreamClosed says that a stream closed before the answer arrived.
+var errPermitStreamClosed = errors.New("permit stream closed")
 
 func newPermitStreams(open func(ctx context.Context, address string) (*link.Messages, error)) *permitStreams {
 	return &permitStreams{open: open, streams: make(map[string]*permitStream)}
 }
 
-// call asks a replica and waits for its answer. If none comes in time, the stream is
-// given up: what comes later belongs to no request.
+// call sends a request to a replica and waits for its answer. If none arrives in time, the stream
+// is closed: a late answer would be taken for that to the next request.
 func (p *permitStreams) call(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error) {
 	l, err := p.get(ctx, address)
 	if err != nil {
@@ -83,33 +83,33 @@
 	}
 	l = &permitStream{messages: m, closed: make(chan struct{})}
 	p.streams[address] = l
-	go l.read() // ends with the stream, which is closed by drop or close
+	go l.read() // ends with the stream, which remove or close closes
 	return l, nil
 }
 
-// remove gives a stream up.
+// remove closes a stream and forgets it.
 func (p *permitStreams) remove(address string, l *permitStream) {
 	p.mu.Lock()
 	if p.streams[address] == l {
 		delete(p.streams, address)
 	}
 	p.mu.Unlock()
-	_ = l.messages.Close() // it has ended, or is to
+	_ = l.messages.Close() // it is broken or no longer needed
 }
 
-// close ends all streams and waits for their readers.
+// close closes all streams and waits for their readers.
 func (p *permitStreams) close() {
 	p.mu.Lock()
 	links := p.streams
 	p.streams = make(map[string]*permitStream)
 	p.mu.Unlock()
 	for _, l := range links {
-		_ = l.messages.Close() // nothing on it is waited for any more
+		_ = l.messages.Close() // no request waits on it any more
 		<-l.closed
 	}
 }
 
-// send writes a request and returns where its answer comes.
+// send writes a request and returns the channel on which its answer arrives.
 func (l *permitStream) send(r *wire.PermitRequest) (<-chan *wire.PermitAnswer, error) {
 	answer := make(chan *wire.PermitAnswer, 1)
 	l.writeMu.Lock()
@@ -120,7 +120,7 @@
 	return answer, l.messages.Write(r)
 }
 
-// read hands answers to those who wait for them until the stream ends.
+// read delivers answers to their requests until the stream ends.
 func (l *permitStream) read() {
 	defer close(l.closed)
 	for {
@@ -131,7 +131,7 @@
 		l.mu.Lock()
 		if len(l.pending) == 0 {
 			l.mu.Unlock()
-			_ = l.messages.Close() // an answer that nobody asked for
+			_ = l.messages.Close() // an answer without a request
 			return
 		}
 		next := l.pending[0]
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -9,14 +9,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// reportResult tells that a report to a replica has ended, and how.
+// reportResult is the result of a report to a replica.
 type reportResult struct {
 	address string
 	err     error
 }
 
-// sendReports tells every control replica that this box serves, each at its own
-// times.
+// sendReports reports to every control replica that this box serves, on a schedule of its own for
+// each.
 func (d *Daemon) sendReports(ctx context.Context) error {
 	schedule := lookup.NewReportSchedule()
 	ended := make(chan reportResult)
@@ -54,8 +54,8 @@
 	}
 }
 
-// triggerReport has the reports told at once: what they say or the replicas
-// that they go to have changed.
+// triggerReport sends the reports at once, because their content or the replicas that get them have
+// changed.
 func (d *Daemon) triggerReport() {
 	select {
 	case d.reportDue <- struct{}{}:
@@ -63,24 +63,24 @@
 	}
 }
 
-// boxCount returns how many entry boxes serve as far as is known.
+// boxCount returns the number of known entry boxes that serve.
 func (d *Daemon) boxCount() int {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return d.balancing.boxCount
 }
 
-// reportToAll reports outside the usual times and waits until all replicas have
-// answered or their time is over.
+// reportToAll sends a report to all replicas outside the schedule and waits until they have
+// answered or timed out.
 func (d *Daemon) reportToAll(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, address := range d.controlReplicas.all() {
-		running.Go(func() { _ = d.reportTo(ctx, address) }) // noted there; the usual reports follow
+		running.Go(func() { _ = d.reportTo(ctx, address) }) // failures are logged by reportTo; scheduled reports follow
 	}
 	running.Wait()
 }
 
-// reportTo tells one replica that this box serves.
+// reportTo reports to one replica that this box serves.
 func (d *Daemon) reportTo(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	return err
 }
 
-// boxReport is what this box says of itself.
+// boxReport returns this box's report of itself.
 func (d *Daemon) boxReport() *wire.BoxReport {
 	report := &wire.BoxReport{
 		Box:         d.config.Name,
@@ -100,8 +100,8 @@
 		Address:     d.config.PeerAddress,
 		Stopping:    d.stopping.Load(),
 	}
-	if rules := d.routing.Load(); rules != nil {
-		report.Version = rules.version
+	if routing := d.routing.Load(); routing != nil {
+		report.Version = routing.version
 		report.CallerAddress = d.config.CallerAddress
 	}
 	return report
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -6,7 +6,7 @@
 	"github.com/rs/zerolog"
 )
 
-// logRequest tells what became of the request and what decided it.
+// logRequest logs the result of the request and what decided it.
 func (c *callerRequest) logRequest(status int, reason string, cause error) {
 	d := c.gateway
 	took := c.gateway.clock.Since(c.startedAt)
@@ -75,7 +75,7 @@
 	return line.Int("beside", c.hedges.count).Dur("besideAfter", c.hedges.delay)
 }
 
-// addSkipped adds the rate-limited targets that the request was kept from, and why.
+// addSkipped adds the rate-limited targets that the request skipped, and why.
 func (c *callerRequest) addSkipped(line *zerolog.Event) *zerolog.Event {
 	if c.targetPermitWait > 0 {
 		line = line.Dur("targetPermitWait", c.targetPermitWait)
@@ -86,8 +86,8 @@
 	return line.Strs("skippedLimited", c.skippedLimited).AnErr("skippedFor", c.skipCause)
 }
 
-// addQuarantine adds by what the request is known again, where that was worked out, and
-// what is known against it.
+// addQuarantine adds the fingerprint of the request, if it was computed, and what the quarantine
+// decided.
 func (c *callerRequest) addQuarantine(line *zerolog.Event) *zerolog.Event {
 	if c.cachedFingerprint != nil {
 		line = line.Str("digest", c.cachedFingerprint.digest.String())
--- a/internal/gateway/shaper.go
+++ b/internal/gateway/shaper.go
@@ -10,29 +10,28 @@
 )
 
 const (
-	// largeResponseShare is the part of the link that long answers take together, so that
-	// short ones do not wait behind them; what is let in is bounded by the same
-	// part. Each long answer also comes in by the link while it goes out.
+	// largeResponseShare is the fraction of the link that large responses use together, so that
+	// small ones do not wait behind them; admission is bounded by the same fraction. Each large
+	// response crosses the link twice, from the target and to the caller.
 	largeResponseShare = 0.4
-	// shapedChunk is how much of a long answer is passed on at once: 25 ms of
-	// the narrowest link of the users (2.6 Mbit/s).
+	// shapedChunk is the size of the chunks in which large responses are sent: 25 ms of the
+	// narrowest link of the users (2.6 Mbit/s).
 	shapedChunk = 8 << 10
 )
 
-// shaper spreads the bytes of long answers over time. An answer whose length is
-// known has the share of the link to itself, in the order in which answers begin:
-// of several that share it piece by piece none ends in time, and each holds a slot
-// of its target for as long.
+// shaper limits the rate of large responses. A response of known length gets the whole share of the
+// link, in the order in which responses begin: if several shared it chunk by chunk, none would end
+// in time, and each would occupy a slot of its target for as long.
 type shaper struct {
-	// timePerByte is the time that one byte takes; zero for no bound.
+	// timePerByte is the time that one byte takes; zero means unlimited.
 	timePerByte time.Duration
 	clock       *boottime.Clock
 	mu          sync.Mutex
 	nextFree    time.Time
 }
 
-// newShaper returns a shaper for a link of a number of bytes a second; zero
-// for a link without a bound.
+// newShaper returns a shaper for a link of linkBytes bytes per second; zero means an unlimited
+// link.
 func newShaper(linkBytes float64) *shaper {
 	if linkBytes <= 0 {
 		return &shaper{}
@@ -52,17 +51,17 @@
 	return wait
 }
 
-// shapedTransfer is what a shaper lets one long answer do.
+// shapedTransfer is the transfer of one large response.
 type shapedTransfer struct {
 	shaper *shaper
-	// remaining is how many of the bytes that were booked are still to be sent, and due
-	// when the next may be; remaining is zero for an answer of unknown length.
+	// remaining is how many reserved bytes are still to be sent, and nextSend when the next may be.
+	// remaining is zero for a response of unknown length.
 	remaining int64
 	nextSend  time.Time
 }
 
-// begin has an answer of a number of bytes follow those that were booked before;
-// below zero for a length that is not known, whose pieces are booked one by one.
+// begin reserves the link for a response after the earlier ones. A length below zero means unknown:
+// its chunks are reserved one by one.
 func (s *shaper) begin(now time.Time, bytes int64) *shapedTransfer {
 	if bytes <= 0 {
 		return &shapedTransfer{shaper: s}
@@ -70,8 +69,8 @@
 	return &shapedTransfer{shaper: s, remaining: bytes, nextSend: now.Add(s.reserve(now, int(bytes)))}
 }
 
-// wait returns how long to wait before a number of bytes may be sent. An answer that
-// was held up, by its target or its caller, may catch up with what it booked.
+// wait returns how long to wait before a number of bytes may be sent. A response that was delayed
+// by its target or its caller may catch up with its reservation.
 func (p *shapedTransfer) wait(now time.Time, bytes int) time.Duration {
 	if p.remaining <= 0 {
 		return p.shaper.reserve(now, bytes)
@@ -82,7 +81,7 @@
 	return wait
 }
 
-// close gives back what was booked and not sent.
+// close releases what was reserved and not sent.
 func (p *shapedTransfer) close() {
 	s := p.shaper
 	s.mu.Lock()
@@ -90,8 +89,8 @@
 	s.nextFree = s.nextFree.Add(-time.Duration(max(p.remaining, 0)) * s.timePerByte)
 }
 
-// copy passes a long answer on, piece by piece. Left is how many bytes are still to
-// come, below zero if that is not known.
+// copy forwards a large response chunk by chunk. left is the number of bytes still to come, below
+// zero if unknown.
 func (s *shaper) copy(ctx context.Context, to io.Writer, from io.Reader, left int64) error {
 	p := s.begin(s.clock.Now(), left)
 	defer p.close()
--- a/internal/gateway/splits.go
+++ b/internal/gateway/splits.go
@@ -5,9 +5,8 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// destination returns the service that the next request of a route is for. A
-// request stays with it also when the service has no room, so that no service
-// gets more than its share.
+// destination returns the service for the next request of a route. The request stays with it even
+// if the service has no free slots, so that no service gets more than its share.
 func (d *Daemon) destination(r catalog.Route) string {
 	if len(r.Destinations) == 1 {
 		return r.Destinations[0].Service
@@ -26,14 +25,13 @@
 	return r.Destinations[s.Next(weights)].Service
 }
 
-// retainedRoutesFactor bounds the routes that the box remembers something of, when a
-// document comes into force, to so many times those of the document. With 1 the
-// requests of a box would wait at each document that drops a route; with 2 they wait
-// once for as many dropped routes as the document has.
+// retainedRoutesFactor bounds the routes for which the box keeps state to this multiple of the
+// routes in the document. With 1, requests would wait at each document that drops a route; with 2,
+// they wait once for as many dropped routes as the document has.
 const retainedRoutesFactor = 2
 
-// pruneRoutes drops what the box remembers of routes that a document no longer
-// has, once that is too much.
+// pruneRoutes drops the state of routes that are no longer in the document, once there is too much
+// of it.
 func (d *Daemon) pruneRoutes(document catalog.Document) {
 	most := 0
 	for _, h := range document.Hosts {
@@ -49,9 +47,8 @@
 	}
 }
 
-// pruneSplits forgets the splits of routes that a document no longer has. Those
-// that stay go on where they are, so that many documents in a row do not give
-// the first requests after each to the same service.
+// pruneSplits drops the splits of routes that are no longer in the document. The others keep their
+// position: otherwise the first request after each of many documents would go to the same service.
 func pruneSplits(splits map[string]*balance.Split, document catalog.Document) {
 	routes := routeNames(document)
 	for name := range splits {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,11 +9,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// applyState takes the next state from control.
+// applyState applies the next state from control.
 func (d *Daemon) applyState(s steering.State, _ []*wire.Command) {
 	c := s.Catalog()
-	// Before the routes: a box that starts takes no request without the list.
-	if before := d.lastState; before == nil && len(c.Quarantined()) > 0 || before != nil && !c.SharesQuarantined(*before) {
+	// Before the routes: a box that starts accepts no request until it has the quarantine list.
+	if previous := d.lastState; previous == nil && len(c.Quarantined()) > 0 || previous != nil && !c.SharesQuarantined(*previous) {
 		d.applyQuarantine(c.Quarantined(), s.Version())
 	}
 	d.applyRoutes(c, s.Version())
@@ -25,14 +25,14 @@
 	if text == nil {
 		return
 	}
-	before := d.routing.Load()
-	if before != nil && before.document.Number == text.Number {
-		d.routing.Store(&routing{document: before.document, table: before.table, keys: before.keys, version: version})
+	previous := d.routing.Load()
+	if previous != nil && previous.document.Number == text.Number {
+		d.routing.Store(&routing{document: previous.document, table: previous.table, keys: previous.keys, version: version})
 		return
 	}
 	document, err := d.config.DecodeRoutes(text.Text)
 	if err != nil {
-		d.log.Error().Str("kind", "routes").Uint64("number", text.Number).Err(err).Msg("can't read the document of routes; the one before stays in force")
+		d.log.Error().Str("kind", "routes").Uint64("number", text.Number).Err(err).Msg("can't decode the routes document; the previous one stays active")
 		return
 	}
 	next := &routing{document: document, table: catalog.NewTable(document), keys: catalog.NewKeyTable(document), version: version}
@@ -40,14 +40,14 @@
 	d.linkQueue.assumeLarge(downloadRoutes(document))
 	d.routing.Store(next)
 	d.pruneRoutes(document)
-	if before == nil {
-		d.triggerReport() // from now on it serves
+	if previous == nil {
+		d.triggerReport() // the box serves from now on
 	}
 	d.log.Info().Str("kind", "routes").Uint64("number", document.Number).Uint64("stateVersion", version).
-		Dur("controlAge", d.follower.Age()).Msg("document of routes in force")
+		Dur("controlAge", d.follower.Age()).Msg("routes document applied")
 }
 
-// downloadRoutes returns the names of the routes whose answers are large.
+// downloadRoutes returns the names of the routes whose responses are large.
 func downloadRoutes(document catalog.Document) (names []string) {
 	for _, h := range document.Hosts {
 		for _, r := range h.Routes {
@@ -67,23 +67,23 @@
 	}
 }
 
-// applyTargets takes the targets and evacuations unless they are in force, and of the
-// targets those that changed: requests wait meanwhile, and a box hears of tens of states a
-// second while targets are replaced.
+// applyTargets applies the targets and evacuations if they have changed, and only the targets that
+// changed: requests wait for the lock meanwhile, and while targets are replaced a box receives tens
+// of states a second.
 func (d *Daemon) applyTargets(c catalog.State, version uint64) {
-	var before catalog.State
+	var previous catalog.State
 	if d.lastState != nil {
-		before = *d.lastState
+		previous = *d.lastState
 	}
-	known := d.lastState != nil && c.SharesTargets(before)
-	d.lastState = &c // also if known, so that no earlier document is kept in memory
-	if known {
+	unchanged := d.lastState != nil && c.SharesTargets(previous)
+	d.lastState = &c // also if unchanged, so that no earlier document is kept in memory
+	if unchanged {
 		d.balancing.Lock()
 		d.balancing.balancer.SetVersion(version)
 		d.balancing.Unlock()
 		return
 	}
-	registrations, ended := c.TargetsSince(before)
+	registrations, ended := c.TargetsSince(previous)
 	changed := make([]balance.Target, 0, len(registrations))
 	for _, r := range registrations {
 		changed = append(changed, d.balanceTarget(r))
@@ -102,7 +102,7 @@
 	d.balancing.Unlock()
 	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", countDraining(c.Targets())).
 		Int("changed", len(changed)).Int("ended", len(ended)).Strs("evacuated", c.Evacuated()).
-		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age()).Msg("targets in force")
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age()).Msg("targets applied")
 }
 
 func (d *Daemon) balanceTarget(r *wire.Registration) balance.Target {
@@ -144,14 +144,14 @@
 	return d.balancing.balancer.Knows(target)
 }
 
-// isLeaving reports whether a target is to end, or has ended, as planned.
+// isLeaving reports whether a target is shutting down, or has shut down, as planned.
 func (d *Daemon) isLeaving(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return d.balancing.balancer.IsLeaving(target)
 }
 
-// setEntryBoxes takes the entry boxes that serve.
+// setEntryBoxes sets the entry boxes that serve.
 func (d *Daemon) setEntryBoxes(boxes []*wire.EntryBox) {
 	out := make([]balance.Box, 0, len(boxes))
 	names := make([]string, 0, len(boxes))
@@ -164,7 +164,7 @@
 	d.balancing.balancer.SetBoxes(out)
 	d.balancing.boxCount = len(out)
 	d.balancing.Unlock()
-	d.log.Info().Str("kind", "entryBoxes").Int("boxes", len(out)).Msg("entry boxes that serve")
+	d.log.Info().Str("kind", "entryBoxes").Int("boxes", len(out)).Msg("entry boxes updated")
 }
 
 func (d *Daemon) choose(r balance.Request) (balance.Choice, error) {
@@ -181,8 +181,8 @@
 	d.logTargetChange(change, r)
 }
 
-// reportOverdue tells the balancer of a request whose target has not answered for longer
-// than it is waited for; the request stays under way.
+// reportOverdue tells the balancer that a target has not responded within the hedge delay. The
+// request stays in flight.
 func (d *Daemon) reportOverdue(r balance.Report) {
 	d.balancing.Lock()
 	change := d.balancing.balancer.Overdue(d.clock.Now(), r)
@@ -190,17 +190,17 @@
 	d.logTargetChange(change, r)
 }
 
-// logTargetChange tells that a target was lost or is back.
+// logTargetChange logs that a target was ejected or readmitted.
 func (d *Daemon) logTargetChange(change balance.Change, r balance.Report) {
 	if change == balance.Unchanged || !d.otherLineLimit.Take(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
 	if change == balance.LeftOut {
-		line.Msg("target is left out for a while")
+		line.Msg("target ejected")
 		return
 	}
-	line.Msg("target answers again")
+	line.Msg("target readmitted")
 }
 
 func (d *Daemon) setColdLeft(target string, left time.Duration) {
@@ -209,7 +209,7 @@
 	d.balancing.balancer.SetColdLeft(d.clock.Now(), target, left)
 }
 
-// retryAfter is when a request that a target did not run may come back.
+// retryAfter returns when a request that a target did not run may be sent again.
 func (d *Daemon) retryAfter(target, route string) time.Duration {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
@@ -217,19 +217,19 @@
 }
 
 const (
-	// usualRoutesDelay is how long after its start a box usually has routes: 0.6 s
-	// where control starts with it, most of it until a leader is elected.
+	// usualRoutesDelay is how long after its start a box usually has routes: 0.6 s when control
+	// starts at the same time, most of it until a leader is elected.
 	usualRoutesDelay = 700 * time.Millisecond
-	// overdueRoutesRetry is what a caller is told to wait once that time is over.
+	// overdueRoutesRetry is the Retry-After once that time has passed.
 	overdueRoutesRetry = 250 * time.Millisecond
-	// maxRoutesRetry bounds what is told to callers of an unknown route, who wait
-	// for as long again as control has been silent; a cut may last for minutes.
+	// maxRoutesRetry bounds the Retry-After for unknown routes. It grows with the time since the
+	// last contact with control, and a partition may last for minutes.
 	maxRoutesRetry = 5 * time.Second
-	// minRoutesRetry bounds what is told before.
+	// minRoutesRetry is the minimum Retry-After until then.
 	minRoutesRetry = 50 * time.Millisecond
 )
 
-// routesRetryAfter is when a caller may come back to a box that has no routes yet.
+// routesRetryAfter returns the Retry-After of a box that has no routes yet.
 func (d *Daemon) routesRetryAfter() time.Duration {
 	left := usualRoutesDelay - d.clock.Since(d.started)
 	if left < 0 {
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -18,45 +18,45 @@
 )
 
 const (
-	// targetPermitWait bounds how long a request waits for permits of targets that name
-	// limits before it goes to others: a way between regions and back.
+	// targetPermitWait bounds how long a request waits for permits of rate-limited targets before
+	// it goes to others: a round trip between regions.
 	targetPermitWait = 100 * time.Millisecond
-	// maxSkippedLimited is how many rate-limited targets a request is kept from before it goes
-	// to one that names no limit, or is refused if there is none: where a thousand are at their
-	// limits, asking for each in turn would take the box's processor time. One about an object
-	// is kept from its home alone: another rate-limited target does not know the object, takes
-	// longer for it, and lacks the permit for objects of its own.
+	// maxSkippedLimited is how many rate-limited targets without a permit a request skips before
+	// only targets without a rate limit are considered: where a thousand targets are at their
+	// limits, requesting permits of each in turn would use up the box's CPU time. A request with an
+	// affinity key skips its home target only: another rate-limited target does not have the object
+	// cached, takes longer for it, and needs its permits for objects of its own.
 	maxSkippedLimited       = 4
 	maxSkippedLimitedObject = 1
-	// throttleTime is for how long a target gets nothing for which no permit came in time.
+	// throttleTime is how long a target gets no requests after no permit arrived in time.
 	throttleTime = 50 * time.Millisecond
-	// minThrottleTime keeps a target from being asked for by each request in turn.
+	// minThrottleTime keeps each request in turn from requesting a permit of the same target.
 	minThrottleTime = 5 * time.Millisecond
-	// updateRepeatTime is for how long each report carries an update: three of the longest
-	// intervals between two, as reports may be lost and replicas start anew.
+	// updateRepeatTime is how long reports repeat an update: three of the longest report intervals,
+	// as reports may be lost and replicas may restart.
 	updateRepeatTime = 6 * time.Second
-	// minReportInterval is the least time between two reports for the sake of limits. Asks for permits
-	// tell what is new besides.
+	// minReportInterval is the minimum time between two reports that are triggered by rate limits.
+	// Permit requests carry new updates as well.
 	minReportInterval = 250 * time.Millisecond
-	// maxReportedTargets bounds the targets in one report, of some 40 bytes each.
+	// maxReportedTargets bounds the targets in one report, at about 40 bytes each.
 	maxReportedTargets = 256
 )
 
-// targetLimits is what a box knows of targets that name limits, and what it may send them.
+// targetLimits tracks rate-limited targets and the permits to send to them.
 type targetLimits struct {
 	clock   *boottime.Clock
 	permits *permits
-	// limited is how many targets name limits: while there are none, answers without a limit
-	// say nothing new.
+	// limited is the number of rate-limited targets. While there are none, a response without a
+	// limit carries no new information.
 	limited atomic.Int32
 
 	mu       sync.Mutex
 	registry *targetstatus.Registry
 	fallback *quota.Alone
-	// pending are changes that answers to this box brought, by incarnation, with the times
-	// since which they are reported.
+	// pending are updates from responses to this box, by incarnation, with the time since which
+	// they are reported.
 	pending map[string]time.Time
-	// reportedAt is when a report was last asked for at once.
+	// reportedAt is when a report was last triggered.
 	reportedAt time.Time
 }
 
@@ -68,21 +68,21 @@
 	return l
 }
 
-// buildRequest is for permits; it carries what is known of the limits, as the replica
-// may have started since.
+// buildRequest returns the message of permit requests. It carries the known limits, as the replica
+// may have restarted since.
 func (l *targetLimits) buildRequest(asks []quota.Ask) *wire.PermitRequest {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &wire.PermitRequest{}
 	for _, a := range asks {
-		known := targetstatus.Messages(now, l.registry.Updates(a.Of))
-		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: known[0], Further: known[1:], Count: uint32(a.Count)})
+		updates := targetstatus.Messages(now, l.registry.Updates(a.Of))
+		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: updates[0], Further: updates[1:], Count: uint32(a.Count)})
 	}
 	return r
 }
 
-// recordResponse takes what an answer to this box says.
+// recordResponse applies what a response to this box reports.
 func (l *targetLimits) recordResponse(u targetstatus.Update) (c targetstatus.Change, changed bool) {
 	if !u.HasLimit() && !u.Leaving && l.limited.Load() == 0 {
 		return c, false
@@ -96,7 +96,7 @@
 	return c, changed
 }
 
-// merge takes what another box reported. What this box knows better it reports in turn.
+// merge applies the update of another box. If this box has newer information, it reports that.
 func (l *targetLimits) merge(u targetstatus.Update) (c targetstatus.Change, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return c, changed
 }
 
-// allowReport reports whether a report may be asked for at once, and counts that.
+// allowReport reports whether a report may be triggered now, and counts it.
 func (l *targetLimits) allowReport() bool {
 	now := l.clock.Now()
 	l.mu.Lock()
@@ -127,14 +127,14 @@
 	return c, changed
 }
 
-// limit returns a target's limit.
+// limit returns a target's rate limit.
 func (l *targetLimits) limit(target string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.registry.Limit(target)
 }
 
-// isLeaving reports whether a target reported that it leaves.
+// isLeaving reports whether a target reported that it is shutting down.
 func (l *targetLimits) isLeaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,10 +152,10 @@
 	if len(l.pending) == 0 {
 		return nil
 	}
-	lives := slices.SortedFunc(maps.Keys(l.pending), func(a, b string) int { return l.pending[b].Compare(l.pending[a]) })
+	incarnations := slices.SortedFunc(maps.Keys(l.pending), func(a, b string) int { return l.pending[b].Compare(l.pending[a]) })
 	var out []*wire.TargetLimit
-	for _, life := range lives[:min(len(lives), maxReportedTargets)] {
-		out = append(out, targetstatus.Messages(now, l.registry.Updates(life))...)
+	for _, incarnation := range incarnations[:min(len(incarnations), maxReportedTargets)] {
+		out = append(out, targetstatus.Messages(now, l.registry.Updates(incarnation))...)
 	}
 	return out
 }
@@ -166,29 +166,29 @@
 	l.fallback.SetBoxes(names)
 }
 
-// prune forgets targets whose lives are over.
-func (l *targetLimits) prune(now time.Time, lives func(life string) bool) {
+// prune drops targets whose incarnations have ended.
+func (l *targetLimits) prune(now time.Time, registered func(life string) bool) {
 	l.permits.prune(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.registry.Keep(now, lives)
-	maps.DeleteFunc(l.pending, func(life string, _ time.Time) bool { return !lives(life) })
-	l.fallback.Keep(func(life string) bool { return l.registry.HasLimit(life) })
+	l.registry.Keep(now, registered)
+	maps.DeleteFunc(l.pending, func(incarnation string, _ time.Time) bool { return !registered(incarnation) })
+	l.fallback.Keep(func(incarnation string) bool { return l.registry.HasLimit(incarnation) })
 	l.limited.Store(int32(l.registry.Limited()))
 }
 
-// acquirePermit returns a acquirePermit to send a request to a target, for which it may wait. The error
+// acquirePermit returns a permit to send a request to a target and may wait for one. The error
 // tells why there is none.
-func (l *targetLimits) acquirePermit(ctx context.Context, life string, wait time.Duration) (until time.Time, err error) {
+func (l *targetLimits) acquirePermit(ctx context.Context, incarnation string, wait time.Duration) (until time.Time, err error) {
 	if wait <= 0 {
-		if until, ok := l.permits.tryAcquire(life); ok {
+		if until, ok := l.permits.tryAcquire(incarnation); ok {
 			return until, nil
 		}
 		return until, errPermitTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if until, err = l.permits.acquire(ctx, life); err == nil {
+	if until, err = l.permits.acquire(ctx, incarnation); err == nil {
 		return until, nil
 	}
 	var over *quota.OverLimitError
@@ -197,13 +197,14 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until, ok := l.fallback.Take(l.clock.Now(), life, l.registry.Limit(life)); ok {
+	if until, ok := l.fallback.Take(l.clock.Now(), incarnation, l.registry.Limit(incarnation)); ok {
 		return until, nil
 	}
 	return time.Time{}, err
 }
 
-// throttleTimeAfter is for how long a target gets nothing for which there was no permit.
+// throttleTimeAfter returns how long a target gets no requests after a permit was denied or did not
+// arrive.
 func throttleTimeAfter(err error) time.Duration {
 	var over *quota.OverLimitError
 	if errors.As(err, &over) {
@@ -212,21 +213,20 @@
 	return throttleTime
 }
 
-// permittedChoice is a target that a request is to be sent to, and until when its permit may be
-// used; zero if it needs none.
+// permittedChoice is the choice of a target, with the expiry of its permit; zero if it needs none.
 type permittedChoice struct {
 	balance.Choice
 	permitExpiry time.Time
 }
 
-// choosePermittedTarget chooses a target. A rate-limited one is skipped without a permit,
-// for which it waits no longer than a time.
+// choosePermittedTarget chooses a target. A rate-limited target is skipped unless a permit of it
+// arrives within the wait time.
 func (c *callerRequest) choosePermittedTarget(ctx context.Context, wait time.Duration) (permittedChoice, error) {
 	waitEnds := c.gateway.permitWaitDeadline(wait)
 	for {
-		wanted := c.balanceRequest()
-		wanted.Unlimited = len(c.skippedLimited) >= maxSkippedFor(wanted)
-		choice, err := c.gateway.choose(wanted)
+		request := c.balanceRequest()
+		request.Unlimited = len(c.skippedLimited) >= maxSkippedFor(request)
+		choice, err := c.gateway.choose(request)
 		if err != nil || !choice.Limited {
 			return permittedChoice{Choice: choice}, err
 		}
@@ -248,7 +248,7 @@
 	return maxSkippedLimited
 }
 
-// returnPermit gives a permit back with which nothing was sent.
+// returnPermit returns a permit with which nothing was sent.
 func (d *Daemon) returnPermit(choice permittedChoice) {
 	if !choice.permitExpiry.IsZero() {
 		d.targetLimits.permits.release(choice.Target.ID, choice.permitExpiry)
@@ -257,12 +257,12 @@
 
 func (d *Daemon) permitWaitDeadline(wait time.Duration) time.Time {
 	if d.targetLimits.limited.Load() == 0 {
-		return time.Time{} // the usual request needs no time
+		return time.Time{} // saves reading the clock for most requests
 	}
 	return d.clock.Now().Add(wait)
 }
 
-// skipLimitedTarget takes a choice back for which there is no permit.
+// skipLimitedTarget undoes the choice of a target that granted no permit.
 func (c *callerRequest) skipLimitedTarget(choice balance.Choice, cause error) {
 	d := c.gateway
 	d.metrics.skippedLimited.Inc()
@@ -274,7 +274,7 @@
 	d.balancing.balancer.ThrottleUntil(now, choice.Target.ID, now.Add(throttleTimeAfter(cause)))
 }
 
-// mergeUpdates takes what targets said to other boxes.
+// mergeUpdates applies what targets reported to other boxes.
 func (d *Daemon) mergeUpdates(list []*wire.TargetLimit) {
 	now := d.clock.Now()
 	for _, m := range list {
@@ -284,11 +284,11 @@
 	}
 }
 
-// applyChange has the balancer use what became known of a target; request is the id of the
-// request whose answer said so, empty where it was another box's.
+// applyChange applies a change of a target's status to the balancer. request is the id of the
+// request whose response reported it, empty if another box did.
 func (d *Daemon) applyChange(c targetstatus.Change, request string) {
 	d.balancing.Lock()
-	// Another change may have been reported meanwhile: what is known now counts.
+	// Another change may have been reported meanwhile: use the latest limit.
 	d.balancing.balancer.SetLimited(c.Incarnation, d.targetLimits.hasLimit(c.Incarnation))
 	if c.Leaving {
 		d.balancing.balancer.SetLeaving(d.clock.Now(), c.Incarnation)
@@ -318,7 +318,7 @@
 		line.Float64("perSecond", c.After).Msg("target reported a rate limit")
 		return
 	}
-	line.Msg("target reports no rate limit any more")
+	line.Msg("target withdrew its rate limit")
 }
 
 func (d *Daemon) logLeaving(c targetstatus.Change, request string) {
@@ -330,5 +330,5 @@
 	if request != "" {
 		line = line.Str("request", request)
 	}
-	line.Msg("target reported that it leaves")
+	line.Msg("target reported that it is shutting down")
 }
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -10,10 +10,10 @@
 )
 
 // errWithdrawn says why a request was not sent to the target that was chosen for it.
-var errWithdrawn = errors.New("not sent: after it was chosen the target asked for a back-off, drained, left or was evacuated")
+var errWithdrawn = errors.New("not sent: the target asked for a back-off, drained, shut down or was evacuated after it was chosen")
 
-// recordTargetStatus takes what an answer says of its target as soon as its head has come, whatever
-// becomes of the body and the request.
+// recordTargetStatus records what a response reports of its target as soon as the header has
+// arrived, whatever happens to the body and the request.
 func (a *attempt) recordTargetStatus(response *http.Response) targetstatus.Status {
 	d := a.gateway
 	status := d.config.Protocol.Status.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
@@ -32,7 +32,7 @@
 	return status
 }
 
-// shareTargetStatus takes what an answer says to all boxes, and has them told if that is new.
+// shareTargetStatus records the status that concerns all boxes, and triggers a report if it is new.
 func (d *Daemon) shareTargetStatus(a *attempt, status targetstatus.Status) {
 	change, changed := d.targetLimits.recordResponse(status.Update(a.target.ID, a.chosenAt, d.clock.Now()))
 	if !changed {
@@ -44,7 +44,7 @@
 	}
 }
 
-// backOff has this box send a target nothing for a time.
+// backOff stops this box from sending to a target for the time that it asked for.
 func (d *Daemon) backOff(a *attempt, status targetstatus.Status) {
 	now := d.clock.Now()
 	d.balancing.Lock()
@@ -81,17 +81,18 @@
 	}
 }
 
-// backedOffTargets returns how many targets this box sends nothing at their request.
+// backedOffTargets returns how many targets this box sends nothing to because they asked it to back
+// off.
 func (d *Daemon) backedOffTargets() float64 {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return float64(d.balancing.balancer.BackedOff(d.clock.Now()))
 }
 
-// logUnparsedHeaders logs headers of a target that could not be read; the answer counts as without.
+// logUnparsedHeaders logs status headers that could not be parsed; they are ignored.
 func (d *Daemon) logUnparsedHeaders(a *attempt, headers []string) {
 	if d.otherLineLimit.Take(d.clock.Now()) {
 		d.log.Warn().Str("kind", "unreadHeaders").Str("target", a.target.ID).Str("request", a.requestID).Strs("headers", headers).
-			Msg("headers of a target can't be read")
+			Msg("status headers of a target can't be parsed")
 	}
 }
