--- a/internal/gateway/applystate_bench_test.go
+++ b/internal/gateway/applystate_bench_test.go
@@ -13,7 +13,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// documentOf has so many routes, each with two services.
+// documentOf returns a document with that many routes, each with two services.
 func documentOf(number uint64, routes int) catalog.Document {
 	h := catalog.Host{Name: "a.example"}
 	for i := range routes {
@@ -25,7 +25,7 @@
 	return catalog.Document{Number: number, Hosts: []catalog.Host{h}, Services: []catalog.Service{{Name: "s"}, {Name: "t"}}}
 }
 
-// newBoxWithoutCallers returns a box that writes its log and has no callers.
+// newBoxWithoutCallers returns a box that logs to a writer and serves no callers.
 func newBoxWithoutCallers(t testing.TB, log io.Writer, decode func([]byte) (catalog.Document, error)) *Daemon {
 	t.Helper()
 	d, err := Open(Config{
@@ -58,8 +58,8 @@
 	return s
 }
 
-// BenchmarkPutRoutes is what a decoded document costs until it is in force, in
-// a box that has served all of its routes.
+// BenchmarkPutRoutes measures applying a decoded document in a box that has served all of its
+// routes.
 func BenchmarkPutRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// BenchmarkForgetRoutes is how long requests wait for a document that drops no
-// more routes than it has.
+// BenchmarkForgetRoutes measures how long requests wait for a document that drops no more routes
+// than it has.
 func BenchmarkForgetRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// BenchmarkKeepSplits is how long they wait for one that drops more.
+// BenchmarkKeepSplits measures how long they wait for one that drops more.
 func BenchmarkKeepSplits(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// BenchmarkPutTargets is what a state costs of which only the routes changed.
+// BenchmarkPutTargets measures applying a state of which only the routes changed.
 func BenchmarkPutTargets(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkPutJoined is what a target costs that joins.
+// BenchmarkPutJoined measures applying a state with one new target.
 func BenchmarkPutJoined(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/internal/gateway/applystate_test.go
+++ b/internal/gateway/applystate_test.go
@@ -13,11 +13,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Every state put all targets in force anew, 0.12 ms at 400 targets on a core
-// and 0.7 ms on the 0.16 cores of a box, with a line in the log. What was
-// learned of routes that had left their document stayed for good.
+// These tests guard against a box that applies all targets again with every state, which took 0.12
+// ms at 400 targets on one core, 0.7 ms on the 0.16 cores of a box, and a log line, and against
+// state of routes that is kept for ever after they left the document.
 
-// numbered decodes the texts that withDocument writes.
+// numbered decodes the documents that withDocument writes.
 func numbered(routesOf func(number uint64) catalog.Document) func([]byte) (catalog.Document, error) {
 	return func(text []byte) (catalog.Document, error) {
 		var number uint64
@@ -28,36 +28,36 @@
 	}
 }
 
-// A state whose targets and evacuations are those of the one before leaves the
-// balancer's targets alone.
+// A state with the same targets and evacuations as the one before leaves the balancer's targets
+// alone.
 func TestStateWithTheSameTargetsLeavesThemAlone(t *testing.T) {
 	var lines bytes.Buffer
 	d := newBoxWithoutCallers(t, &lines, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	s := withTarget(withDocument(steering.State{}, 1), "i", false)
 	d.applyState(s, nil)
-	d.balancing.balancer.SetTargets(time.Now(), nil) // to see whether it is told of them again
+	d.balancing.balancer.SetTargets(time.Now(), nil) // to see whether they are set again
 	lines.Reset()
 	s = withDocument(s, 2)
 	d.applyState(s, nil)
 	if d.isRegistered("i") {
-		t.Error("a state that changes only the routes put the targets in force")
+		t.Error("a state that changes only the routes applied the targets again")
 	}
 	if strings.Contains(lines.String(), `"kind":"targets"`) {
-		t.Errorf("the log tells of targets: %s", lines.String())
+		t.Errorf("the log reports applied targets: %s", lines.String())
 	}
 	if d.routing.Load().document.Number != 2 {
-		t.Error("the document is not in force")
+		t.Error("the document was not applied")
 	}
 }
 
-// Each change of targets and evacuations is put in force.
+// Every change of targets and evacuations is applied.
 func TestStateWithOtherTargetsIsPutInForce(t *testing.T) {
 	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	usable := func(want bool) {
 		t.Helper()
 		c, err := d.choose(balance.Request{Service: "s", Route: "r0", Objective: time.Second, Left: time.Second})
 		if got := err == nil; got != want {
-			t.Fatalf("a target is found: %v, want %v (%v)", got, want, err)
+			t.Fatalf("target found: %v, want %v (%v)", got, want, err)
 		}
 		if err == nil {
 			d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: "r0", Outcome: balance.Dropped})
@@ -92,9 +92,9 @@
 	usable(false)
 	s = put(s, leave("i"))
 	if d.isRegistered("i") {
-		t.Error("a target that left is known")
+		t.Error("a target that left is still registered")
 	}
-	// A whole state from control, which shares nothing with the one before.
+	// A full state from control, which shares nothing with the previous one.
 	s = withTarget(s, "k", false)
 	whole, err := steering.Decode(s.Encode())
 	if err != nil {
@@ -104,8 +104,8 @@
 	usable(true)
 }
 
-// What the box remembers of routes is bounded by the size of its document, also
-// where each document has other routes than the one before.
+// The state that the box keeps of routes is bounded by the size of its document, also if each
+// document has different routes.
 func TestRoutesThatLeftTheDocumentAreForgotten(t *testing.T) {
 	const routes = 10
 	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document {
@@ -128,11 +128,11 @@
 			d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: r.Name, Outcome: balance.Answered, Took: time.Millisecond})
 		}
 	}
-	const most = 3 * routes // twice the document's, and the last one's
+	const most = 3 * routes // twice the document's, and those of the last one
 	if got := d.balancing.balancer.Routes(); got > most {
-		t.Errorf("the times of %d routes are kept, want at most %d", got, most)
+		t.Errorf("state of %d routes is kept, want at most %d", got, most)
 	}
 	if got := len(d.balancing.splits); got > most {
-		t.Errorf("the splits of %d routes are kept, want at most %d", got, most)
+		t.Errorf("splits of %d routes are kept, want at most %d", got, most)
 	}
 }
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// backOffGrace is how long after a rejection requests are not counted, and
-	// backOffSlack how many may come between it and the end of the back-off.
+	// backOffGrace is the time after a rejection in which requests are not counted, and
+	// backOffSlack how many are allowed between then and the end of the back-off.
 	backOffGrace = 500 * time.Millisecond
 	backOffSlack = 2
-	// leavingGrace is how long requests may come after an answer that says that the target
-	// leaves.
+	// leavingGrace is how long requests are allowed after a response that reports that the target
+	// is shutting down.
 	leavingGrace = 2 * time.Second
 )
 
-// rejection is a 503 of a target.
+// rejection is a 503 response of a target.
 type rejection struct {
-	// retryAfter is its Retry-After, empty for none; lasts is what that says.
+	// retryAfter is its Retry-After header, empty for none; lasts is the duration that the header
+	// states.
 	retryAfter string
 	lasts      time.Duration
-	// notRun tells that it has the header that says that the request did not run.
+	// notRun tells that the response has the header that says that the request did not run.
 	notRun bool
 }
 
-// backOff is what a target asked of a box.
+// backOff is a back-off that a target asked of a box.
 type backOff struct {
 	box   int
 	at    time.Time
 	lasts time.Duration
 }
 
-// rejectWith has the target reject requests, or serve them again for nil.
+// rejectWith makes the target reject requests, or serve them again if r is nil.
 func (n *recordingTarget) rejectWith(r *rejection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.activeRejection = r
 }
 
-// reject answers a request by the rejection in force, if there is one.
+// reject rejects a request if there is an active rejection.
 func (n *recordingTarget) reject(box int, r *http.Request, c net.Conn) bool {
 	n.mu.Lock()
 	with := n.activeRejection
@@ -69,28 +70,27 @@
 	return true
 }
 
-// setLeaving has the target's answers say that it leaves.
+// setLeaving sets whether the target's responses report that it is shutting down.
 func (n *recordingTarget) setLeaving(leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = leaving
 }
 
-// announceLeaving returns the header line of a target that leaves.
+// announceLeaving returns the header line that reports that the target is shutting down.
 func (n *recordingTarget) announceLeaving(box int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leaving {
 		return ""
 	}
-	if _, told := n.leavingAnnouncedAt[box]; !told {
+	if _, known := n.leavingAnnouncedAt[box]; !known {
 		n.leavingAnnouncedAt[box] = time.Now()
 	}
 	return leavingHeader + ": 1\r\n"
 }
 
-// maxInBackOff returns the most requests that one box sent in the back-off of one
-// rejection.
+// maxInBackOff returns the most requests that one box sent during one back-off.
 func (n *recordingTarget) maxInBackOff() (most int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,13 +106,13 @@
 	return most
 }
 
-// countAfterLeaving counts the requests of boxes that came too late after these were told that
-// the target leaves.
+// countAfterLeaving counts the requests of boxes that came later than leavingGrace after the target
+// had reported to them that it is shutting down.
 func (n *recordingTarget) countAfterLeaving() (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range n.arrivals {
-		if told, ok := n.leavingAnnouncedAt[a.box]; ok && a.at.Sub(told) > leavingGrace {
+		if announced, ok := n.leavingAnnouncedAt[a.box]; ok && a.at.Sub(announced) > leavingGrace {
 			count++
 		}
 	}
@@ -123,13 +123,13 @@
 	t.Helper()
 	for i, target := range s.targets {
 		if got := target.maxInBackOff(); got > backOffSlack {
-			t.Errorf("target %d got %d requests of a box that it had asked to back off, at most %d may come", i, got, backOffSlack)
+			t.Errorf("target %d got %d requests from a box that it had asked to back off, want at most %d", i, got, backOffSlack)
 		}
 	}
 }
 
-// Guards against requests to a target that answered this box 503 with Retry-After, before
-// that time is over.
+// Guards against requests to a target that responded to this box with 503 and Retry-After, before
+// that time has passed.
 func TestTargetGetsNothingWhileABoxBacksOff(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150} {
 		for _, targets := range []int{1, 2, 4} {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Guards against a request that was chosen for a target before it asked for a back-off, and
-// is sent after, when it has its connection.
+// Guards against sending a request to a target that asked for a back-off while the request waited
+// for its connection.
 func TestRequestThatWaitsForAConnectionIsSentElsewhere(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
@@ -177,7 +177,7 @@
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		if got := s.targets[0].countBetween(time.Time{}, time.Now()); got > 0 {
-			t.Errorf("%d requests were sent", got)
+			t.Errorf("the backed-off target got %d requests", got)
 		}
 		if s.served != 4 {
 			t.Errorf("%d of 4 requests were served", s.served)
@@ -185,7 +185,7 @@
 	})
 }
 
-// Guards against a box that backs off by a clock that stands while the machine is suspended.
+// Guards against back-offs timed by a clock that stops while the machine is suspended.
 func TestBackOffEndsWhileTheBoxIsSuspended(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
@@ -207,8 +207,8 @@
 	})
 }
 
-// Guards against requests that wait or are sent in vain where all targets are backed off:
-// they are refused at once, with the end of the first back-off.
+// Guards against requests that wait, or are sent in vain, while all targets are backed off. They
+// must be refused at once, with the end of the first back-off as Retry-After.
 func TestRequestIsRefusedAtOnceWhereAllTargetsAreBackedOff(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
@@ -217,18 +217,18 @@
 		}
 		s.send(s.boxes[0], 1)
 		if s.refused != 1 || s.slowestRefusal > 0 {
-			t.Errorf("%d refused, after %s", s.refused, s.slowestRefusal)
+			t.Errorf("%d requests were refused, the slowest after %s; want 1 at once", s.refused, s.slowestRefusal)
 		}
-		for told := range s.retryAfters {
-			if seconds, err := strconv.ParseFloat(told, 64); err != nil || seconds < 30 || seconds > 32 {
-				t.Errorf("told to come back after %q s", told)
+		for retryAfter := range s.retryAfters {
+			if seconds, err := strconv.ParseFloat(retryAfter, 64); err != nil || seconds < 30 || seconds > 32 {
+				t.Errorf("got Retry-After %q, want 30 to 32 s", retryAfter)
 			}
 		}
 	})
 }
 
-// Guards against a request that is given up as if it had failed to connect so often: what
-// was not sent because of back-offs is no failed connection.
+// Guards against counting attempts that were not sent because of back-offs as failed connections:
+// the request would give up after maxDials of them.
 func TestWithdrawnAttemptsAreNoFailedConnections(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, maxDials+3)
@@ -244,7 +244,7 @@
 		}
 		s.send(d, 1)
 		if s.served != 1 {
-			t.Error("the request was refused, a target has room")
+			t.Error("the request was refused although a target has free slots")
 		}
 	})
 }
--- a/internal/gateway/callerleaves_test.go
+++ b/internal/gateway/callerleaves_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// cancelOnWriteConn is a connection on whose first write the caller leaves. The write goes on once
-// the box has seen that.
+// cancelOnWriteConn is a connection on whose first write the caller disconnects. The write
+// continues after the box has noticed that.
 type cancelOnWriteConn struct {
 	net.Conn
 	leave func()
@@ -24,8 +24,8 @@
 	return c.Conn.Write(b)
 }
 
-// cancel has the caller leave when a request is at a target, after some bytes of an answer, and
-// waits for the end of its connection.
+// cancel makes the caller disconnect when the request is at the target, after the target has sent
+// begin, and waits for the connection to close.
 func (s *rig) cancel(leave func(), begin string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if begin != "" {
@@ -38,8 +38,8 @@
 	}
 }
 
-// leavingStep is a step of a request at which its caller leaves, and how many connections must
-// end at targets for it.
+// leavingStep is a step of a request at which its caller disconnects, with the number of
+// connections that must close at targets because of it.
 type leavingStep struct {
 	name    string
 	prepare func(s *rig, leave func())
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against a request whose caller leaves at some step and that counts as in flight
-// afterwards, at the box, at a target or on the link, or goes on at its target.
+// Guards against a request whose caller disconnects at some step and which still counts as in
+// flight afterwards, at the box, at a target or on the link, or which continues at its target.
 func TestCallerLeavesAtEachStep(t *testing.T) {
 	for _, step := range leavingSteps() {
 		t.Run(step.name, func(t *testing.T) {
@@ -83,25 +83,25 @@
 				s := newRig(t, config, 2)
 				s.daemon.linkQueue.recordSize("long", 90_000)
 				ctx, cancel := context.WithCancel(t.Context())
-				left := false
+				reached := false
 				leave := func() {
-					left = true
+					reached = true
 					cancel()
 				}
 				step.prepare(s, leave)
 				s.send(ctx, "/long/", "")
 				synctest.Wait()
-				if !left {
+				if !reached {
 					t.Fatal("the step was not reached")
 				}
 				if n := s.daemon.inFlight.Load(); n != 0 {
 					t.Errorf("%d requests count as in flight at the box", n)
 				}
 				if len(s.ended) != step.ended {
-					t.Errorf("%d connections ended at targets, want %d", len(s.ended), step.ended)
+					t.Errorf("%d connections closed at targets, want %d", len(s.ended), step.ended)
 				}
 				if q := s.daemon.linkQueue; q.nextFree.After(time.Now().Add(time.Millisecond)) {
-					t.Errorf("the link counts as full for %s", time.Until(q.nextFree))
+					t.Errorf("the link is reserved for another %s", time.Until(q.nextFree))
 				}
 				s.wantNoneInFlight(t)
 			})
--- a/internal/gateway/fullservice_test.go
+++ b/internal/gateway/fullservice_test.go
@@ -14,20 +14,20 @@
 	fullTargets = 12
 	fullSlots   = 4
 	fullQueue   = 6
-	// fullRequestTime is what a request takes in its slot, and fullRate what a target serves a
-	// second.
+	// fullRequestTime is how long a request occupies its slot, and fullRate how many requests a
+	// target serves per second.
 	fullRequestTime = 200 * time.Millisecond
 	fullRate        = 20
-	// fullBackOff is what a target asks for whose queue is full, in seconds.
+	// fullBackOff is the back-off, in seconds, that a target with a full queue asks for.
 	fullBackOff = 3
-	// maxBackOffLoss is the part of all requests that back-offs may cost: what targets teach all
-	// boxes at the first burst.
+	// maxBackOffLoss is the fraction of all requests that back-offs may cost: those of the first
+	// burst, by which the boxes learn the capacity of the targets.
 	maxBackOffLoss = 0.03
-	// fullObjective is the route's of these tests.
+	// fullObjective is the objective of the route in these tests.
 	fullObjective = time.Second
 )
 
-// slotQueue is what a target with slots and a queue has in them. It rejects what is beyond.
+// slotQueue is the slots and the queue of a target. Requests beyond them are rejected.
 type slotQueue struct {
 	slots   chan struct{}
 	mu      sync.Mutex
@@ -40,7 +40,7 @@
 	return &slotQueue{slots: make(chan struct{}, fullSlots), asksBackOff: backsOff}
 }
 
-// enter reports whether a request was taken; it has then waited for its slot.
+// enter waits for a slot and reports whether the request was accepted.
 func (c *slotQueue) enter() bool {
 	c.mu.Lock()
 	if len(c.slots) == fullSlots && c.waiting >= fullQueue {
@@ -62,33 +62,33 @@
 	return fmt.Sprintf("%d,%d,%d", len(c.slots), c.waiting, fullSlots)
 }
 
-// serveFull answers the requests of one connection of a box within the target's capacity.
-func (n *recordingTarget) serveFull(box int, c net.Conn, room *slotQueue) {
+// serveFull serves the requests of one connection of a box within the target's capacity.
+func (n *recordingTarget) serveFull(box int, c net.Conn, queue *slotQueue) {
 	s := &target{script: func(_ int, r *http.Request, c net.Conn) bool {
 		n.arrive(box)
 		_, _ = io.Copy(io.Discard, r.Body)
 		id := r.Header.Get("Test-Id")
-		if !room.enter() {
-			asks := ""
-			if room.asksBackOff {
-				asks = fmt.Sprintf("Retry-After: %d\r\n", fullBackOff)
+		if !queue.enter() {
+			retryAfter := ""
+			if queue.asksBackOff {
+				retryAfter = fmt.Sprintf("Retry-After: %d\r\n", fullBackOff)
 				n.mu.Lock()
 				n.backOffs = append(n.backOffs, backOff{box: box, at: time.Now(), lasts: fullBackOff * time.Second})
 				n.mu.Unlock()
 			}
-			fmt.Fprintf(c, "HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Not-Executed: 1\r\nTest-Load: %s\r\n%sContent-Length: 0\r\n\r\n", id, room.load(), asks)
+			fmt.Fprintf(c, "HTTP/1.1 503 X\r\nTest-Id: %s\r\nTest-Not-Executed: 1\r\nTest-Load: %s\r\n%sContent-Length: 0\r\n\r\n", id, queue.load(), retryAfter)
 			return true
 		}
 		time.Sleep(fullRequestTime)
-		load := room.load()
-		<-room.slots
+		load := queue.load()
+		<-queue.slots
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nTest-Load: %s\r\nContent-Length: 2\r\n\r\nok", id, load)
 		return true
 	}}
 	s.serve(c)
 }
 
-// fullServiceResult is how a service does whose targets reject what they have no room for.
+// fullServiceResult is the result of a run in which targets reject what exceeds their capacity.
 type fullServiceResult struct {
 	inTime, refused float64
 	rejections      int
@@ -98,12 +98,12 @@
 func runFullService(t *testing.T, boxes int, load float64, backsOff bool) (out fullServiceResult) {
 	t.Helper()
 	s := newTestCluster(t, boxes, fullTargets)
-	rooms := make([]*slotQueue, fullTargets)
-	for i := range rooms {
-		rooms[i] = newSlotQueue(backsOff)
+	queues := make([]*slotQueue, fullTargets)
+	for i := range queues {
+		queues[i] = newSlotQueue(backsOff)
 	}
 	for i, d := range s.boxes {
-		d.connections.dial = s.dialer(func(n int, c net.Conn) { s.targets[n].serveFull(i, c, rooms[n]) })
+		d.connections.dial = s.dialer(func(n int, c net.Conn) { s.targets[n].serveFull(i, c, queues[n]) })
 	}
 	s.deadline = "2000"
 	perSecond := int(load * fullRate * fullTargets)
@@ -120,8 +120,8 @@
 	return out
 }
 
-// Guards against a service whose boxes obey back-offs and serve much less than its targets
-// could: what those that are backed off don't get fills the others, until all are.
+// Guards against boxes that obey back-offs and thereby serve much less than the targets could: the
+// requests that backed-off targets don't get would fill up the others, until all are backed off.
 func TestFullServiceServesOnWhileTargetsAskForBackOffs(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		for _, load := range []float64{0.9, 1.1} {
@@ -132,10 +132,10 @@
 				t.Logf("without back-offs %+v", ignored)
 				t.Logf("with back-offs %+v", obeyed)
 				if obeyed.inTime < ignored.inTime-maxBackOffLoss {
-					t.Errorf("%.3f of the requests are served in time, %.3f where targets ask for no back-offs", obeyed.inTime, ignored.inTime)
+					t.Errorf("%.3f of the requests were served in time, %.3f without back-offs", obeyed.inTime, ignored.inTime)
 				}
 				if obeyed.maxInBackOff > backOffSlack {
-					t.Errorf("%d requests came in a back-off", obeyed.maxInBackOff)
+					t.Errorf("%d requests arrived during a back-off", obeyed.maxInBackOff)
 				}
 			})
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,7 +21,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// testProtocol has the headers of these tests.
+// testProtocol returns the headers of these tests.
 func testProtocol() Protocol {
 	return Protocol{
 		RequestID: "Test-Id", AffinityKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
@@ -33,7 +33,7 @@
 	}
 }
 
-// target is a stand-in that answers each request as its script says.
+// target is a fake target that responds to each request as its script says.
 type target struct {
 	listener net.Listener
 	script   func(n int, r *http.Request, c net.Conn) (keep bool)
@@ -88,7 +88,7 @@
 	return true
 }
 
-// routes of these tests: /safe/ may be repeated, /unsafe/ not.
+// testRoutes has the route /safe/, whose requests may be repeated, and /unsafe/, whose may not.
 func testRoutes([]byte) (catalog.Document, error) {
 	route := func(name string, repeat catalog.Repeat) catalog.Route {
 		return catalog.Route{
@@ -103,13 +103,13 @@
 	}, nil
 }
 
-// testGateway is a box with targets and an HTTP server in front of it.
+// testGateway is a box with targets, behind an HTTP server.
 type testGateway struct {
 	daemon *Daemon
 	server *httptest.Server
 }
 
-// testConfig is that of a box whose retries are as good as unbounded.
+// testConfig returns the configuration of a box with practically unlimited retries.
 func testConfig() Config {
 	return Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
@@ -118,7 +118,7 @@
 	}
 }
 
-// newDaemon opens a box that knows targets t0, t1 and so on at their addresses.
+// newDaemon opens a box with the targets t0, t1 and so on at the given addresses.
 func newDaemon(t testing.TB, c Config, addresses ...string) *Daemon {
 	t.Helper()
 	d, err := Open(c, io.Discard)
@@ -146,7 +146,7 @@
 	return serveDaemon(t, newDaemon(t, testConfig(), addresses...))
 }
 
-// serveDaemon serves requests of callers by a box until the test ends.
+// serveDaemon serves callers through a box until the test ends.
 func serveDaemon(t *testing.T, d *Daemon) *testGateway {
 	t.Helper()
 	g := &testGateway{daemon: d, server: httptest.NewServer(d)}
@@ -205,9 +205,9 @@
 	if at.header.Get("Test-Id") != "id1" || at.header.Get("Test-Expect") != "t0" {
 		t.Fatalf("the target got %v", at.header)
 	}
-	left, err := strconv.Atoi(at.header.Get("Test-Deadline"))
-	if err != nil || left <= 0 || left > 1500 {
-		t.Fatalf("the target was told to have %q", at.header.Get("Test-Deadline"))
+	millis, err := strconv.Atoi(at.header.Get("Test-Deadline"))
+	if err != nil || millis <= 0 || millis > 1500 {
+		t.Fatalf("the target got deadline %q", at.header.Get("Test-Deadline"))
 	}
 }
 
@@ -222,8 +222,7 @@
 	}
 }
 
-// What comes behind a whole answer belongs to no request: the connection is
-// not used again.
+// Data after a complete response belongs to no request: the connection must not be reused.
 func TestSurplusAnswerIsNotPassedOn(t *testing.T) {
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		id := r.Header.Get("Test-Id")
@@ -239,7 +238,7 @@
 	}
 }
 
-// An answer to an earlier request may stand where the next one is due.
+// A response to an earlier request may arrive before the one to this request.
 func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		writeResponse(c, "other", "wrong")
@@ -252,11 +251,11 @@
 	}
 	g.do(t, "POST", "/unsafe/", "id2", "")
 	if n := s.conns.Load(); n != 2 {
-		t.Fatalf("%d connections: the doubtful one was used again", n)
+		t.Fatalf("got %d connections, want 2: one that is out of sync must not be reused", n)
 	}
 }
 
-// brokenResponses are the ways in which an answer can break.
+// brokenResponses are the ways in which a response can break.
 var brokenResponses = map[string]func(c net.Conn, id string){
 	"no answer": func(net.Conn, string) {},
 	"garbage":   func(c net.Conn, _ string) { _, _ = io.WriteString(c, "\x00\x01 what\r\n\r\n") },
@@ -276,10 +275,10 @@
 }
 
 func TestBrokenAnswerOfAnUnrepeatableRequestIsUnknown(t *testing.T) {
-	for name, break_ := range brokenResponses {
+	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
-				break_(c, r.Header.Get("Test-Id"))
+				respondBroken(c, r.Header.Get("Test-Id"))
 				return false
 			})
 			g := newGateway(t, s, newTarget(t, s.script))
@@ -288,19 +287,19 @@
 				t.Fatalf("got %d, %v", response.StatusCode, response.Header)
 			}
 			if s.requests.Load() > 1 {
-				t.Fatal("sent twice")
+				t.Fatal("the request was sent twice")
 			}
 		})
 	}
 }
 
 func TestBrokenAnswerOfARepeatableRequestIsTriedElsewhere(t *testing.T) {
-	for name, break_ := range brokenResponses {
+	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			var total atomic.Int32
 			script := func(_ int, r *http.Request, c net.Conn) bool {
 				if total.Add(1) == 1 {
-					break_(c, r.Header.Get("Test-Id"))
+					respondBroken(c, r.Header.Get("Test-Id"))
 					return false
 				}
 				return respondHello(0, r, c)
@@ -326,7 +325,7 @@
 		t.Fatalf("got %d, %v", response.StatusCode, response.Header)
 	}
 	if response.Header.Get("Seal") != "" {
-		t.Fatal("the target's header is on the box's own answer")
+		t.Fatal("the target's header is on a response generated by the box")
 	}
 	if a.requests.Load() != 1 || b.requests.Load() != 1 {
 		t.Fatalf("targets got %d and %d requests; the route allows 2 attempts", a.requests.Load(), b.requests.Load())
@@ -359,40 +358,39 @@
 func TestOwnAnswers(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	if response, _ := g.do(t, "GET", "/none/", "id1", ""); response.StatusCode != http.StatusNotFound {
-		t.Fatalf("no route: %d", response.StatusCode)
+		t.Fatalf("unknown route: got %d", response.StatusCode)
 	}
 	g.daemon.routing.Store(nil)
 	response, _ := g.do(t, "GET", "/safe/", "id2", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Fatalf("no routes known: %d, %v", response.StatusCode, response.Header)
+		t.Fatalf("box without routes: got %d, %v", response.StatusCode, response.Header)
 	}
 	if g.daemon.isReady() {
 		t.Fatal("ready without routes")
 	}
 }
 
-// A box answered requests at a route that had been added with 404, for seconds:
-// the change had not reached it, and its word of control was seven seconds old. It
-// answered from what it knew as if it knew all there is; the log lines of these
-// requests named an older document than the one in force, with that age.
+// Guards against answering 404 for a route that was added while the box had no contact with
+// control. A box did so for seconds: its last contact was seven seconds ago, and it answered from
+// an older routes document than the active one as if that were up to date.
 func TestRouteThatMayHaveBeenAddedIsNotDenied(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	age := maxControlAge + time.Millisecond
 	g.daemon.controlAge = func() time.Duration { return age }
 	response, _ := g.do(t, "GET", "/added/", "id1", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Errorf("no word of control for %s: %d, %v", age, response.StatusCode, response.Header)
+		t.Errorf("no contact with control for %s: got %d, %v", age, response.StatusCode, response.Header)
 	}
 	if response, _ := g.do(t, "GET", "/safe/", "id2", ""); response.StatusCode != http.StatusOK {
-		t.Errorf("a known route: %d", response.StatusCode)
+		t.Errorf("known route: got %d", response.StatusCode)
 	}
 	age = maxControlAge
 	if response, _ := g.do(t, "GET", "/added/", "id3", ""); response.StatusCode != http.StatusNotFound {
-		t.Errorf("word of control: %d", response.StatusCode)
+		t.Errorf("unknown route with recent contact with control: got %d", response.StatusCode)
 	}
 }
 
-// Long bodies and long answers go through in pieces.
+// Large request and response bodies are streamed.
 func TestLongBodies(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 40_000)
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
--- a/internal/gateway/hedging_test.go
+++ b/internal/gateway/hedging_test.go
@@ -18,57 +18,55 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against an attempt that is ended for a target at work while no other one has
-// answered.
-// A target that works on a request for longer than the patience is not given up
-// for another one that does not answer, and never before another is known.
+// Guards against canceling an attempt at a target that takes longer than the hedge delay before
+// another target has responded, or before another target is even known.
 func TestTargetAtWorkIsNotGivenUp(t *testing.T) {
-	t.Run("there is no other", targetWithoutAnother)
-	t.Run("the body is long", targetOfALongBody)
-	t.Run("the box stops", targetOfAStoppingBox)
-	t.Run("no retries are left", targetWithoutRetries)
-	t.Run("the second does not answer", firstOfTwoTargets)
-	t.Run("the second can't be reached", secondOutOfReach)
-	t.Run("another gets room later", targetThatGetsRoomLater)
-	t.Run("both stay silent", silentTargets)
-	t.Run("the first may have run it", requestThatMayHaveRun)
-	t.Run("the first broke", requestThatBroke)
-	t.Run("the second tells a failure", failureOfTheSecond)
+	t.Run("there is no other", waitsWithoutAlternative)
+	t.Run("the body is long", waitsWithStreamedBody)
+	t.Run("the box stops", waitsDuringShutdown)
+	t.Run("no retries are left", waitsWithoutRetryBudget)
+	t.Run("the second does not answer", firstTargetWins)
+	t.Run("the second can't be reached", secondIsUnreachable)
+	t.Run("another gets room later", secondRegistersLater)
+	t.Run("both stay silent", bothUnresponsive)
+	t.Run("the first may have run it", rejectedAfterOverdue)
+	t.Run("the first broke", rejectedAfterBroken)
+	t.Run("the second tells a failure", secondFails)
 }
 
-// A target that takes longer than the patience is waited for where there is no other.
-func targetWithoutAnother(t *testing.T) {
+// A target that takes longer than the hedge delay is waited for if there is no other.
+func waitsWithoutAlternative(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"))
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
 		s.wantAttempts(t, 1, 0)
 	})
 }
 
-// A request whose body can be sent once only stays at its target.
-func targetOfALongBody(t *testing.T) {
+// A request whose body can be sent only once stays at its target.
+func waitsWithStreamedBody(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"))
 		s.wantResponse(t, s.send(t.Context(), "/long/", strings.Repeat("x", 2*maxBufferedBody)), "first", slowResponseTime)
 		s.wantAttempts(t, 1, 0)
 	})
 }
 
-// A target is waited for where the retries of all boxes are used up.
-func targetWithoutRetries(t *testing.T) {
+// A target is waited for if the retry budget is exhausted.
+func waitsWithoutRetryBudget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 0, 0
 		s := newRig(t, config, 2)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"))
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
 		s.wantAttempts(t, 1, 0)
 	})
 }
 
-// memoryListener hands connections in memory to a server.
+// memoryListener accepts in-memory connections.
 type memoryListener struct {
 	net.Listener
 	conns chan net.Conn
@@ -91,22 +89,22 @@
 	return nil
 }
 
-// A box that is told to stop while a target is at work passes its answer on, also
-// where the target takes longer than the patience.
-func targetOfAStoppingBox(t *testing.T) {
+// A box that is shutting down forwards the response of a slow target, also if it takes longer than
+// the hedge delay.
+func waitsDuringShutdown(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.StopTime = 6 * time.Second
 		s := newRig(t, config, 1)
-		s.scripts = scripts(s.answers(4*time.Second, "first"))
+		s.scripts = scripts(s.responds(4*time.Second, "first"))
 		l := &memoryListener{Listener: s.daemon.callerServer.listener, conns: make(chan net.Conn), ended: make(chan struct{})}
 		ended := make(chan error, 1)
 		go func() { ended <- s.daemon.callerServer.server.Serve(l) }()
 		near, far := net.Pipe()
 		l.conns <- far
-		left := make(chan struct{})
-		go func() { defer close(left); s.daemon.shutdown() }()
-		time.Sleep(time.Second) // the request comes late in the stop
+		stopped := make(chan struct{})
+		go func() { defer close(stopped); s.daemon.shutdown() }()
+		time.Sleep(time.Second) // the request arrives late in the shutdown
 		began := time.Now()
 		go func() {
 			_, _ = io.WriteString(near, "GET /long/ HTTP/1.1\r\nHost: a.example\r\nTest-Id: id1\r\nTest-Deadline: 5000\r\n\r\n")
@@ -122,25 +120,26 @@
 		if err := <-ended; err != http.ErrServerClosed {
 			t.Fatal(err)
 		}
-		<-left
+		<-stopped
 		s.wantAttempts(t, 1, 0)
 	})
 }
 
-// What a second target does other than answering takes nothing from the first.
-func firstOfTwoTargets(t *testing.T) {
+// If the second target does anything but respond successfully, the response of the first one still
+// counts.
+func firstTargetWins(t *testing.T) {
 	for name, second := range map[string]func(s *rig) script{
 		"turns away":     func(s *rig) script { return s.rejects() },
 		"breaks":         func(s *rig) script { return s.breaks(100 * time.Millisecond) },
-		"fails":          func(s *rig) script { return s.answersStatus(100*time.Millisecond, http.StatusInternalServerError) },
+		"fails":          func(s *rig) script { return s.respondsStatus(100*time.Millisecond, http.StatusInternalServerError) },
 		"breaks at once": func(s *rig) script { return s.breaks(0) },
 		"stays silent":   func(s *rig) script { return s.silent() },
-		"takes its time": func(s *rig) script { return s.answers(slowResponseTime, "second") },
+		"takes its time": func(s *rig) script { return s.responds(slowResponseTime, "second") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				s := newRig(t, testConfig(), 3)
-				s.scripts = scripts(s.answers(slowResponseTime, "first"), second(s))
+				s.scripts = scripts(s.responds(slowResponseTime, "first"), second(s))
 				s.wantResponse(t, s.send(t.Context(), "/long/", "body"), "first", slowResponseTime)
 				ended := 0
 				if strings.HasPrefix(name, "stays") || strings.HasPrefix(name, "takes") {
@@ -152,16 +151,16 @@
 	}
 }
 
-// Of two targets at work the first answer counts, and the other is ended.
+// Of two targets the first response counts, and the other attempt is canceled.
 func TestSecondTargetThatAnswersFirstWins(t *testing.T) {
 	for name, first := range map[string]func(s *rig) script{
-		"slow":   func(s *rig) script { return s.answers(slowResponseTime, "first") },
+		"slow":   func(s *rig) script { return s.responds(slowResponseTime, "first") },
 		"silent": func(s *rig) script { return s.silent() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				s := newRig(t, testConfig(), 2)
-				s.scripts = scripts(first(s), s.answers(100*time.Millisecond, "second"))
+				s.scripts = scripts(first(s), s.responds(100*time.Millisecond, "second"))
 				s.wantResponse(t, s.send(t.Context(), "/long/", "body"), "second", hedgeDelay+100*time.Millisecond)
 				s.wantAttempts(t, 2, 1)
 			})
@@ -169,23 +168,22 @@
 	}
 }
 
-// An answer that goes on for long ends the other target at its beginning, and is
-// passed on to its end.
+// A streamed response cancels the other attempt as soon as it begins, and is forwarded completely.
 func TestLongAnswerOfTheSecondTargetIsWhole(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		long := strings.Repeat("0123456789abcdef", maxBufferedResponse/4)
 		s := newRig(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"), s.answers(100*time.Millisecond, long))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"), s.responds(100*time.Millisecond, long))
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), long, hedgeDelay+100*time.Millisecond)
 		s.wantAttempts(t, 2, 1)
 	})
 }
 
-// A second target that can't be reached takes nothing from the first.
-func secondOutOfReach(t *testing.T) {
+// A second target that is unreachable does not end the attempt at the first.
+func secondIsUnreachable(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"))
 		dial := s.daemon.connections.dial
 		var dials atomic.Int32
 		s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -196,20 +194,20 @@
 		}
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", slowResponseTime)
 		if n := dials.Load(); n != 2 {
-			t.Fatalf("%d connections were tried", n)
+			t.Fatalf("%d connections were attempted, want 2", n)
 		}
 		s.wantAttempts(t, 1, 0)
 	})
 }
 
-// A second target that gets room later is asked then.
-func targetThatGetsRoomLater(t *testing.T) {
+// A second target that registers later is tried then.
+func secondRegistersLater(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
-		config.RetryShare, config.RetryExtra = 0, 1.5 // one retry: asking in vain takes none
+		config.RetryShare, config.RetryExtra = 0, 1.5 // one retry, which a search without a result must not use up
 		s := newRig(t, config, 2)
 		s.register(t, "0")
-		s.scripts = scripts(s.silent(), s.answers(100*time.Millisecond, "second"))
+		s.scripts = scripts(s.silent(), s.responds(100*time.Millisecond, "second"))
 		got := make(chan result, 1)
 		go func() { got <- s.send(t.Context(), "/long/", "") }()
 		time.Sleep(2 * time.Second)
@@ -225,7 +223,7 @@
 	})
 }
 
-// register puts targets t0, t1 and so on in force.
+// register registers targets t0, t1 and so on.
 func (s *rig) register(t *testing.T, addresses ...string) {
 	t.Helper()
 	state, _ := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
@@ -237,14 +235,13 @@
 	s.daemon.applyState(state, nil)
 }
 
-// No second target runs beside one where the route or the nature of the request
-// forbids it.
+// There is no hedged attempt for unrepeatable requests and routes with one attempt.
 func TestNoSecondTargetWhereItIsForbidden(t *testing.T) {
 	for name, path := range map[string]string{"unrepeatable": "/once/", "one attempt": "/single/"} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				s := newRig(t, testConfig(), 2)
-				s.scripts = scripts(s.answers(slowResponseTime, "first"))
+				s.scripts = scripts(s.responds(slowResponseTime, "first"))
 				s.wantResponse(t, s.send(t.Context(), path, ""), "first", slowResponseTime)
 				s.wantAttempts(t, 1, 0)
 			})
@@ -252,9 +249,9 @@
 	}
 }
 
-// Not more targets get a request than its route allows; what they may have run
-// is not called not run.
-func silentTargets(t *testing.T) {
+// No more targets get a request than its route allows. A request that they may have run must not be
+// reported as not run.
+func bothUnresponsive(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 3)
 		s.scripts = scripts(s.silent(), s.silent())
@@ -266,9 +263,9 @@
 	})
 }
 
-// A second target that turns a request away does not make it one that did not
-// run, while the first may have run it.
-func requestThatMayHaveRun(t *testing.T) {
+// A rejection by the second target must not make the request count as not run while the first may
+// have run it.
+func rejectedAfterOverdue(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(s.breaks(slowResponseTime), s.rejects())
@@ -280,8 +277,8 @@
 	})
 }
 
-// The same where the first broke before the second was asked.
-func requestThatBroke(t *testing.T) {
+// The same if the first attempt broke before the second one was started.
+func rejectedAfterBroken(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(s.breaks(time.Millisecond), s.rejects())
@@ -293,11 +290,11 @@
 	})
 }
 
-// The failure that a second target told is the answer where the first breaks.
-func failureOfTheSecond(t *testing.T) {
+// If the first attempt breaks, the failure reported by the second target is forwarded.
+func secondFails(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
-		s.scripts = scripts(s.breaks(slowResponseTime), s.answersStatus(0, http.StatusInternalServerError))
+		s.scripts = scripts(s.breaks(slowResponseTime), s.respondsStatus(0, http.StatusInternalServerError))
 		got := s.send(t.Context(), "/long/", "")
 		if got.status != http.StatusInternalServerError || got.body != "no" || got.took != slowResponseTime {
 			t.Fatalf("got %d %q after %s", got.status, got.body, got.took)
@@ -306,7 +303,7 @@
 	})
 }
 
-// A caller that leaves ends its request at both targets.
+// A caller that disconnects cancels the attempts at both targets.
 func TestCallerThatLeavesEndsItAtBothTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
@@ -321,14 +318,14 @@
 	})
 }
 
-// The line of a request tells that a second target ran beside the first, since
-// when, and what became of the other.
+// The log line of a request reports the hedged attempt, its delay, and the outcome of the other
+// attempt.
 func TestLogTellsOfTheSecondTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
-		s.scripts = scripts(s.silent(), s.answers(100*time.Millisecond, "second"))
+		s.scripts = scripts(s.silent(), s.responds(100*time.Millisecond, "second"))
 		s.send(t.Context(), "/long/", "")
 		for _, want := range []string{`"sent":2`, `"beside":1`, `"besideAfter":750`, ` stuck"]`, `"outcome":"answered"`} {
 			if !strings.Contains(lines.String(), want) {
@@ -338,13 +335,13 @@
 	})
 }
 
-// The line of a request tells why no second target was asked.
+// The log line of a request reports why there was no hedged attempt.
 func TestLogTellsWhyThereWasNoSecondTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
-		s.scripts = scripts(s.answers(slowResponseTime, "first"))
+		s.scripts = scripts(s.responds(slowResponseTime, "first"))
 		s.send(t.Context(), "/long/", "")
 		if want := `"noneBeside":"no target of s: none can be used`; !strings.Contains(lines.String(), want) {
 			t.Errorf("%s is not in the log: %s", want, lines.String())
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// newIdleTestServer serves with the connections' states told to the callers of a box;
-// before is called with each state before the box hears of it.
+// newIdleTestServer passes connection state changes on to the box's caller server. before is called
+// with each state first.
 func newIdleTestServer(t *testing.T, before func(c *callerServer, s http.ConnState)) *testGateway {
 	t.Helper()
 	g := newGateway(t, newTarget(t, respondHello))
@@ -26,8 +26,7 @@
 	return g
 }
 
-// A request that is read while its connection is ended for resting too long is
-// answered.
+// A request that is read while its connection is being closed as idle must be served.
 func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
 	g := newIdleTestServer(t, func(c *callerServer, s http.ConnState) {
 		if s == http.StateActive {
@@ -37,12 +36,12 @@
 	for _, id := range []string{"id1", "id2", "id3"} {
 		response, _ := g.do(t, http.MethodPost, "/unsafe/", id, "")
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("%s was answered %d", id, response.StatusCode)
+			t.Fatalf("request %s: got status %d", id, response.StatusCode)
 		}
 	}
 }
 
-// A connection that has rested too long is closed.
+// A connection that has been idle for too long is closed.
 func TestConnectionThatRestsTooLongIsClosed(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	idle := make(chan struct{}, 8)
@@ -66,13 +65,13 @@
 	}
 }
 
-// crossingConn is a connection whose end begins between the reading of a request
-// and its coming to the server.
+// crossingConn is a connection that starts to close after a request was read and before the server
+// gets it.
 type crossingConn struct {
 	net.Conn
 	read func()
-	// crossing tells that a request has been read; then ends is closed when the
-	// connection is told to end.
+	// crossing is set once a request has been read; from then on, ending is closed when the
+	// connection is told to close.
 	crossing atomic.Bool
 	endOnce  sync.Once
 	ending   chan struct{}
@@ -107,7 +106,7 @@
 	}
 }
 
-// crossingListener makes its connections crossing ones.
+// crossingListener wraps its connections in crossingConn.
 type crossingListener struct {
 	net.Listener
 	read func(c *crossingConn)
@@ -124,8 +123,8 @@
 	return c, nil
 }
 
-// Guards against a stopping box that closes a connection on which a request has just been
-// read.
+// Guards against a box that, while shutting down, closes a connection on which a request has just
+// been read.
 func TestRequestThatCrossesTheStopIsServed(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	c := g.daemon.callerServer
@@ -150,11 +149,11 @@
 	g.server.Client().Transport = &http.Transport{}
 	g.server.URL = "http://" + c.listener.Addr().String()
 	if response, _ := g.do(t, http.MethodPost, "/unsafe/", "id1", ""); response.StatusCode != http.StatusOK {
-		t.Fatalf("the first was answered %d", response.StatusCode)
+		t.Fatalf("first request: got status %d", response.StatusCode)
 	}
-	<-idle // else the second may come while its connection still counts as active
+	<-idle // otherwise the second may arrive while its connection still counts as active
 	if response, _ := g.do(t, http.MethodPost, "/unsafe/", "id2", ""); response.StatusCode != http.StatusOK {
-		t.Fatalf("the second was answered %d", response.StatusCode)
+		t.Fatalf("second request: got status %d", response.StatusCode)
 	}
 	g.server.Client().CloseIdleConnections()
 	if err := <-stopped; err != nil {
--- a/internal/gateway/incompleterequests_test.go
+++ b/internal/gateway/incompleterequests_test.go
@@ -22,21 +22,20 @@
 	return c
 }
 
-// Nothing of a request reaches a target whose caller leaves before its body has
-// been read.
+// Nothing is sent to a target if the caller disconnects before its body has been read.
 func TestCallerThatLeavesWithinItsBodySendsNothing(t *testing.T) {
 	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	head := "POST /unsafe/ HTTP/1.1\r\nHost: a.example\r\nTest-Id: id1\r\nTest-Key: k\r\nContent-Length: 100\r\n\r\n"
 	c := openTo(t, g, head+"half of")
 	_ = c.Close()
-	g.server.Close() // waits for the request's end
+	g.server.Close() // waits for the request to end
 	if n := s.requests.Load(); n != 0 {
 		t.Errorf("%d requests reached the target", n)
 	}
 }
 
-// Callers that connect and send nothing, or half of a header, keep no other out.
+// Callers that connect and send nothing, or half a header, must not block others.
 func TestHalfOpenConnectionsKeepNoneOut(t *testing.T) {
 	const many = 300
 	g := newGateway(t, newTarget(t, respondHello))
@@ -50,7 +49,7 @@
 	for n := range 5 {
 		response, _ := g.do(t, http.MethodGet, "/safe/", fmt.Sprint("id", n), "")
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("request %d was answered %d", n, response.StatusCode)
+			t.Fatalf("request %d: got status %d", n, response.StatusCode)
 		}
 	}
 }
--- a/internal/gateway/largeresponses_test.go
+++ b/internal/gateway/largeresponses_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// The load of downloads at one of 273 boxes: 1.3 requests a second for answers of
-// 90 KB in the mean on a link of 2.6 Mbit/s, which carries an answer in 0.28 s, once
-// towards the box and once away from it; a target that knows the object answers
-// after 0.54 s, and 1.2 s are the objective.
+// The load of downloads at one of 273 boxes: 1.3 requests per second with responses of 90 KB on
+// average, on a link of 2.6 Mbit/s. The link carries such a response in 0.28 s, once to the box and
+// once from it. A target that has the object cached responds after 0.54 s, and the objective is 1.2
+// s.
 const (
 	busyLink      = 2_600_000 / 8
 	busyRate      = 1.3
@@ -24,7 +24,7 @@
 	busyRequests  = 400
 )
 
-// zeros is a body of a target that sends as fast as it is read.
+// zeros is the body of a target that sends as fast as it is read.
 type zeros struct{ left int64 }
 
 // Read implements io.Reader.
@@ -37,7 +37,7 @@
 	return int(n), nil
 }
 
-// Guards against long answers that share a narrow link so that none of them ends.
+// Guards against large responses that share a narrow link so that none of them completes.
 func TestLongAnswersOfABusyBoxEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 1))
@@ -74,18 +74,18 @@
 			slowest, longest = max(slowest, e.whole), max(longest, e.held)
 			waited = max(waited, e.held-e.alone)
 		}
-		t.Logf("%d of %d let in, %d in time, the slowest took %s and held its target for %s, the longest wait was %s", admitted, busyRequests, inTime, slowest, longest, waited)
+		t.Logf("%d of %d admitted, %d in time, the slowest took %s and occupied its target for %s, the longest wait was %s", admitted, busyRequests, inTime, slowest, longest, waited)
 		if admitted < busyRequests*55/100 {
-			t.Errorf("%d of %d let in", admitted, busyRequests)
+			t.Errorf("%d of %d admitted", admitted, busyRequests)
 		}
 		if inTime < busyRequests*3/10 {
 			t.Errorf("%d of %d in time", inTime, busyRequests)
 		}
 		if slowest > 4500*time.Millisecond {
-			t.Errorf("the slowest took %s", slowest)
+			t.Errorf("the slowest response took %s", slowest)
 		}
 		if waited > 2*time.Second {
-			t.Errorf("one waited for %s beyond its own bytes", waited)
+			t.Errorf("a response waited %s beyond the transfer of its own bytes", waited)
 		}
 	})
 }
--- a/internal/gateway/leavingtargets_test.go
+++ b/internal/gateway/leavingtargets_test.go
@@ -14,11 +14,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// leavingHeader is how the targets of these tests say that they leave.
+// leavingHeader is the header in which targets report that they are shutting down.
 const leavingHeader = "Test-Leaving"
 
-// Guards against requests to a target long after an answer to this box has said that the
-// target leaves, with control and without.
+// Guards against requests to a target long after a response to this box reported that the target is
+// shutting down, with and without control.
 func TestTargetThatLeavesGetsNothingMore(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150} {
 		for _, targets := range []int{1, 2, 4} {
@@ -35,7 +35,7 @@
 						s.waitForResponses()
 						for i, target := range s.targets {
 							if got := target.countAfterLeaving(); got > 0 {
-								t.Errorf("target %d got %d requests later than %s after it had said that it leaves", i, got, leavingGrace)
+								t.Errorf("target %d got %d requests later than %s after it had reported that it is shutting down", i, got, leavingGrace)
 							}
 						}
 					})
@@ -45,7 +45,8 @@
 	}
 }
 
-// Guards against boxes that each find out by a request of their own that a target leaves.
+// Guards against boxes that each have to send a request of their own to learn that a target is
+// shutting down.
 func TestAllBoxesAreToldThatATargetLeaves(t *testing.T) {
 	for _, boxes := range []int{9, 150} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -62,18 +63,18 @@
 					}
 				}
 				if got := s.targets[0].countBetween(first.Add(300*time.Millisecond), time.Now()); got > 0 {
-					t.Errorf("%d requests came later than 0.3 s after the first box was told", got)
+					t.Errorf("%d requests arrived later than 0.3 s after the first box got the report", got)
 				}
 				if s.refused > 0 {
-					t.Errorf("%d requests were refused, the other targets have room", s.refused)
+					t.Errorf("%d requests were refused, although the other targets have free slots", s.refused)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a target that leaves and is used again because of a late heartbeat, an
-// earlier state or an answer of before; only a new incarnation is.
+// Guards against using a target that is shutting down again because of a late heartbeat, an earlier
+// state or an earlier response; only a new incarnation may be used.
 func TestTargetThatLeavesIsNotRevived(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
@@ -103,22 +104,22 @@
 		state, _ = state.Apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{Id: "t1", Service: "s", Address: "1", Zone: "z", Slots: 4, Sequence: 2}}})
 		d.applyState(state, nil)
 		if got := chosen(); got["t0"] > 0 {
-			t.Errorf("a late heartbeat revives it: %v", got)
+			t.Errorf("used again after a late heartbeat: %v", got)
 		}
 		d.mergeUpdates([]*wire.TargetLimit{{Life: "t0"}})
 		if got := chosen(); got["t0"] > 0 {
-			t.Errorf("another box's update revives it: %v", got)
+			t.Errorf("used again after another box's update: %v", got)
 		}
 		state, _ = state.Apply(registration(1, 1_785_000_000_000))
 		d.applyState(state, nil)
 		if got := chosen(); len(got) != 2 {
-			t.Errorf("its next incarnation gets nothing: %v", got)
+			t.Errorf("its next incarnation gets no requests: %v", got)
 		}
 	})
 }
 
-// Guards against requests that are refused while targets that have just said that they
-// leave still serve, and against requests to them once that is over.
+// Guards against refusing requests while targets that have just reported that they are shutting
+// down still serve, and against requests to them after that.
 func TestTargetsThatLeaveServeWhereThereIsNoOther(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 3)
@@ -126,7 +127,7 @@
 		for _, target := range s.targets {
 			target.setLeaving(true)
 		}
-		left := time.Now()
+		announced := time.Now()
 		s.sendLoad(40, 800*time.Millisecond)
 		synctest.Wait()
 		if s.refused > 0 {
@@ -135,29 +136,29 @@
 		s.sendLoad(40, 5*time.Second)
 		s.waitForResponses()
 		for i, target := range s.targets {
-			if got := target.countBetween(left.Add(1500*time.Millisecond), time.Now()); got > 0 {
-				t.Errorf("target %d got %d requests later than 1.5 s after", i, got)
+			if got := target.countBetween(announced.Add(1500*time.Millisecond), time.Now()); got > 0 {
+				t.Errorf("target %d got %d requests later than 1.5 s after it reported that it is shutting down", i, got)
 			}
 		}
 	})
 }
 
-// Guards against a rejection that tells that the target leaves and is read as if it took a
-// limit back, or not read as it is no service.
+// Guards against a rejection which reports that the target is shutting down and is taken to
+// withdraw the target's rate limit, or is ignored because it is a rejection.
 func TestRejectionTellsThatATargetLeaves(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 1})
 		s.scripts = scripts(respondsWithHeader(503, "Test-Not-Executed: 1\r\nTest-Leaving: 1\r\n"))
 		time.Sleep(time.Second)
 		s.send(t.Context(), "/single/", "")
-		if !s.daemon.targetLimits.isLeaving("t0") || s.limitOf("t0") != 5 || !s.daemon.isLeaving("t0") {
-			t.Errorf("leaving %v, limit %v", s.daemon.targetLimits.isLeaving("t0"), s.limitOf("t0"))
+		if !s.daemon.targetLimits.isLeaving("t0") || s.knownLimit("t0") != 5 || !s.daemon.isLeaving("t0") {
+			t.Errorf("leaving %v, limit %v", s.daemon.targetLimits.isLeaving("t0"), s.knownLimit("t0"))
 		}
 	})
 }
 
-// Guards against a target that another box was told of before it is registered here, and
-// that counts as serving.
+// Guards against counting a target as serving if another box learned that it is shutting down
+// before it was registered here.
 func TestTargetThatLeavesBeforeItIsRegisteredHere(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 1)
@@ -168,30 +169,30 @@
 		}}})
 		d.applyState(state, nil)
 		if !d.isLeaving("t9") {
-			t.Error("counts as serving")
+			t.Error("the target counts as serving")
 		}
 	})
 }
 
-// Guards against a box that keeps to itself what it knows better than another one.
+// Guards against a box that does not report what it knows better than another box.
 func TestBoxTellsThatATargetLeaves(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
 		d := s.daemon
 		d.targetLimits.recordResponse(targetstatus.Update{Incarnation: "t0", Leaving: true}.WithoutLimit())
 		time.Sleep(2 * updateRepeatTime)
-		if told := d.targetLimits.pendingReports(); len(told) > 0 {
-			t.Fatalf("still tells %v", told)
+		if reports := d.targetLimits.pendingReports(); len(reports) > 0 {
+			t.Fatalf("still reports %v", reports)
 		}
 		d.mergeUpdates([]*wire.TargetLimit{{Life: "t0", Limited: true, PerSecond: 5}})
-		if told := d.targetLimits.pendingReports(); len(told) == 0 || !told[0].Leaving {
-			t.Errorf("tells %v", told)
+		if reports := d.targetLimits.pendingReports(); len(reports) == 0 || !reports[0].Leaving {
+			t.Errorf("reports %v", reports)
 		}
 	})
 }
 
-// Guards against a request that was chosen for a target which leaves, and is sent when that
-// target may have ended.
+// Guards against sending a request to a target that was shutting down when it was chosen and may
+// have ended since.
 func TestRequestThatWaitsIsNotSentToATargetThatIsGone(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
@@ -205,7 +206,7 @@
 		d.balancing.balancer.SetLeaving(d.clock.Now(), "t1")
 		s.send(d, 1)
 		if got := s.targets[0].countBetween(time.Time{}, time.Now()) + s.targets[1].countBetween(time.Time{}, time.Now()); got > 0 {
-			t.Errorf("%d requests were sent", got)
+			t.Errorf("%d requests were sent to targets that may have ended", got)
 		}
 	})
 }
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -13,10 +13,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// fakeIssuers are stand-ins for control fakeIssuers that issue permits.
+// fakeIssuers are fake control replicas that issue permits.
 type fakeIssuers struct {
 	mu sync.Mutex
-	// permits is how many permits each still has; below zero for one that is silent.
+	// permits is how many permits each still has; below zero for one that does not answer.
 	permits map[string]int
 	calls   int
 }
@@ -26,7 +26,7 @@
 	defer r.mu.Unlock()
 	r.calls++
 	if r.permits[address] < 0 {
-		return nil, errors.New("silent")
+		return nil, errors.New("no answer")
 	}
 	out := &wire.PermitAnswer{}
 	for _, a := range request.Asks {
@@ -40,15 +40,15 @@
 func (r *fakeIssuers) issued(before int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, left := range r.permits {
-		before -= max(left, 0)
+	for _, remaining := range r.permits {
+		before -= max(remaining, 0)
 	}
 	return before
 }
 
-// newWorkspaceLimitedRig is a box in virtual time whose requests are all of one workspace
-// with a limit.
-func newWorkspaceLimitedRig(t *testing.T, targets int, left map[string]int) (*rig, *fakeIssuers) {
+// newWorkspaceLimitedRig returns a rig whose requests all belong to one workspace with a rate
+// limit.
+func newWorkspaceLimitedRig(t *testing.T, targets int, permits map[string]int) (*rig, *fakeIssuers) {
 	t.Helper()
 	config := testConfig()
 	config.Protocol = workspaceProtocol()
@@ -57,7 +57,7 @@
 	rules.document.Workspaces = []catalog.Workspace{{Name: "north", Keys: []string{"key-n"}, Limit: catalog.RateLimit{PerSecond: 10, Burst: 10}}}
 	rules.keys = catalog.NewKeyTable(rules.document)
 	s.daemon.routing.Store(&rules)
-	r := &fakeIssuers{permits: left}
+	r := &fakeIssuers{permits: permits}
 	s.daemon.permits.call = r.call
 	s.daemon.permits.replicas = func() []string { return []string{"a", "b"} }
 	ctx, cancel := context.WithCancel(t.Context())
@@ -75,16 +75,16 @@
 	t.Helper()
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.status != status || err != nil || after <= 0 {
-		t.Fatalf("got %d %q, Retry-After %q; want status %d and a time", got.status, got.body, got.header.Get("Retry-After"), status)
+		t.Fatalf("got %d %q, Retry-After %q; want status %d and a positive Retry-After", got.status, got.body, got.header.Get("Retry-After"), status)
 	}
 }
 
-// What lies beyond a workspace's limit is refused at once, without a target being
-// asked; the other replica's part is used before.
+// Requests beyond a workspace's rate limit are refused at once, without reaching a target, after
+// the shares of all replicas have been used.
 func TestRequestBeyondTheLimitIsRefused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 1})
-		s.scripts = scripts(s.answers(0, "one"), s.answers(0, "two"))
+		s.scripts = scripts(s.responds(0, "one"), s.responds(0, "two"))
 		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "one", 0)
 		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "two", 0)
 		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusTooManyRequests)
@@ -94,12 +94,12 @@
 	})
 }
 
-// Whether a workspace is within its limit is not known while no replica answers:
-// the request has not run and is told to come back soon.
+// While no replica answers, it is unknown whether a workspace is within its limit: the request is
+// refused with a short Retry-After.
 func TestRequestIsRefusedWhileNoReplicaAnswers(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
-		s.scripts = scripts(s.answers(0, "one"))
+		s.scripts = scripts(s.responds(0, "one"))
 		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		r.mu.Lock()
 		r.permits["b"] = 1
@@ -109,12 +109,11 @@
 	})
 }
 
-// A target that turned the request away did not run it: its permit serves the
-// next request.
+// A target that rejected a request did not run it, so its permit serves the next request.
 func TestPermitOfARequestThatDidNotRunIsUsedAgain(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1})
-		s.scripts = scripts(s.rejects(), s.answers(0, "next"))
+		s.scripts = scripts(s.rejects(), s.responds(0, "next"))
 		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		s.wantResponse(t, s.send(t.Context(), "/once/", ""), "next", 0)
 		if n := r.issued(1); n != 1 {
@@ -123,12 +122,12 @@
 	})
 }
 
-// Each run at a target counts against the limit: a second attempt needs a permit of
-// its own, and is left out where there is none.
+// Each run at a target counts against the limit: a second attempt needs a permit of its own, and is
+// not made without one.
 func TestSecondRunTakesAPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newWorkspaceLimitedRig(t, 2, map[string]int{"a": 1})
-		s.scripts = scripts(s.breaks(0), s.answers(0, "second"))
+		s.scripts = scripts(s.breaks(0), s.responds(0, "second"))
 		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusBadGateway {
 			t.Fatalf("without a second permit: got %d %q", got.status, got.body)
 		}
@@ -138,13 +137,13 @@
 	})
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newWorkspaceLimitedRig(t, 2, map[string]int{"a": 2})
-		s.scripts = scripts(s.breaks(0), s.answers(0, "second"))
+		s.scripts = scripts(s.breaks(0), s.responds(0, "second"))
 		until := time.Now().Add(time.Second)
 		s.daemon.permits.release("north", until)
 		s.daemon.permits.release("north", until)
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 		if n := r.issued(2); n != 0 {
-			t.Fatalf("%d permits were issued beside those in stock", n)
+			t.Fatalf("%d permits were issued besides the cached ones", n)
 		}
 	})
 }
--- a/internal/gateway/linkqueue_test.go
+++ b/internal/gateway/linkqueue_test.go
@@ -15,7 +15,7 @@
 	for i := range 1000 {
 		at := now.Add(time.Duration(i) * 10 * time.Millisecond)
 		if _, _, ok := q.admit(at, "short", objective); !ok {
-			t.Fatal("a short answer was refused")
+			t.Fatal("a small response was refused")
 		}
 		_, wait, ok := q.admit(at, "long", objective)
 		if ok {
@@ -24,12 +24,12 @@
 		}
 		refused++
 		if wait <= 0 {
-			t.Fatal("a refusal without a wait")
+			t.Fatal("refused without a wait time")
 		}
 	}
 	most := link*largeResponseShare*10/size + 3
 	if float64(admitted) > most || float64(admitted) < most-5 || refused == 0 {
-		t.Fatalf("%d admitted in 10 s, about %v are due", admitted, most)
+		t.Fatalf("%d admitted in 10 s, want about %v", admitted, most)
 	}
 }
 
@@ -38,13 +38,13 @@
 	q.recordSize("long", 1<<20)
 	for range 1000 {
 		if _, _, ok := q.admit(time.Unix(0, 0), "long", time.Millisecond); !ok {
-			t.Fatal("refused")
+			t.Fatal("refused on an unlimited link")
 		}
 	}
 }
 
-// What a request booked and did not need is free for the next one, and what it
-// needed beyond is not.
+// Capacity that a request reserved and did not need is released, and what it needed beyond its
+// reservation is added.
 func TestBookingsAreSettled(t *testing.T) {
 	const link, size, objective = 500_000, 100_000, 800 * time.Millisecond
 	now := time.Unix(0, 0)
@@ -53,24 +53,24 @@
 		q.recordSize("long", size)
 		b, _, ok := q.admit(now, "long", objective)
 		if !ok {
-			t.Fatal("refused at an idle link")
+			t.Fatal("refused on an idle link")
 		}
 		if settled >= 0 {
 			b.settle(now, settled)
-			b.settle(now, 0) // counts once
+			b.settle(now, 0) // only the first call counts
 		}
 		return q.nextFree.Sub(now)
 	}
 	booked := waitAfter(-1)
 	for settled, want := range map[int64]time.Duration{0: 0, size: booked, 3 * size: 3 * booked} {
 		if got := waitAfter(settled); got != want {
-			t.Errorf("after an answer of %d bytes the link is free in %s, wanted %s", settled, got, want)
+			t.Errorf("after a response of %d bytes the link is free in %s, want %s", settled, got, want)
 		}
 	}
 }
 
-// Guards against a box that starts while the callers of its zone come back, lets all their
-// downloads in as it knows no size yet, and hears nothing of control on the link that they fill.
+// Guards against a box that starts while the callers of its zone come back, admits all their
+// downloads because it knows no sizes yet, and loses contact with control on the full link.
 func TestDownloadsOfUnknownSizeLeaveTheLinkRoom(t *testing.T) {
 	const link, objective = 325_000, 1200 * time.Millisecond // 2.6 Mbit/s
 	q := newLinkQueue(link)
@@ -83,10 +83,10 @@
 		}
 	}
 	if admitted == 0 || admitted > 3 {
-		t.Errorf("%d of 30 downloads were let in before the size of one was known", admitted)
+		t.Errorf("%d of 30 downloads were admitted before a size was measured, want 1 to 3", admitted)
 	}
 	q.recordSize("download", 400)
 	if _, _, ok := q.admit(now.Add(time.Minute), "download", objective); !ok || q.nextFree.After(now.Add(time.Minute)) {
-		t.Error("the assumed size counts after one was measured")
+		t.Error("the assumed size is used although one was measured")
 	}
 }
--- a/internal/gateway/nativeinterface_test.go
+++ b/internal/gateway/nativeinterface_test.go
@@ -23,8 +23,7 @@
 
 const loopback = "127.0.0.1:0"
 
-// testSystem is one control replica and one entry box on loopback that speak
-// the project's own interface.
+// testSystem is one control replica and one entry box on loopback that use the native interface.
 type testSystem struct {
 	t        *testing.T
 	operator *operator.Client
@@ -69,7 +68,7 @@
 	})
 }
 
-// eventually repeats a step eventually it succeeds.
+// eventually repeats a step until it succeeds.
 func (s *testSystem) eventually(step func() error) {
 	s.t.Helper()
 	for err := step(); err != nil; err = step() {
@@ -85,7 +84,7 @@
 	return s.operator.Do(s.t.Context(), method, path, body, into)
 }
 
-// addTarget registers a target of a zone that answers with its id.
+// addTarget registers a target in a zone that responds with its id.
 func (s *testSystem) addTarget(id, zone string) {
 	s.t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +98,7 @@
 	s.eventually(func() error { return s.do(http.MethodPut, "/v1/targets/"+id, target, &target) })
 }
 
-// get sends a request to the box and returns who answered it.
+// get sends a request to the box and returns the id of the target that responded.
 func (s *testSystem) get() (string, error) {
 	request, err := http.NewRequestWithContext(s.t.Context(), http.MethodGet, "http://"+s.box.CallerAddress()+"/v1/menu", nil)
 	if err != nil {
@@ -130,7 +129,7 @@
 	}
 }
 
-// rawDocument is a document as a body of the operator's client.
+// rawDocument is a document as a request body of the operator client.
 type rawDocument struct{ document catalog.Document }
 
 // MarshalJSON implements json.Marshaler.
@@ -141,8 +140,8 @@
 	return s.do(http.MethodPut, "/v1/routes", rawDocument{d}, &v)
 }
 
-// Routes, targets and evacuations work through the project's own interface,
-// from the operator's order to the answer of a target.
+// Routes, targets and evacuations work through the native interface, from the operator's command to
+// the response of a target.
 func TestOwnInterface(t *testing.T) {
 	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
@@ -156,9 +155,9 @@
 	var evacuations operator.Evacuations
 	s.eventually(func() error { return s.do(http.MethodPut, "/v1/evacuations/z1", nil, &evacuations) })
 	s.eventually(func() error {
-		for range 8 { // keyless requests go to all targets in turn
+		for range 8 { // requests without an affinity key go to all targets in turn
 			if by, err := s.get(); err != nil || by != "t2" {
-				return fmt.Errorf("%s answers: %w", by, err)
+				return fmt.Errorf("%s responded: %w", by, err)
 			}
 		}
 		return nil
@@ -169,7 +168,7 @@
 	s.eventually(func() error { return s.do(http.MethodDelete, "/v1/evacuations/z1", nil, &evacuations) })
 	s.eventually(func() error {
 		if by, err := s.get(); err != nil || by != "t1" {
-			return fmt.Errorf("%s answers: %w", by, err)
+			return fmt.Errorf("%s responded: %w", by, err)
 		}
 		return nil
 	})
@@ -184,7 +183,7 @@
 	}
 }
 
-// Wrong orders are refused by name and change nothing.
+// Invalid commands are refused with a specific code and change nothing.
 func TestOwnInterfaceRefuses(t *testing.T) {
 	s := startTestSystem(t)
 	s.eventually(func() error { return s.putRoutes(shopDocument(1, 0)) })
@@ -210,7 +209,7 @@
 		}
 	}
 	if err := s.putRoutes(shopDocument(1, 0)); err != nil {
-		t.Errorf("the document in force, sent again: %v", err)
+		t.Errorf("the active document, sent again: %v", err)
 	}
 	var got struct {
 		Number uint64 `json:"number"`
--- a/internal/gateway/nativelimits_test.go
+++ b/internal/gateway/nativelimits_test.go
@@ -12,10 +12,9 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// Keys and limits work through the project's own interface, from the operator's
-// document to the answer, between a real replica and a real box: of far more
-// requests than the bound allows all that it allows at once are served, and the
-// others are told to come back.
+// Workspace keys and rate limits work through the native interface, from the operator's document to
+// the response, with a real replica and a real box. Of far more requests than the bound allows, no
+// more than the bound are served; the others are refused with a Retry-After.
 func TestOwnInterfaceKeepsLimits(t *testing.T) {
 	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
@@ -25,7 +24,7 @@
 	s.eventually(func() error {
 		return s.do(http.MethodPut, "/v1/routes", json.RawMessage(text), &operator.RoutesVerdict{})
 	})
-	ask := func(key string) int {
+	send := func(key string) int {
 		t.Helper()
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+s.box.CallerAddress()+"/v1/menu", nil)
 		if err != nil {
@@ -40,39 +39,39 @@
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 		if response.StatusCode == http.StatusTooManyRequests && response.Header.Get("Retry-After") == "" {
-			t.Error("no time to come back is told")
+			t.Error("a refusal has no Retry-After")
 		}
 		return response.StatusCode
 	}
 	s.eventually(func() error {
-		if status := ask("key-north"); status != http.StatusOK {
+		if status := send("key-north"); status != http.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
 		return nil
 	})
-	if status := ask("another"); status != http.StatusUnauthorized {
-		t.Errorf("another key: status %d", status)
+	if status := send("another"); status != http.StatusUnauthorized {
+		t.Errorf("unknown key: got status %d", status)
 	}
 	counts := make(map[int]int)
 	for range 1000 {
-		counts[ask("key-north")]++
+		counts[send("key-north")]++
 	}
-	const most = 298 // (50 a second in 5 s, and 3) and a tenth, and 20
+	const most = 298 // (50 per second in 5 s, and the burst of 3), a tenth more, and 20
 	if served := counts[http.StatusOK]; served == 0 || served > most {
 		t.Errorf("%d of 1000 requests were served, the bound is %d: %v", served, most, counts)
 	}
 	if counts[http.StatusTooManyRequests] == 0 {
-		t.Errorf("none was refused: %v", counts)
+		t.Errorf("no request was refused: %v", counts)
 	}
 	var shown operator.Workspaces
 	if err := s.do(http.MethodGet, "/v1/workspaces", nil, &shown); err != nil || len(shown.Workspaces) != 1 || len(shown.Missing) != 0 {
-		t.Fatalf("shown %+v: %v", shown, err)
+		t.Fatalf("got workspaces %+v, %v", shown, err)
 	}
 	w := shown.Workspaces[0]
 	if w.Name != "north" || w.PerSecond != 50 || w.Burst != 3 || len(w.Parts) != 1 || w.Parts[0].Number != 1 {
-		t.Errorf("shown %+v", w)
+		t.Errorf("got workspace %+v", w)
 	}
 	if w.Issued < uint64(counts[http.StatusOK]) || w.Refused == 0 {
-		t.Errorf("%d permits issued and %d asks refused; %v", w.Issued, w.Refused, counts)
+		t.Errorf("%d permits issued and %d refused; %v", w.Issued, w.Refused, counts)
 	}
 }
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Guards against further requests to a target that has gone silent, while the first one still
+// Guards against further requests to a target that stopped responding, while the first one still
 // waits there.
 func TestOverdueTargetGetsNoFurtherRequests(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 0, 0
 		s := newRig(t, config, 2)
-		s.scripts = scripts(s.silent(), s.answers(0, "a"), s.answers(0, "b"), s.answers(0, "c"), s.answers(0, "d"))
+		s.scripts = scripts(s.silent(), s.responds(0, "a"), s.responds(0, "b"), s.responds(0, "c"), s.responds(0, "d"))
 		got := make(chan result, 1)
 		go func() { got <- s.send(t.Context(), "/long/", "") }()
 		time.Sleep(hedgeDelay + time.Millisecond)
@@ -22,7 +22,7 @@
 		for range 4 {
 			s.send(t.Context(), "/long/", "")
 			if <-s.reached == silent {
-				t.Error("a request was sent to a target whose answer is overdue")
+				t.Error("a request was sent to a target with an overdue response")
 			}
 		}
 		<-got
@@ -30,34 +30,35 @@
 	})
 }
 
-// Guards against a sound target that gets nothing for as long as one request to it is overdue.
+// Guards against a healthy target that gets no requests for as long as one request to it is
+// overdue.
 func TestTargetWithAnOverdueRequestIsTriedAgain(t *testing.T) {
-	t.Run("one connection is silent", targetWithASilentConnection)
+	t.Run("one connection is silent", oneSilentConnection)
 	t.Run("all targets are at work", busyTargets)
 	t.Run("by one request at once", singleProbe)
 }
 
-// firstEjection is how long the balancer leaves a target out the first time.
+// firstEjection is how long the balancer ejects a target the first time.
 const firstEjection = 250 * time.Millisecond
 
-func targetWithASilentConnection(t *testing.T) {
+func oneSilentConnection(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		list := []script{s.silent()}
 		for range 7 {
-			list = append(list, s.answers(0, "answer"))
+			list = append(list, s.responds(0, "answer"))
 		}
 		s.scripts = scripts(list...)
 		done := make(chan result, 1)
 		go func() { done <- s.send(t.Context(), "/long/", "") }()
 		time.Sleep(hedgeDelay + time.Millisecond)
 		if r := s.send(t.Context(), "/long/", ""); r.status != http.StatusServiceUnavailable {
-			t.Errorf("the target is not left out: %d %q", r.status, r.body)
+			t.Errorf("the target is not ejected: got %d %q", r.status, r.body)
 		}
 		time.Sleep(firstEjection)
 		for i := range 7 {
 			if r := s.send(t.Context(), "/long/", ""); r.status != http.StatusOK {
-				t.Errorf("request %d: %d %q", i, r.status, r.body)
+				t.Errorf("request %d: got %d %q", i, r.status, r.body)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -66,7 +67,7 @@
 	})
 }
 
-// Two targets of four slots that have long requests take a further one.
+// Two targets with four slots each that run long requests still accept another one.
 func busyTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
@@ -75,17 +76,17 @@
 		s.scripts = make(chan script, 8)
 		done := make(chan result, 8)
 		begun := make(map[*target]bool)
-		asked := 0
+		sent := 0
 		for len(begun) < 2 {
-			asked++
-			s.scripts <- s.answers(4*time.Second, "long")
+			sent++
+			s.scripts <- s.responds(4*time.Second, "long")
 			go func() { done <- s.send(t.Context(), "/long/", "") }()
 			begun[<-s.reached] = true
 		}
 		time.Sleep(slowResponseTime)
-		s.scripts <- s.answers(0, "short")
+		s.scripts <- s.responds(0, "short")
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "short", 0)
-		for range asked {
+		for range sent {
 			if r := <-done; r.status != http.StatusOK || r.body != "long" {
 				t.Errorf("got %d %q", r.status, r.body)
 			}
@@ -94,17 +95,17 @@
 	})
 }
 
-// While one request tries a target that was left out, no other is sent there, and
-// if that one is overdue too, the target is left out again, for twice as long.
+// While one request probes an ejected target, no other is sent there. If the probe is overdue too,
+// the target is ejected again, for twice as long.
 func singleProbe(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
-		s.scripts = scripts(s.silent(), s.silent(), s.answers(0, "third"))
+		s.scripts = scripts(s.silent(), s.silent(), s.responds(0, "third"))
 		done := make(chan result, 2)
-		ask := func() { done <- s.send(t.Context(), "/long/", "") }
-		go ask()
+		send := func() { done <- s.send(t.Context(), "/long/", "") }
+		go send()
 		time.Sleep(hedgeDelay + firstEjection + time.Millisecond)
-		go ask()
+		go send()
 		synctest.Wait()
 		s.wantReached(t, 2)
 		for _, wait := range []time.Duration{0, hedgeDelay, 2*firstEjection - 2*time.Millisecond} {
--- a/internal/gateway/panic_test.go
+++ b/internal/gateway/panic_test.go
@@ -40,7 +40,7 @@
 			bad.Conn = conn
 			return bad, err
 		}
-		s.scripts = scripts(s.answers(0, "next"))
+		s.scripts = scripts(s.responds(0, "next"))
 		if got := s.send(t.Context(), "/once/", ""); got.status != http.StatusBadGateway || got.body != "unknown\n" {
 			t.Errorf("got %d %q", got.status, got.body)
 		}
--- a/internal/gateway/permitstreams_test.go
+++ b/internal/gateway/permitstreams_test.go
@@ -12,7 +12,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// fakePermitStreams answers requests for permits on each stream that is opened.
+// fakePermitStreams answers the permit requests on each stream that is opened.
 func fakePermitStreams(answer func(stream int, r *wire.PermitRequest) *wire.PermitAnswer) (open func(context.Context, string) (*link.Messages, error), opened func() int) {
 	var mu sync.Mutex
 	count := 0
@@ -48,7 +48,7 @@
 	}
 }
 
-// Requests that wait at once get their own answers, over one stream.
+// Concurrent requests get their own answers over one stream.
 func TestPermitsOfOneStreamAreNotMixedUp(t *testing.T) {
 	open, opened := fakePermitStreams(func(_ int, r *wire.PermitRequest) *wire.PermitAnswer {
 		return &wire.PermitAnswer{Grants: []*wire.PermitGrant{{Workspace: r.Asks[0].Workspace}}}
@@ -72,8 +72,8 @@
 	}
 }
 
-// A stream on which an answer is late is given up, so that the late one can't be
-// taken for that to the next request.
+// A stream on which an answer is late is closed, so that the late answer can't be taken for that to
+// the next request.
 func TestLateAnswerIsNotTakenForTheNext(t *testing.T) {
 	open, opened := fakePermitStreams(func(stream int, r *wire.PermitRequest) *wire.PermitAnswer {
 		if stream == 1 {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// maxSpreadTime is within how long all boxes must know of a request that has ended
-	// three targets, and retriesAfter how many more it may reach later than that.
+	// maxSpreadTime is the time in which all boxes must learn of a request that has crashed three
+	// targets, and maxLateRetries how many more targets it may reach after that.
 	maxSpreadTime  = 3 * time.Second
 	maxLateRetries = 3
 )
 
-// crashingTargets are targets that end while they run a request of /…/fatal and answer all
-// others. A target that has ended refuses connections.
+// crashingTargets are targets that crash while they run a request with n=fatal and respond to all
+// others. A target that has crashed refuses connections.
 type crashingTargets struct {
 	rig *rig
-	// reached is when the fatal request reached a target.
+	// reached gets a time whenever the fatal request reaches a target.
 	reached chan time.Time
 	ended   []atomic.Bool
 }
@@ -34,8 +34,8 @@
 	m := &crashingTargets{rig: newRig(t, testConfig(), targets), reached: make(chan time.Time, 1000), ended: make([]atomic.Bool, targets)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	own := m.rig.daemon.isolation // a test may put another in its place
-	go func() { ended <- own.Run(ctx) }()
+	original := m.rig.daemon.isolation // a test may replace it
+	go func() { ended <- original.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
@@ -69,11 +69,11 @@
 	return false
 }
 
-// A request that ends each target that runs it came again at any box, with another id
-// each time, and was sent to two targets at each arrival: 59 targets ended in some
-// seconds, and a tenth of all other requests was not served. A box booked each failure
-// to the target that broke off and knew nothing of the request any more when it came
-// again. In the run below 20 arrivals reached 40 targets.
+// Guards against a request that crashes each target that runs it and is sent again and again. Such
+// a request came to any box, with a new id each time, and was sent to two targets each time: 59
+// targets crashed within seconds, and a tenth of all other requests failed. Each box attributed the
+// failure to the target and forgot the request. Before the quarantine, the 20 requests below
+// reached 40 targets.
 func TestRequestThatEndsItsTargetsIsHeld(t *testing.T) {
 	for _, route := range []string{"long", "once", "single"} {
 		t.Run(route, func(t *testing.T) {
@@ -82,7 +82,7 @@
 				for range 20 {
 					got := m.rig.send(context.Background(), "/"+route+"/x?n=fatal", "body")
 					if got.status == http.StatusOK {
-						t.Fatalf("answered with %d", got.status)
+						t.Fatalf("got status %d", got.status)
 					}
 					time.Sleep(time.Second)
 				}
@@ -93,8 +93,8 @@
 	}
 }
 
-// wantFewRetries checks how often the fatal request reached targets later than
-// contactTime after it had ended the third.
+// wantFewRetries checks how often the fatal request reached targets later than maxSpreadTime after
+// it had crashed the third one.
 func (m *crashingTargets) wantFewRetries(t *testing.T) {
 	t.Helper()
 	close(m.reached)
@@ -103,7 +103,7 @@
 		all = append(all, at)
 	}
 	if len(all) < 3 {
-		t.Fatalf("the request reached %d targets; it was not tried enough to tell", len(all))
+		t.Fatalf("the request reached %d targets; want at least 3 for this test", len(all))
 	}
 	late := 0
 	for _, at := range all {
@@ -112,6 +112,6 @@
 		}
 	}
 	if late > maxLateRetries {
-		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want %d at most", len(all), late, maxSpreadTime, maxLateRetries)
+		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want at most %d", len(all), late, maxSpreadTime, maxLateRetries)
 	}
 }
--- a/internal/gateway/recordingtarget_test.go
+++ b/internal/gateway/recordingtarget_test.go
@@ -25,32 +25,32 @@
 )
 
 const (
-	// limitHeader is how the targets of these tests name their limit.
+	// limitHeader is the header in which targets report their rate limit.
 	limitHeader = "Test-Limit"
-	// limitWindow is the span in which a rate-limited target counts what it gets.
+	// limitWindow is the window in which a rate-limited target counts requests.
 	limitWindow = 4 * time.Second
-	// limitExcess and needSlack are what it may get in it beyond its limit, and toldBefore is
-	// how long ago a box must have been told for its requests to count.
+	// limitExcess and limitSlack are how far the requests in a window may exceed the limit.
+	// announceDelay is how long a box must have known the limit for its requests to count.
 	limitExcess   = 1.5
 	limitSlack    = 5
 	announceDelay = 500 * time.Millisecond
 )
 
-// recordingTarget is a target that may be rate-limited. It counts what reaches it.
+// recordingTarget is a target that records its requests and may be rate-limited.
 type recordingTarget struct {
 	mu sync.Mutex
-	// limit is what it names, empty for nothing.
+	// limit is the rate limit that it reports, empty for none.
 	limit    string
 	arrivals []arrival
-	// activeRejection is what it activeRejection requests with, nil where it serves them, and rejections
-	// are those that asked for a back-off.
+	// activeRejection is the response to all requests, nil while they are served. backOffs are the
+	// back-offs that it has asked for.
 	activeRejection *rejection
 	backOffs        []backOff
-	// leaving tells that its answers say that it leaves, and toldLeaving when each box first
-	// got one that does.
+	// leaving tells that its responses report that it is shutting down, and leavingAnnouncedAt when
+	// each box first got one that does.
 	leaving            bool
 	leavingAnnouncedAt map[int]time.Time
-	// limitAnnouncedAt are when each box first got an answer that names a limit.
+	// limitAnnouncedAt is when each box first got a response that reports a limit.
 	limitAnnouncedAt map[int]time.Time
 }
 
@@ -65,7 +65,7 @@
 	n.limit = limit
 }
 
-// serve answers the requests of one connection of a box.
+// serve serves the requests of one connection of a box.
 func (n *recordingTarget) serve(box int, c net.Conn) {
 	s := &target{script: func(_ int, r *http.Request, c net.Conn) bool {
 		n.arrive(box)
@@ -74,11 +74,11 @@
 			return true
 		}
 		time.Sleep(20 * time.Millisecond)
-		named := n.announceLeaving(box)
+		headers := n.announceLeaving(box)
 		if limit := n.announceLimit(box); limit != "" {
-			named += limitHeader + ": " + limit + "\r\n"
+			headers += limitHeader + ": " + limit + "\r\n"
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\n%sContent-Length: 2\r\n\r\nok", r.Header.Get("Test-Id"), named)
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\n%sContent-Length: 2\r\n\r\nok", r.Header.Get("Test-Id"), headers)
 		return true
 	}}
 	s.serve(c)
@@ -90,24 +90,24 @@
 	n.arrivals = append(n.arrivals, arrival{time.Now(), box})
 }
 
-// announceLimit returns the limit that is named to a box now.
+// announceLimit returns the limit to report to a box now.
 func (n *recordingTarget) announceLimit(box int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, told := n.limitAnnouncedAt[box]; n.limit != "" && !told {
+	if _, known := n.limitAnnouncedAt[box]; n.limit != "" && !known {
 		n.limitAnnouncedAt[box] = time.Now()
 	}
 	return n.limit
 }
 
-// maxInWindow returns the maxInWindow requests in any window that ends at from or later, of boxes that
-// had been told.
+// maxInWindow returns the most requests in any window that ends at from or later, from boxes that
+// knew the limit.
 func (n *recordingTarget) maxInWindow(from time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var counted []time.Time
 	for _, a := range n.arrivals {
-		if told, ok := n.limitAnnouncedAt[a.box]; ok && a.at.Sub(told) >= announceDelay {
+		if announced, ok := n.limitAnnouncedAt[a.box]; ok && a.at.Sub(announced) >= announceDelay {
 			counted = append(counted, a.at)
 		}
 	}
@@ -123,7 +123,7 @@
 	return most
 }
 
-// maxPerSecond returns the most requests in any second that begins at from or later, of all
+// maxPerSecond returns the most requests in any second that begins at from or later, from all
 // boxes.
 func (n *recordingTarget) maxPerSecond(from time.Time) int {
 	n.mu.Lock()
@@ -143,7 +143,7 @@
 	return most
 }
 
-// countBetween counts all requests of a span.
+// countBetween counts all requests of a period.
 func (n *recordingTarget) countBetween(from, to time.Time) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -156,13 +156,12 @@
 	return count
 }
 
-// fakeControl is some control replicas that issue permits of targets and tell boxes of
-// limits, in virtual time. It is as far from all boxes as another region is from half of
-// them.
+// fakeControl is a set of control replicas that issue permits of targets and distribute their
+// limits, in virtual time. Its latency is that of another region.
 type fakeControl struct {
 	mu      sync.Mutex
 	issuers map[string]*quota.TargetIssuer
-	// down tells replicas that do not answer.
+	// down are the replicas that do not answer.
 	down  map[string]bool
 	calls int
 }
@@ -187,7 +186,7 @@
 	return out
 }
 
-// start has a replica begin without any memory.
+// start starts a replica without any state.
 func (c *fakeControl) start(name string, all []string) {
 	i := quota.NewTargetIssuer(name)
 	i.SetReplicas(time.Now(), all)
@@ -200,12 +199,12 @@
 	return slices.Sorted(maps.Keys(c.issuers))
 }
 
-// setDown has replicas answer no more, or again.
-func (c *fakeControl) setDown(off bool, names ...string) {
+// setDown sets whether replicas answer.
+func (c *fakeControl) setDown(down bool, names ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, name := range names {
-		c.down[name] = off
+		c.down[name] = down
 	}
 }
 
@@ -230,14 +229,14 @@
 	return out, nil
 }
 
-// gossip carries what boxes were told to all replicas and from these to all boxes.
+// gossip distributes the updates that boxes received to all replicas, and from these to all boxes.
 func (c *fakeControl) gossip(ctx context.Context, boxes []*Daemon) {
 	known := make(map[string]uint64)
 	for ctx.Err() == nil {
 		time.Sleep(gossipInterval)
-		var told []*wire.TargetLimit
+		var reports []*wire.TargetLimit
 		for _, d := range boxes {
-			told = append(told, d.targetLimits.pendingReports()...)
+			reports = append(reports, d.targetLimits.pendingReports()...)
 		}
 		var news []*wire.TargetLimit
 		c.mu.Lock()
@@ -245,13 +244,13 @@
 			if c.down[name] {
 				continue
 			}
-			for _, w := range told {
-				i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), w))
+			for _, report := range reports {
+				i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), report))
 			}
-			words, last := i.Known().Since(known[name])
+			updates, last := i.Known().Since(known[name])
 			known[name] = last
-			for _, w := range words {
-				news = append(news, w.Message(time.Now()))
+			for _, update := range updates {
+				news = append(news, update.Message(time.Now()))
 			}
 		}
 		c.mu.Unlock()
@@ -262,23 +261,23 @@
 	}
 }
 
-// testCluster is some boxes that share targets in virtual time.
+// testCluster is a set of boxes that share targets, in virtual time.
 type testCluster struct {
 	boxes   []*Daemon
 	targets []*recordingTarget
 	control *fakeControl
-	// suspended is for how long the machine of each box was suspended, in nanoseconds.
+	// suspended is how long the machine of each box was suspended, in nanoseconds.
 	suspended []*atomic.Int64
 	random    *rand.Rand
 	sent      int
-	// served and refused count the answers to callers; told are the times that refused ones
-	// got, and slowest is how long a refusal took at most.
+	// served and refused count the responses to callers. retryAfters are the Retry-After headers of
+	// refusals, and slowestRefusal is the longest time that one took.
 	mu              sync.Mutex
 	served, refused int
 	retryAfters     map[string]bool
 	slowestRefusal  time.Duration
-	// inTime counts those that were served within fullObjective, and deadline is what
-	// callers say that they wait, in milliseconds.
+	// inTime counts the requests that were served within fullObjective. deadline is the deadline
+	// that callers send, in milliseconds.
 	inTime   int
 	deadline string
 }
@@ -326,7 +325,7 @@
 	return s
 }
 
-// dialer connects a box to targets, which serve their ends of the connections.
+// dialer connects a box to targets, which serve the other ends of the connections.
 func (s *testCluster) dialer(serve func(target int, c net.Conn)) func(context.Context, string, string) (net.Conn, error) {
 	return func(_ context.Context, _, address string) (net.Conn, error) {
 		var n int
@@ -339,7 +338,7 @@
 	}
 }
 
-// sendLoad has callers send requests for a time, each at a box by lot.
+// sendLoad sends requests for some time, each to a random box.
 func (s *testCluster) sendLoad(perSecond int, length time.Duration) {
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Second / time.Duration(perSecond)) {
 		s.sent++
@@ -376,6 +375,6 @@
 	s.slowestRefusal = max(s.slowestRefusal, time.Since(began))
 }
 
-func allowedInWindow(limit float64) int {
+func maxAllowedInWindow(limit float64) int {
 	return int(limitExcess*limit*limitWindow.Seconds() + limitSlack)
 }
--- a/internal/gateway/replaced_bench_test.go
+++ b/internal/gateway/replaced_bench_test.go
@@ -10,8 +10,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// BenchmarkTargetsReplaced is what an update costs a box in which ten targets each
-// join, drain or leave, from the update to the targets in force.
+// BenchmarkTargetsReplaced measures an update in which ten targets each join, drain or leave, from
+// its receipt until the targets are applied.
 func BenchmarkTargetsReplaced(b *testing.B) {
 	for _, n := range []int{400, 1356, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/internal/gateway/request_bench_test.go
+++ b/internal/gateway/request_bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What a whole request costs a box, target and loopback included: one at a time, on kept
-// connections.
+// BenchmarkRequest measures a complete request through a box, including the target and loopback:
+// one at a time, on kept connections.
 func BenchmarkRequest(b *testing.B) {
 	target := newTarget(b, respondHello)
 	d := newDaemon(b, testConfig(), target.listener.Addr().String())
--- a/internal/gateway/restartedtarget_test.go
+++ b/internal/gateway/restartedtarget_test.go
@@ -11,10 +11,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// All that a box learned of a target was kept by its id, also when the target had
-// crashed and started again: its load, its failures in a row, what was under way, and
-// connections that its former life had. Proof: the new life takes requests at once
-// though the former was left out, by its own connections, and is asked for by its id.
+// Guards against keeping what a box has learned of a target by the target's id alone when the
+// target crashes and starts again: its load, its failures in a row, its requests in flight, and its
+// old connections. The new incarnation must get requests at once though the old one was ejected, on
+// new connections, and be addressed by the same id.
 func TestTargetThatStartsAgainIsNewToTheBox(t *testing.T) {
 	expected := make(chan string, 1)
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
@@ -35,18 +35,18 @@
 	apply(100, 57, dead.listener.Addr().String())
 	for i := range 3 {
 		if response, _ := g.do(t, "POST", "/unsafe/", fmt.Sprint("before", i), ""); response.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("the former life answered %d", response.StatusCode)
+			t.Fatalf("the old incarnation: got status %d", response.StatusCode)
 		}
 	}
 	apply(200, 1, s.listener.Addr().String())
 	if response, _ := g.do(t, "POST", "/unsafe/", "after", ""); response.StatusCode != http.StatusOK {
-		t.Fatalf("the new life is left out: %d", response.StatusCode)
+		t.Fatalf("the new incarnation is ejected: got status %d", response.StatusCode)
 	}
 	if got := <-expected; got != "t0" {
-		t.Errorf("the target was asked for as %q", got)
+		t.Errorf("the target was addressed as %q", got)
 	}
 	former, latter := catalog.Life{ID: "t0", Born: 100}, catalog.Life{ID: "t0", Born: 200}
 	if d.isRegistered(former.String()) || !d.isRegistered(latter.String()) {
-		t.Error("the box goes by the former life")
+		t.Error("the box still uses the old incarnation")
 	}
 }
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// hedgeDelay is what the balancer gives a target of these routes, which nothing
-	// is known of: three times 5/4 of the objective.
+	// hedgeDelay is the delay that the balancer chooses for a target of these routes of which it
+	// knows nothing: three times 5/4 of the objective.
 	hedgeDelay = 750 * time.Millisecond
-	// slowResponseTime is longer than the patience and ends long before the time-out.
+	// slowResponseTime is longer than the hedge delay and much shorter than the timeout.
 	slowResponseTime = 2 * time.Second
 )
 
-// hedgedRoutes are those of these tests: /long/ may be repeated, /once/ not,
-// and /single/ has one attempt.
+// hedgedRoutes has the route /long/, whose requests may be repeated, /once/, whose may not, and
+// /single/, which allows one attempt.
 func hedgedRoutes([]byte) (catalog.Document, error) {
 	route := func(name string, repeat catalog.Repeat, attempts int) catalog.Route {
 		return catalog.Route{
@@ -42,21 +42,20 @@
 	}, nil
 }
 
-// script is what a target does with a request; it returns whether the connection
-// is kept.
+// script is how a target responds to a request; it returns whether the connection is kept.
 type script func(r *http.Request, c net.Conn) bool
 
-// rig is a box in virtual time with targets behind a network in memory. The
-// n-th request that reaches any target gets the n-th script; one more gets no answer.
+// rig is a box in virtual time with targets on an in-memory network. The n-th request that reaches
+// any target gets the n-th script; any further request gets no response.
 type rig struct {
 	daemon  *Daemon
 	targets []*target
 	scripts chan script
-	// reached are the targets in the order in which requests reached them, and
-	// ended the requests whose connection ended at their target.
+	// reached are the targets in the order in which requests reached them. ended are the ids of the
+	// requests whose connection was closed while their target ran them.
 	reached chan *target
 	ended   chan string
-	// key is the key that requests carry; empty for none.
+	// key is the workspace key of the requests; empty for none.
 	key string
 }
 
@@ -97,7 +96,7 @@
 	return ok && next(r, c)
 }
 
-// scripts returns what targets do with the requests that reach them, in order.
+// scripts returns the scripts for the requests that reach targets, in order.
 func scripts(list ...script) chan script {
 	out := make(chan script, len(list))
 	for _, s := range list {
@@ -107,9 +106,8 @@
 	return out
 }
 
-// answers works for a time, then answers with a body, unless its connection ends
-// before.
-func (s *rig) answers(after time.Duration, body string) script {
+// responds responds with a body after some time, unless the connection closes before.
+func (s *rig) responds(after time.Duration, body string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
@@ -119,8 +117,8 @@
 	}
 }
 
-// answersStatus answers with a answersStatus after a time.
-func (s *rig) answersStatus(after time.Duration, code int) script {
+// respondsStatus responds with a status after some time.
+func (s *rig) respondsStatus(after time.Duration, code int) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
@@ -130,7 +128,7 @@
 	}
 }
 
-// silent never answers.
+// silent never responds.
 func (s *rig) silent() script {
 	return func(r *http.Request, c net.Conn) bool { return !s.endsWithin(time.Hour, r, c) }
 }
@@ -139,7 +137,7 @@
 	return func(r *http.Request, c net.Conn) bool { return rejectNotRun(0, r, c) }
 }
 
-// breaks ends the connection after a time.
+// breaks closes the connection after some time.
 func (s *rig) breaks(after time.Duration) script {
 	return func(r *http.Request, c net.Conn) bool {
 		s.endsWithin(after, r, c)
@@ -147,7 +145,7 @@
 	}
 }
 
-// endsWithin reports whether the connection ends within a time.
+// endsWithin reports whether the connection closes within a time.
 func (s *rig) endsWithin(d time.Duration, r *http.Request, c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.Read(make([]byte, 1))
@@ -159,7 +157,7 @@
 	return true
 }
 
-// result is what a caller got, and after how long.
+// result is the response that a caller got, and how long it took.
 type result struct {
 	status int
 	header http.Header
@@ -167,7 +165,7 @@
 	took   time.Duration
 }
 
-// send sends a request; its caller waits for 5 s.
+// send sends a request of a caller that waits for 5 s.
 func (s *rig) send(ctx context.Context, path, body string) result {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	r.Host = "a.example"
@@ -192,13 +190,13 @@
 	}
 }
 
-// wantAttempts checks that as many requests reached targets, each another one,
-// that as many connections ended there, and that the balancer counts none.
+// wantAttempts checks how many requests reached targets, each a different one, and how many
+// connections were closed at targets, and that the balancer counts no request in flight.
 func (s *rig) wantAttempts(t *testing.T, reached, ended int) {
 	t.Helper()
 	synctest.Wait()
 	if len(s.reached) != reached || len(s.ended) != ended {
-		t.Fatalf("%d requests reached targets and %d connections ended there, want %d and %d", len(s.reached), len(s.ended), reached, ended)
+		t.Fatalf("%d requests reached targets and %d connections closed there, want %d and %d", len(s.reached), len(s.ended), reached, ended)
 	}
 	seen := make(map[*target]bool)
 	for range reached {
@@ -211,9 +209,9 @@
 	s.wantNoneInFlight(t)
 }
 
-// wantNoneInFlight checks that the balancer counts no request at any target. What
-// targets told of their load is forgotten before, and none is left out by then
-// unless a request counts as being there.
+// wantNoneInFlight checks that the balancer counts no request in flight at any target. After a
+// minute it has dropped the load that targets reported, and a target is still ejected only if a
+// request counts as in flight there.
 func (s *rig) wantNoneInFlight(t *testing.T) {
 	t.Helper()
 	time.Sleep(time.Minute)
@@ -221,10 +219,10 @@
 	for range s.targets {
 		c, err := s.daemon.choose(balance.Request{Service: "s", Route: "count", Objective: time.Hour, Left: time.Hour, Tried: tried})
 		if err != nil {
-			t.Fatalf("a target is left out: %v", err)
+			t.Fatalf("a target is ejected: %v", err)
 		}
 		if c.Load > 0.01 {
-			t.Fatalf("the balancer counts %v requests that have ended", c.Load)
+			t.Fatalf("the balancer still counts a load of %v", c.Load)
 		}
 		tried = append(tried, c.Target.ID)
 	}
--- a/internal/gateway/shaper_test.go
+++ b/internal/gateway/shaper_test.go
@@ -30,7 +30,7 @@
 		rate := link * largeResponseShare
 		least := time.Duration(float64(2*link-2*shapedChunk) / rate * float64(time.Second))
 		if took := time.Since(began); took < least {
-			t.Fatalf("took %s, at least %s is due", took, least)
+			t.Fatalf("took %s, want at least %s", took, least)
 		}
 	})
 }
@@ -44,7 +44,7 @@
 			t.Fatalf("%d bytes, %v", out.Len(), err)
 		}
 		if time.Since(began) != 0 {
-			t.Fatal("it waited")
+			t.Fatal("an unlimited shaper waited")
 		}
 	})
 }
@@ -56,13 +56,13 @@
 		s := newShaper(10)
 		s.reserve(time.Now(), 1000)
 		if err := s.copy(ctx, io.Discard, strings.NewReader("x"), -1); err == nil {
-			t.Fatal("no error")
+			t.Fatal("copy with a canceled context returned no error")
 		}
 	})
 }
 
-// Of answers whose lengths are known one goes out after the other, each at the whole
-// share; one whose caller leaves gives the rest of its time back.
+// Responses of known length are sent one after the other, each with the whole share of the link.
+// One whose caller disconnects releases the rest of its reservation.
 func TestLongAnswersGoOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const link, size = 100_000, 50_000
@@ -72,7 +72,7 @@
 		ended := make(chan time.Duration, 2)
 		send := func(ctx context.Context, wanted error) {
 			if err := s.copy(ctx, io.Discard, &zeros{size}, size); !errors.Is(err, wanted) {
-				t.Errorf("got %v, wanted %v", err, wanted)
+				t.Errorf("got %v, want %v", err, wanted)
 			}
 			ended <- time.Since(began)
 		}
@@ -81,14 +81,14 @@
 		go send(t.Context(), nil)
 		first, second := <-ended, <-ended
 		if first > alone || second <= alone || second > 2*alone {
-			t.Errorf("ended after %s and %s, one takes %s", first, second, alone)
+			t.Errorf("ended after %s and %s, one alone takes %s", first, second, alone)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), alone/10)
 		defer cancel()
 		go send(ctx, context.DeadlineExceeded)
 		<-ended
 		if wait := s.reserve(time.Now(), 1); wait > alone/4 {
-			t.Errorf("after an answer that was left at its beginning the next one waits %s", wait)
+			t.Errorf("after a response that was canceled at its beginning the next one waits %s", wait)
 		}
 	})
 }
--- a/internal/gateway/splits_test.go
+++ b/internal/gateway/splits_test.go
@@ -27,8 +27,7 @@
 	}
 }
 
-// The first request after each of many documents does not always go to the
-// same service.
+// The first request after each of many documents must not always go to the same service.
 func TestSharesHoldOverManyDocuments(t *testing.T) {
 	d := newSplitBox("box")
 	document := catalog.Document{Hosts: []catalog.Host{{Routes: []catalog.Route{splitRoute}}}}
@@ -40,7 +39,7 @@
 	checkSplit(t, count)
 }
 
-// Boxes that have had one request each keep the shares together.
+// The shares also hold over many boxes with one request each.
 func TestSharesHoldOverManyBoxes(t *testing.T) {
 	count := make(map[string]int)
 	for i := range 100 {
@@ -49,7 +48,7 @@
 	checkSplit(t, count)
 }
 
-// A route that left the document is forgotten.
+// The split of a route that left the document is dropped.
 func TestSplitsOfGoneRoutesAreForgotten(t *testing.T) {
 	d := newSplitBox("box")
 	d.destination(splitRoute)
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The target of a request whose caller leaves sees its connection end.
+// If a caller disconnects, the target of its request sees its connection close.
 func TestCallerThatLeavesEndsTheRequestAtItsTarget(t *testing.T) {
 	began := make(chan struct{}, 2)
 	ended := make(chan error, 2)
@@ -32,30 +32,30 @@
 	}
 	r.Host = "a.example"
 	r.Header.Set("Test-Id", "id1")
-	left := make(chan error, 1)
+	disconnected := make(chan error, 1)
 	go func() {
 		response, err := g.server.Client().Do(r)
 		if err == nil {
 			_ = response.Body.Close()
 		}
-		left <- err
+		disconnected <- err
 	}()
 	<-began
 	cancel()
-	if err := <-left; err == nil {
-		t.Fatal("the caller got an answer")
+	if err := <-disconnected; err == nil {
+		t.Fatal("the caller got a response")
 	}
 	if err := <-ended; err == nil {
-		t.Fatal("the target got more bytes")
+		t.Fatal("the target got more data")
 	}
-	g.server.Close() // waits for the request's end
+	g.server.Close() // waits for the request to end
 	if !strings.Contains(lines.String(), `"reason":"callerLeft"`) {
-		t.Errorf("the log does not say that the caller left: %s", lines.String())
+		t.Errorf("the log does not report that the caller left: %s", lines.String())
 	}
 }
 
-// A box that stops finishes the request that it has read, tells the caller
-// that the connection ends, and is no longer ready.
+// A box that shuts down finishes the requests that it has read, tells callers that the connection
+// will close, and is no longer ready.
 func TestStoppingBoxFinishesWhatItHasRead(t *testing.T) {
 	began, release := make(chan struct{}, 1), make(chan struct{})
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
@@ -84,7 +84,7 @@
 		defer response.Body.Close()
 		body, err := io.ReadAll(response.Body)
 		if err != nil || !response.Close {
-			got <- "the connection is not said to end"
+			got <- "the response does not announce that the connection closes"
 			return
 		}
 		got <- string(body)
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -18,7 +18,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// simulateSuspension lets a test suspend the machine.
+// simulateSuspension returns a function that suspends the machine.
 func simulateSuspension(t *testing.T) (suspend func(time.Duration)) {
 	t.Helper()
 	var asleep atomic.Int64
@@ -26,14 +26,14 @@
 	return func(d time.Duration) { asleep.Add(int64(d)) }
 }
 
-// Guards against what ran out while the machine was suspended and still counts after.
-// A permit of a window that is over would count in two windows.
+// The tests below guard against using what expired while the machine was suspended. A permit of a
+// window that has passed would count in two windows.
 func TestPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.rejects(), s.answers(0, "old"))
-		// The target turned it away, so that its permit is in stock again.
+		s.scripts = scripts(s.rejects(), s.responds(0, "old"))
+		// The target rejects it, so that its permit is cached again.
 		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		suspend(5 * time.Second)
 		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusTooManyRequests)
@@ -43,12 +43,13 @@
 	})
 }
 
-// A target closes what rests longer than it told; a request sent on it then may be lost.
+// A target closes connections that are idle for longer than it declared; a request sent on one then
+// may be lost.
 func TestIdleConnectionIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(0, "first"), s.answers(0, "second"), s.answers(0, "third"))
+		s.scripts = scripts(s.responds(0, "first"), s.responds(0, "second"), s.responds(0, "third"))
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", 0)
 		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 		if n := s.targets[0].conns.Load(); n != 1 {
@@ -62,7 +63,7 @@
 	})
 }
 
-// What a box earned of retries before belongs to a window that is over.
+// Retries earned before the suspension belong to a window that has passed.
 func TestRetriesEarnedBeforeASuspensionHaveExpired(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
@@ -82,17 +83,17 @@
 	})
 }
 
-// A request whose caller's time is over is not sent on.
+// A request whose deadline has passed is not sent to another target.
 func TestRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(func(*http.Request, net.Conn) bool {
 			suspend(10 * time.Second)
-			return false // the first target breaks off as the machine wakes
-		}, s.answers(0, "late"))
+			return false // the first attempt breaks as the machine wakes up
+		}, s.responds(0, "late"))
 		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout {
-			t.Fatalf("got %d %q, want a time out", got.status, got.body)
+			t.Fatalf("got %d %q, want a timeout", got.status, got.body)
 		}
 		if len(s.reached) != 1 {
 			t.Fatalf("%d targets were reached", len(s.reached))
@@ -100,8 +101,8 @@
 	})
 }
 
-// A request that waits for its target when the machine is suspended is answered when it
-// wakes, not when what was left of its time by the steady clock is over.
+// A request that waits for its target when the machine is suspended is answered when the machine
+// wakes up, not after the rest of its timeout by a clock that stopped.
 func TestWaitingRequestEndsOnWaking(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
@@ -116,7 +117,7 @@
 		select {
 		case got := <-answered:
 			if got.status != http.StatusGatewayTimeout {
-				t.Fatalf("got %d %q, want a time out", got.status, got.body)
+				t.Fatalf("got %d %q, want a timeout", got.status, got.body)
 			}
 		default:
 			t.Fatal("the request still waits")
@@ -124,8 +125,8 @@
 	})
 }
 
-// wantNotSent has a request wait for its connection while something happens, and checks
-// that no target gets it and its caller is told so.
+// wantNotSent runs meanwhile while a request waits for its connection, and checks that no target
+// gets the request and that its caller is told that it has not run.
 func (s *rig) wantNotSent(t *testing.T, meanwhile func()) {
 	t.Helper()
 	dial := s.daemon.connections.dial
@@ -134,36 +135,36 @@
 		return dial(ctx, network, address)
 	}
 	if got := s.send(t.Context(), "/once/", ""); got.status != http.StatusServiceUnavailable {
-		t.Fatalf("got %d %q, want a word that it has not run", got.status, got.body)
+		t.Fatalf("got %d %q, want a refusal", got.status, got.body)
 	}
 	if len(s.reached) != 0 {
 		t.Fatalf("%d targets were reached", len(s.reached))
 	}
 }
 
-// A request whose target was chosen before the suspension, and that was not sent, is not
-// sent after its time; it has not run.
+// A request whose target was chosen before the suspension must not be sent after its deadline. It
+// has not run.
 func TestChosenRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(0, "late"))
+		s.scripts = scripts(s.responds(0, "late"))
 		s.wantNotSent(t, func() { suspend(10 * time.Second) })
 	})
 }
 
-// A permit that was taken before the suspension and not used counts for a window that is
-// over: the request is not sent on it.
+// A permit that was taken before the suspension and not used belongs to a window that has passed:
+// the request must not be sent with it.
 func TestTakenPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.answers(0, "old"))
-		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's time
+		s.scripts = scripts(s.responds(0, "old"))
+		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's deadline
 	})
 }
 
-// slowBody is a body whose end comes late.
+// slowBody is a body that ends after some time.
 type slowBody struct{ wait time.Duration }
 
 // Read implements io.Reader.
@@ -172,11 +173,12 @@
 	return 0, io.EOF
 }
 
-// A body that takes longer than a permit lasts costs another permit, not the request.
+// A body that takes longer than a permit is valid costs another permit, but does not fail the
+// request.
 func TestSlowBodyGetsAnotherPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 2, "b": 0})
-		s.scripts = scripts(s.answers(0, "served"))
+		s.scripts = scripts(s.responds(0, "served"))
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/once/", &slowBody{2 * time.Second})
 		request.Host = "a.example"
 		request.Header.Set("Test-Id", "id1")
@@ -190,7 +192,8 @@
 	})
 }
 
-// What is in stock is looked at by the clock that counts, also where nothing else looks.
+// Expiry of cached permits includes the time of a suspension, also if nothing else has read the
+// clock since.
 func TestStockIsForgottenInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
@@ -198,17 +201,17 @@
 		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
 		suspend(2 * time.Second)
 		if until, ok := s.daemon.permits.tryAcquire("north"); ok {
-			t.Errorf("a permit was taken that ended %s ago", boottime.Since(until))
+			t.Errorf("got a permit that expired %s ago", boottime.Since(until))
 		}
 		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
 		if _, ok := s.daemon.permits.tryAcquire("north"); !ok {
-			t.Error("a permit of after the suspension was not taken")
+			t.Error("a permit cached after the suspension was not used")
 		}
 	})
 }
 
-// A target that was cold when the machine was suspended is warm when it wakes after that
-// time, and an evacuation's targets are cold as long as they should from then on.
+// A target that was warming up when the machine was suspended for longer than its warm-up time is
+// warm afterwards.
 func TestColdTargetsWarmUpInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
@@ -217,70 +220,70 @@
 		s.daemon.setColdLeft("t0", 3*time.Second)
 		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second}
 		if _, err := s.daemon.choose(request); err == nil {
-			t.Fatal("a cold target without a turn was chosen")
+			t.Fatal("a target that is warming up was chosen beyond its rate")
 		}
 		suspend(4 * time.Second)
 		for range 3 {
 			if _, err := s.daemon.choose(request); err != nil {
-				t.Fatalf("after its cold time: %v", err)
+				t.Fatalf("after its warm-up: %v", err)
 			}
 		}
 	})
 }
 
-// What ended under a request after the suspension is told as what has just happened: old
-// evidence holds nothing.
+// The age of evidence recorded after a suspension does not include the suspension: evidence that
+// counts as old quarantines nothing.
 func TestEvidenceAfterASuspensionIsFresh(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		m := newCrashingTargets(t, 4)
-		told := make(chan *wire.Evidence, 100)
-		tell := m.rig.daemon.isolation
-		own := isolation.New(isolation.Config{
+		evidence := make(chan *wire.Evidence, 100)
+		original := m.rig.daemon.isolation
+		replacement := isolation.New(isolation.Config{
 			Dial: func(ctx context.Context, address string) (net.Conn, error) {
 				return m.rig.daemon.connections.dial(ctx, "tcp4", address)
 			},
 			DialTimeout: time.Second, Leaving: func(string) bool { return false }, Replicas: func() []string { return []string{"a"} },
-			Tell:  func(_ context.Context, _ string, e *wire.Evidence) error { told <- e; return nil },
+			Tell:  func(_ context.Context, _ string, e *wire.Evidence) error { evidence <- e; return nil },
 			Ended: func(isolation.Run) {}, Looked: func(isolation.Look) {},
 		})
-		m.rig.daemon.isolation = own
+		m.rig.daemon.isolation = replacement
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- own.Run(ctx) }()
+		go func() { ended <- replacement.Run(ctx) }()
 		defer func() {
 			cancel()
 			<-ended
-			m.rig.daemon.isolation = tell
+			m.rig.daemon.isolation = original
 		}()
 		suspend(20 * time.Second)
 		m.rig.send(t.Context(), "/single/x?n=fatal", "body")
 		time.Sleep(time.Second)
 		synctest.Wait()
 		select {
-		case e := <-told:
+		case e := <-evidence:
 			if len(e.Ends) != 1 || e.Ends[0].EndedAgoMilli > 1000 || e.Ends[0].BeganAgoMilli > 1000 {
-				t.Errorf("told %v", e)
+				t.Errorf("got evidence %v", e)
 			}
 		default:
-			t.Error("nothing was told")
+			t.Error("no evidence was sent")
 		}
 	})
 }
 
-// What a target told before a long suspension is no news any more, and a box without control
-// may send it what came free meanwhile.
+// Updates received before a long suspension are no longer reported, and a box without control may
+// use the capacity that was freed meanwhile.
 func TestLimitsOfTargetsAgeInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
 		s.daemon.targetLimits.setBoxes([]string{"box"})
 		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err == nil {
-			t.Fatal("a permit of a limit that was just named")
+			t.Fatal("got a permit of a limit that was just reported")
 		}
 		suspend(2 * updateRepeatTime)
-		if told := s.daemon.targetLimits.pendingReports(); len(told) > 0 {
-			t.Errorf("still tells %v", told)
+		if reports := s.daemon.targetLimits.pendingReports(); len(reports) > 0 {
+			t.Errorf("still reports %v", reports)
 		}
 		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err != nil {
 			t.Errorf("after the suspension: %v", err)
--- a/internal/gateway/targetlimits_test.go
+++ b/internal/gateway/targetlimits_test.go
@@ -12,9 +12,8 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// Guards against a rate-limited target that gets more than it names from all boxes together.
-// The sum over all boxes keeps to what a target names, for as long as it does, also where
-// no control replica can be asked.
+// Guards against a rate-limited target that gets more than its limit from all boxes together, also
+// while no control replica can be reached.
 func TestTargetGetsNoMoreThanItNames(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
@@ -24,25 +23,25 @@
 				s.control.setDown(true, s.control.addresses()...)
 				s.sendLoad(80, 2*time.Second)
 				s.targets[0].setLimit("5.6")
-				named := time.Now()
+				reportedAt := time.Now()
 				s.sendLoad(80, 12*time.Second)
 				s.waitForResponses()
-				if got := s.targets[0].maxInWindow(named.Add(limitWindow)); got > allowedInWindow(limit) {
-					t.Errorf("a target that names %v a second got %d requests in %s from boxes that it had told, allowed %d", limit, got, limitWindow, allowedInWindow(limit))
+				if got := s.targets[0].maxInWindow(reportedAt.Add(limitWindow)); got > maxAllowedInWindow(limit) {
+					t.Errorf("a target with a limit of %v per second got %d requests in %s from boxes that knew it, allowed %d", limit, got, limitWindow, maxAllowedInWindow(limit))
 				}
-				if got := s.targets[0].countBetween(named.Add(time.Second), time.Now()); float64(got) < 0.1*limit*11 {
-					t.Errorf("got %d requests in 11 s, it could do more", got)
+				if got := s.targets[0].countBetween(reportedAt.Add(time.Second), time.Now()); float64(got) < 0.1*limit*11 {
+					t.Errorf("got only %d requests in 11 s", got)
 				}
 				if s.refused > 0 {
-					t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.sent)
+					t.Errorf("%d of %d requests were refused although the other targets have capacity for all", s.refused, s.sent)
 				}
 			})
 		})
 	}
 }
 
-// A rate-limited target gets what it names, or what is asked of it if that is less, and its
-// requests are served elsewhere beyond.
+// A rate-limited target gets as many requests as its limit allows, or the load if that is less. The
+// other requests are served elsewhere.
 func TestTargetGetsWhatItNames(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150, 300} {
 		for _, limit := range []float64{0, 1.5, 5.6, 9.6} {
@@ -51,41 +50,41 @@
 					s := newTestCluster(t, boxes, 4)
 					s.sendLoad(80, 2*time.Second)
 					s.targets[0].setLimit(fmt.Sprint(limit))
-					named := time.Now()
+					reportedAt := time.Now()
 					s.sendLoad(80, 4*time.Second)
 					from := time.Now()
 					s.sendLoad(80, 10*time.Second)
 					used := float64(s.targets[0].countBetween(from, time.Now())) / time.Since(from).Seconds()
 					s.waitForResponses()
-					if got := s.targets[0].maxInWindow(named.Add(limitWindow)); got > allowedInWindow(limit) {
-						t.Errorf("got %d requests in %s, allowed %d", got, limitWindow, allowedInWindow(limit))
+					if got := s.targets[0].maxInWindow(reportedAt.Add(limitWindow)); got > maxAllowedInWindow(limit) {
+						t.Errorf("got %d requests in %s, allowed %d", got, limitWindow, maxAllowedInWindow(limit))
 					}
 					if got := s.targets[0].maxPerSecond(from); float64(got) > 2*limit+limitSlack {
-						t.Errorf("got %d requests in a second with a limit of %v", got, limit)
+						t.Errorf("got %d requests in one second with a limit of %v", got, limit)
 					}
 					if used < 0.9*limit {
-						t.Errorf("got %v requests a second of %v", used, limit)
+						t.Errorf("got %v requests per second with a limit of %v", used, limit)
 					}
 					if s.refused > 0 {
-						t.Errorf("%d of %d requests were refused, the other targets have room for all", s.refused, s.sent)
+						t.Errorf("%d of %d requests were refused although the other targets have capacity for all", s.refused, s.sent)
 					}
-					t.Logf("used %v of %v, %d asks, most %d of %d", used, limit, s.control.calls, s.targets[0].maxInWindow(named.Add(limitWindow)), allowedInWindow(limit))
+					t.Logf("used %v of %v, %d permit calls, at most %d of %d in a window", used, limit, s.control.calls, s.targets[0].maxInWindow(reportedAt.Add(limitWindow)), maxAllowedInWindow(limit))
 				})
 			})
 		}
 	}
 }
 
-// wantWithinLimit checks what a target got in each window that ends at from or later.
+// wantWithinLimit checks the requests of a target in each window that ends at from or later.
 func (s *testCluster) wantWithinLimit(t *testing.T, target int, limit float64, from time.Time) {
 	t.Helper()
-	if got := s.targets[target].maxInWindow(from); got > allowedInWindow(limit) {
-		t.Errorf("target %d, which names %v a second, got %d requests in %s, allowed %d", target, limit, got, limitWindow, allowedInWindow(limit))
+	if got := s.targets[target].maxInWindow(from); got > maxAllowedInWindow(limit) {
+		t.Errorf("target %d with a limit of %v per second got %d requests in %s, allowed %d", target, limit, got, limitWindow, maxAllowedInWindow(limit))
 	}
 }
 
-// A limit holds as it changes: lowered, raised, and until it is taken back, after which the
-// target gets what the others do.
+// A limit holds while it is lowered and raised. After it is withdrawn the target gets as many
+// requests as the others.
 func TestLimitThatChanges(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
@@ -98,7 +97,7 @@
 					s.sendLoad(80, 10*time.Second)
 					used := float64(s.targets[0].countBetween(from, time.Now())) / time.Since(from).Seconds()
 					if used < 0.9*limit || used > 1.1*limit {
-						t.Errorf("got %v requests a second of %v", used, limit)
+						t.Errorf("got %v requests per second with a limit of %v", used, limit)
 					}
 				}
 				s.targets[0].setLimit("")
@@ -106,7 +105,7 @@
 				from := time.Now()
 				s.sendLoad(80, 4*time.Second)
 				if used := float64(s.targets[0].countBetween(from, time.Now())) / 4; used < 15 {
-					t.Errorf("got %v requests a second after the limit was taken back, the others some 20", used)
+					t.Errorf("got %v requests per second after the limit was withdrawn, the others about 20", used)
 				}
 				s.waitForResponses()
 				if s.refused > 0 {
@@ -117,8 +116,8 @@
 	}
 }
 
-// Where all targets of a service name limits, their sum is what it gets; what is beyond is
-// refused at once, with times to come back that are apart.
+// If all targets of a service are rate-limited, the service gets the sum of their limits. Further
+// requests are refused at once, with Retry-After times that are spread out.
 func TestServiceOfLimitedTargets(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
@@ -142,10 +141,10 @@
 				}
 				s.waitForResponses()
 				if perSecond := float64(used) / length; perSecond < 0.9*4*limit {
-					t.Errorf("the service got %v requests a second of %v", perSecond, 4*limit)
+					t.Errorf("the service got %v requests per second with a limit of %v", perSecond, 4*limit)
 				}
 				if len(s.retryAfters) < 300 {
-					t.Errorf("%d times to come back for some 640 refused callers", len(s.retryAfters))
+					t.Errorf("%d different Retry-After values for about 640 refusals", len(s.retryAfters))
 				}
 				if s.slowestRefusal > 4*controlLatency+targetPermitWait {
 					t.Errorf("a refusal took %s", s.slowestRefusal)
@@ -155,8 +154,7 @@
 	}
 }
 
-// Without control the sum still holds: replicas that end and begin anew without memory, and
-// boxes that do, add nothing.
+// The limit holds while replicas are unreachable, restart without state, or both.
 func TestLimitHoldsThroughRestarts(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		const limit = 5.6
@@ -184,13 +182,13 @@
 		s.waitForResponses()
 		s.wantWithinLimit(t, 0, limit, from)
 		if s.refused > 0 {
-			t.Errorf("%d requests were refused, the other targets have room for all", s.refused)
+			t.Errorf("%d requests were refused although the other targets have capacity for all", s.refused)
 		}
 	})
 }
 
-// A box that alone is suspended, again and again, uses no permit of before, and takes nothing
-// from what the others may send.
+// A box that is suspended repeatedly, alone, uses no permits from before the suspension, and takes
+// nothing from what the other boxes may send.
 func TestLimitHoldsWhileSingleBoxesAreSuspended(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		const limit = 9.6
@@ -206,18 +204,18 @@
 		s.waitForResponses()
 		s.wantWithinLimit(t, 0, limit, from)
 		if used < 0.9*limit {
-			t.Errorf("got %v requests a second of %v", used, limit)
+			t.Errorf("got %v requests per second with a limit of %v", used, limit)
 		}
 		for i, d := range s.boxes {
 			if lost := d.clock.Suspended(); (lost > 0) != (i < 3) {
-				t.Errorf("box %d counts %s", i, lost)
+				t.Errorf("box %d counts a suspension of %s", i, lost)
 			}
 		}
 	})
 }
 
-// The other targets serve what a rate-limited target is kept from, and its own objects go back
-// once it names no limit: they have one home each time.
+// While a rate-limited target is throttled, each of its objects has one other home target, and
+// returns to it once the limit is withdrawn. Other objects stay.
 func TestObjectsOfALimitedTargetHaveASecondHome(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 8)
@@ -242,32 +240,32 @@
 		during := homes()
 		for key, home := range during {
 			if home == "t0" || before[key] != "t0" && home != before[key] {
-				t.Errorf("%s, at home at %s, is at %s while t0 is throttled", key, before[key], home)
+				t.Errorf("%s, whose home target is %s, goes to %s while t0 is throttled", key, before[key], home)
 			}
 		}
 		s.boxes[0].balancing.balancer.SetLimited("t0", false)
 		if after := homes(); !maps.Equal(after, before) {
-			t.Error("objects are not back at home")
+			t.Error("objects did not return to their home targets")
 		}
 	})
 }
 
-// A request about an object goes from its rate-limited home to a target without a limit, never to
-// another rate-limited one.
+// A request with an affinity key goes from its rate-limited home target to one without a limit,
+// never to another rate-limited one.
 func TestObjectIsKeptFromItsHomeAlone(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 4)
 		d := s.boxes[0]
 		now := d.clock.Now()
 		for i := range s.targets {
-			word := targetstatus.Update{Incarnation: fmt.Sprint("t", i), Limit: 1, Sent: now, Received: now}
-			if c, changed := d.targetLimits.recordResponse(word); changed {
+			update := targetstatus.Update{Incarnation: fmt.Sprint("t", i), Limit: 1, Sent: now, Received: now}
+			if c, changed := d.targetLimits.recordResponse(update); changed {
 				d.applyChange(c, "")
 			}
 		}
 		s.send(d, 1)
 		if passed := s.skippedLimited(t); passed != 1 || s.refused != 1 {
-			t.Errorf("%v targets were passed over, %d requests refused", passed, s.refused)
+			t.Errorf("%v targets were skipped and %d requests refused, want 1 and 1", passed, s.refused)
 		}
 	})
 }
--- a/internal/gateway/targetpermits_test.go
+++ b/internal/gateway/targetpermits_test.go
@@ -18,12 +18,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// newTargetLimitedRig is a scene whose target 0 names a limit, and whose replicas hand out as many
-// permits of it as they have left.
-func newTargetLimitedRig(t *testing.T, targets int, left map[string]int) (*rig, *fakeIssuers) {
+// newTargetLimitedRig returns a rig whose target 0 reports a rate limit, and whose replicas issue
+// the given number of permits.
+func newTargetLimitedRig(t *testing.T, targets int, permits map[string]int) (*rig, *fakeIssuers) {
 	t.Helper()
 	s := newRig(t, testConfig(), targets)
-	r := &fakeIssuers{permits: left}
+	r := &fakeIssuers{permits: permits}
 	s.daemon.targetLimits.permits.call = r.targetCall
 	s.daemon.targetLimits.permits.replicas = func() []string { return []string{"a", "b"} }
 	ctx, cancel := context.WithCancel(t.Context())
@@ -46,17 +46,17 @@
 	return r.call(ctx, address, workspaces)
 }
 
-// reportLimit has the box receive from a target that it names a limit.
-func (s *rig) reportLimit(life string, perSecond float64) {
+// reportLimit makes a target report a rate limit to the box.
+func (s *rig) reportLimit(target string, perSecond float64) {
 	now := boottime.Now()
-	if c, changed := s.daemon.targetLimits.recordResponse(targetstatus.Update{Incarnation: life, Limit: perSecond, Sent: now, Received: now}); changed {
+	if c, changed := s.daemon.targetLimits.recordResponse(targetstatus.Update{Incarnation: target, Limit: perSecond, Sent: now, Received: now}); changed {
 		s.daemon.applyChange(c, "")
 	}
 }
 
-func (s *rig) limitOf(life string) float64 { return s.daemon.targetLimits.limit(life) }
+func (s *rig) knownLimit(target string) float64 { return s.daemon.targetLimits.limit(target) }
 
-// respondsWithHeader answers with a status and headers.
+// respondsWithHeader responds with a status and headers.
 func respondsWithHeader(status int, header string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 %d X\r\nTest-Id: %s\r\n%sContent-Length: 2\r\n\r\nok", status, r.Header.Get("Test-Id"), header)
@@ -87,42 +87,43 @@
 				s.scripts = scripts(c.script)
 				time.Sleep(time.Second)
 				s.send(t.Context(), "/single/", "")
-				if got := s.limitOf("t0"); got != c.want {
-					t.Errorf("%v a second is known, want %v", got, c.want)
+				if got := s.knownLimit("t0"); got != c.want {
+					t.Errorf("known limit is %v per second, want %v", got, c.want)
 				}
 			})
 		})
 	}
 }
 
-// A box that knows better than what it is told tells so; one that knows less takes it.
+// A box that has newer information than another box's update reports it; one that has older
+// information applies the update.
 func TestBoxTellsWhatItKnowsBetter(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
 		now := boottime.Now()
 		time.Sleep(2 * updateRepeatTime)
-		if told := s.daemon.targetLimits.pendingReports(); len(told) > 0 {
-			t.Fatalf("still tells %v", told)
+		if reports := s.daemon.targetLimits.pendingReports(); len(reports) > 0 {
+			t.Fatalf("still reports %v", reports)
 		}
 		before := targetstatus.Update{Incarnation: "t0", Limit: targetstatus.NoLimit, Sent: now.Add(-time.Minute), Received: now.Add(-time.Second)}
 		s.daemon.mergeUpdates([]*wire.TargetLimit{before.Message(boottime.Now())})
-		if told := s.daemon.targetLimits.pendingReports(); len(told) != 1 || told[0].PerSecond != 5 {
-			t.Errorf("tells %v", told)
+		if reports := s.daemon.targetLimits.pendingReports(); len(reports) != 1 || reports[0].PerSecond != 5 {
+			t.Errorf("reports %v", reports)
 		}
 		later := targetstatus.Update{Incarnation: "t0", Limit: 3, Sent: boottime.Now().Add(-time.Second), Received: boottime.Now()}
 		s.daemon.mergeUpdates([]*wire.TargetLimit{later.Message(boottime.Now())})
-		if got := s.limitOf("t0"); got != 3 {
-			t.Errorf("%v a second is known", got)
+		if got := s.knownLimit("t0"); got != 3 {
+			t.Errorf("known limit is %v per second, want 3", got)
 		}
 	})
 }
 
-// A limit that another box was told holds for a target that is registered here later.
+// A limit that was reported to another box holds for a target that is registered here later.
 func TestLimitOfATargetThatIsRegisteredLater(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
-		word := targetstatus.Update{Incarnation: "t9", Limit: 2, Sent: boottime.Now(), Received: boottime.Now()}
-		s.daemon.mergeUpdates([]*wire.TargetLimit{word.Message(boottime.Now())})
+		update := targetstatus.Update{Incarnation: "t9", Limit: 2, Sent: boottime.Now(), Received: boottime.Now()}
+		s.daemon.mergeUpdates([]*wire.TargetLimit{update.Message(boottime.Now())})
 		s.daemon.targetLimits.prune(boottime.Now(), s.daemon.isRegistered)
 		state := steering.State{}
 		state, _ = state.Apply(&wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{
@@ -148,7 +149,7 @@
 			t.Fatalf("got %d %q", got.status, got.body)
 		}
 		s.daemon.connections.dial = dial
-		time.Sleep(300 * time.Millisecond) // the target was left out
+		time.Sleep(300 * time.Millisecond) // the target was ejected
 		s.wantResponse(t, s.send(t.Context(), "/single/", ""), "ok", 0)
 		if n := r.issued(1); n != 1 {
 			t.Errorf("%d permits were issued", n)
@@ -158,23 +159,24 @@
 
 var errRefusedDial = &net.OpError{Op: "dial", Err: net.ErrClosed}
 
-// A permit that was taken before a suspension counts for a window that is over.
+// A permit that was taken before a suspension belongs to a window that has passed.
 func TestTargetPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.answers(0, "old"))
-		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's time
+		s.scripts = scripts(s.responds(0, "old"))
+		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's deadline
 	})
 }
 
-// A retry for which the budget ran out while it waited for a permit takes its choice back.
+// A retry for which the budget runs out while it waits for a permit undoes the choice of its
+// target.
 func TestRetryWithoutBudgetLeavesNothingCounted(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
 		s.daemon.targetLimits.permits.call = func(ctx context.Context, address string, request *wire.PermitRequest) (*wire.PermitAnswer, error) {
 			for s.daemon.takeRetry("s") {
-				continue // another request takes the rest
+				continue // another request uses up the budget
 			}
 			return r.targetCall(ctx, address, request)
 		}
@@ -190,8 +192,8 @@
 	})
 }
 
-// Where many targets are at their limits, a request asks for a few of them and then goes to
-// one without a limit, or is refused.
+// If many targets are at their limits, a request asks for permits of a few of them and then goes to
+// a target without a limit, or is refused.
 func TestRequestAsksForFewTargetsInNeed(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newTargetLimitedRig(t, 20, map[string]int{"a": 0, "b": 0})
@@ -209,25 +211,24 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if most := maxSkippedLimited * len(r.permits); r.calls > most {
-			t.Errorf("%d asks for one request, want %d at most", r.calls, most)
+			t.Errorf("%d permit calls for one request, want at most %d", r.calls, most)
 		}
 	})
 }
 
-// Limits that change with each answer have a box report at once no more often than each
-// reportPause.
+// Limits that change with each response trigger reports no more often than every minReportInterval.
 func TestReportsForLimitsAreSpaced(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
-		reportedAt := 0
+		reports := 0
 		for range 100 {
 			if s.daemon.targetLimits.allowReport() {
-				reportedAt++
+				reports++
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		if most := int(2*time.Second/minReportInterval) + 1; reportedAt > most || reportedAt < most/2 {
-			t.Errorf("%d reports in 2 s, want %d at most", reportedAt, most)
+		if most := int(2*time.Second/minReportInterval) + 1; reports > most || reports < most/2 {
+			t.Errorf("%d reports in 2 s, want at most %d", reports, most)
 		}
 	})
 }
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -17,8 +17,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against a request that was chosen for a target before the target drained, ended or
-// was evacuated, and is sent after, when it has its connection.
+// Guards against sending a request to a target that drained, ended or was evacuated while the
+// request waited for its connection.
 func TestRequestIsNotSentToATargetThatIsClosedMeanwhile(t *testing.T) {
 	serving := balance.Target{ID: "t0", Name: "t0", Service: "s", Address: "0", Zone: "z", Slots: 4}
 	draining := serving
@@ -63,14 +63,14 @@
 	}
 }
 
-// Guards against a request whose line does not tell which evacuations it went by: routes and
-// targets of one state come into force one after the other.
+// Guards against a request whose log line does not tell which evacuations it was subject to: the
+// routes and the targets of one state are applied one after the other.
 func TestRequestLineTellsTheVersionOfItsTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
-		s.scripts = scripts(s.answers(0, "a"), s.answers(0, "a"), s.answers(0, "a"))
+		s.scripts = scripts(s.responds(0, "a"), s.responds(0, "a"), s.responds(0, "a"))
 		evacuated, _ := s.daemon.lastState.ApplyEvacuation(&wire.EvacuationCommand{Zone: "y"})
 		for i, c := range []catalog.State{*s.daemon.lastState, evacuated, evacuated} {
 			version := uint64(i + 2)
@@ -78,7 +78,7 @@
 			lines.Reset()
 			s.send(t.Context(), "/long/", "")
 			if want := fmt.Sprintf(`"targetsVersion":%d,`, version); !strings.Contains(lines.String(), want) {
-				t.Errorf("no %s in %s", want, lines.String())
+				t.Errorf("%s is not in the log: %s", want, lines.String())
 			}
 		}
 	})
--- a/internal/gateway/workspace_test.go
+++ b/internal/gateway/workspace_test.go
@@ -14,13 +14,12 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-// A deployment's documents got workspaces that the box did not know of. Each of
-// its requests reached a target with its key and without its workspace's name, one
-// with a key that had been taken away ran, and one of a workspace that is bound to
-// a region ran in another.
+// These tests guard against a box that ignores the workspaces of its document. Such a box sent each
+// request to a target with its key and without the name of its workspace, ran a request with a key
+// that had been revoked, and ran one outside the regions of its workspace.
 
-// workspaceRoutes are the test's routes with two workspaces, one of them bound to a
-// region that has no targets; /open/ needs no key, /there/ is bound to the box's region.
+// workspaceRoutes adds two workspaces to testRoutes, one of them restricted to a region without
+// targets. The route /open/ needs no key, and /there/ is restricted to the box's region.
 func workspaceRoutes(text []byte) (catalog.Document, error) {
 	d, err := testRoutes(text)
 	open, there := d.Hosts[0].Routes[0], d.Hosts[0].Routes[0]
@@ -34,7 +33,7 @@
 	return d, err
 }
 
-// workspaceProtocol has headers for keys beside those of the other tests.
+// workspaceProtocol adds headers for workspace keys and names to testProtocol.
 func workspaceProtocol() Protocol {
 	p := testProtocol()
 	p.WorkspaceKey = "Test-Secret"
@@ -42,8 +41,8 @@
 	return p
 }
 
-// newWorkspaceBox is a box with one target, which tells the headers that it gets.
-func newWorkspaceBox(t *testing.T) (ask func(path string, header http.Header) *http.Response, seen chan http.Header, d *Daemon) {
+// newWorkspaceBox returns a box with one target, which records the headers that it gets.
+func newWorkspaceBox(t *testing.T) (send func(path string, header http.Header) *http.Response, seen chan http.Header, d *Daemon) {
 	t.Helper()
 	seen = make(chan http.Header, 16)
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
@@ -55,7 +54,7 @@
 	config.DecodeRoutes = workspaceRoutes
 	d = newDaemon(t, config, s.listener.Addr().String())
 	g := serveDaemon(t, d)
-	ask = func(path string, header http.Header) *http.Response {
+	send = func(path string, header http.Header) *http.Response {
 		r, err := http.NewRequest(http.MethodGet, g.server.URL+path, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -71,11 +70,11 @@
 		_ = response.Body.Close()
 		return response
 	}
-	return ask, seen, d
+	return send, seen, d
 }
 
 func TestTargetGetsTheWorkspaceAndNotTheKey(t *testing.T) {
-	ask, seen, _ := newWorkspaceBox(t)
+	send, seen, _ := newWorkspaceBox(t)
 	for _, c := range []struct {
 		name, path string
 		header     http.Header
@@ -89,7 +88,7 @@
 		{"public, unknown key", "/open/", http.Header{"Test-Secret": {"who"}}, nil},
 		{"public, known key", "/open/", http.Header{"Test-Secret": {"key-n1"}}, []string{"north"}},
 	} {
-		if response := ask(c.path, c.header); response.StatusCode != http.StatusOK {
+		if response := send(c.path, c.header); response.StatusCode != http.StatusOK {
 			t.Fatalf("%s: status %d", c.name, response.StatusCode)
 		}
 		got := <-seen
@@ -97,27 +96,27 @@
 			t.Errorf("%s: the target got the key", c.name)
 		}
 		if strings.Join(got["Test-Workspace"], ",") != strings.Join(c.workspace, ",") {
-			t.Errorf("%s: the target was told workspace %q", c.name, got["Test-Workspace"])
+			t.Errorf("%s: the target got workspace %q", c.name, got["Test-Workspace"])
 		}
 	}
 }
 
 func TestRequestWithoutAKnownKeyIsDenied(t *testing.T) {
-	ask, seen, d := newWorkspaceBox(t)
+	send, seen, d := newWorkspaceBox(t)
 	headers := map[string]http.Header{
 		"none": {}, "unknown": {"Test-Secret": {"who"}}, "empty": {"Test-Secret": {""}}, "two": {"Test-Secret": {"key-n1", "key-n1"}},
 		"shown": {"Test-Secret": {catalog.RedactedKey}},
 	}
 	for name, h := range headers {
-		if response := ask("/safe/", h); response.StatusCode != http.StatusUnauthorized {
+		if response := send("/safe/", h); response.StatusCode != http.StatusUnauthorized {
 			t.Errorf("%s: status %d", name, response.StatusCode)
 		}
 	}
-	// Without word of control the key may have been added.
+	// Without contact with control, the key may have been added.
 	d.controlAge = func() time.Duration { return maxControlAge + 1 }
 	for name, h := range headers {
-		if response := ask("/safe/", h); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-			t.Errorf("%s, old word of control: status %d", name, response.StatusCode)
+		if response := send("/safe/", h); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
+			t.Errorf("%s, no recent contact with control: status %d", name, response.StatusCode)
 		}
 	}
 	if len(seen) > 0 {
@@ -126,10 +125,10 @@
 }
 
 func TestRegionsOfWorkspaceAndRouteBothBind(t *testing.T) {
-	ask, seen, _ := newWorkspaceBox(t)
+	send, seen, _ := newWorkspaceBox(t)
 	south := http.Header{"Test-Secret": {"key-s"}}
 	for _, path := range []string{"/safe/", "/there/"} {
-		if response := ask(path, south); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
+		if response := send(path, south); response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 			t.Errorf("%s: status %d", path, response.StatusCode)
 		}
 	}
@@ -139,19 +138,19 @@
 }
 
 func TestKeysStandInNoLog(t *testing.T) {
-	ask, _, d := newWorkspaceBox(t)
+	send, _, d := newWorkspaceBox(t)
 	var lines bytes.Buffer
 	d.log = zerolog.New(&lines)
 	for _, key := range []string{"key-n1", "secret-unknown"} {
-		ask("/safe/", http.Header{"Test-Secret": {key}})
+		send("/safe/", http.Header{"Test-Secret": {key}})
 	}
 	text := lines.String()
 	if !strings.Contains(text, `"workspace":"north"`) || !strings.Contains(text, reasonUnknownKey) {
-		t.Fatalf("the log does not tell of the requests: %s", text)
+		t.Fatalf("the log lacks the requests: %s", text)
 	}
 	for _, key := range []string{"key-n1", "secret-unknown"} {
 		if strings.Contains(text, key) {
-			t.Errorf("the log holds the key %s", key)
+			t.Errorf("the log contains the key %s", key)
 		}
 	}
 }
