--- a/internal/gateway/applystate_test.go
+++ b/internal/gateway/applystate_test.go
@@ -15,7 +15,7 @@
 
 // These tests guard against a box that applies all targets again with every state, which took 0.12
 // ms at 400 targets on one core, 0.7 ms on the 0.16 cores of a box, and a log line, and against
-// state of routes that is kept for ever after they left the document.
+// state of routes that is kept forever after they left the document.
 
 // numbered decodes the documents that withDocument writes.
 func numbered(routesOf func(number uint64) catalog.Document) func([]byte) (catalog.Document, error) {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -126,9 +126,9 @@
 
 // balanceRequest describes the request to the balancer.
 func (c *callerRequest) balanceRequest() balance.Request {
-	left := c.route.Objective - c.gateway.clock.Since(c.startedAt)
+	remaining := c.route.Objective - c.gateway.clock.Since(c.startedAt)
 	if c.sent+len(c.pending) > 0 {
-		left = c.gateway.clock.Until(c.deadline) // a late response is better than none
+		remaining = c.gateway.clock.Until(c.deadline) // a late response is better than none
 	}
 	return balance.Request{
 		Service:   c.service,
@@ -137,11 +137,12 @@
 		Regions:   c.regions,
 		Near:      c.route.Repeat == catalog.Download,
 		Objective: c.route.Objective,
-		Left:      left,
+		Left:      remaining,
 		Tried:     c.tried,
 	}
 }
 
+// affinityKey returns the key by which a home target is chosen; empty on routes without affinity.
 func (c *callerRequest) affinityKey() string {
 	if !c.route.Affinity {
 		return ""
@@ -214,7 +215,8 @@
 	return e.failure.outcome
 }
 
-// classifyResponse tells the response of a target that ran the request from a rejection.
+// classifyResponse returns the outcome of a response: TurnedAway if the target did not run the
+// request, else Answered.
 func (c *callerRequest) classifyResponse(out *targetResponse) balance.Outcome {
 	c.sent++
 	if c.notRun(out) {
@@ -225,6 +227,7 @@
 	return balance.Answered
 }
 
+// notRun reports whether the target says that it did not run the request.
 func (c *callerRequest) notRun(out *targetResponse) bool {
 	return out.targetStatus.NotRun
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -19,8 +19,8 @@
 	data []byte
 	rest io.Reader
 	// length is the length of the whole body; below zero if unknown.
-	length   int64
-	restSent bool
+	length       int64
+	restConsumed bool
 }
 
 // readBody reads the body of a request, or its beginning.
@@ -39,7 +39,7 @@
 }
 
 // repeatable reports whether the body can be sent to another target.
-func (b *requestBody) repeatable() bool { return b.rest == nil || !b.restSent }
+func (b *requestBody) repeatable() bool { return b.rest == nil || !b.restConsumed }
 
 // isBuffered reports whether the body can be sent to several targets at once.
 func (b *requestBody) isBuffered() bool { return b.rest == nil }
@@ -81,11 +81,12 @@
 		s.end(nil)
 		return s
 	}
-	b.restSent = true
+	b.restConsumed = true
 	go func() { s.end(b.sendRest(c)) }() // ends with the connection, which the attempt closes
 	return s
 }
 
+// sendRest streams the body, in chunks if its length is unknown.
 func (b *requestBody) sendRest(c *connection) error {
 	if b.length >= 0 {
 		n, err := io.Copy(c, b.rest)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -8,6 +8,7 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
+// retryBudget returns the retry budget of a service. The caller holds the lock of d.balancing.
 func (d *Daemon) retryBudget(service string) *retry.Window {
 	w := d.balancing.retryBudgets[service]
 	if w == nil {
@@ -17,6 +18,7 @@
 	return w
 }
 
+// recordFirstAttempt records the first attempt of a request, which earns a share of a retry.
 func (d *Daemon) recordFirstAttempt(service string) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
--- a/internal/gateway/callerresponse.go
+++ b/internal/gateway/callerresponse.go
@@ -52,6 +52,7 @@
 	c.reply(status, reason, nil)
 }
 
+// fail responds with an error that does not say that the request has not run.
 func (c *callerRequest) fail(code int, reason string, err error) { c.reply(code, reason, err) }
 
 // reply sends a response that the box itself generates.
@@ -68,7 +69,7 @@
 func (c *callerRequest) sendResponse(out *targetResponse) {
 	if c.notRun(out) && out.status != http.StatusBadRequest {
 		out.discard()
-		c.answerRejected()
+		c.replyRejected()
 		return
 	}
 	c.dropFallback()
@@ -93,21 +94,21 @@
 	}
 }
 
-// answerRejected answers a request that its last target rejected. If an earlier target may have run
+// replyRejected responds to a request that its last target rejected. If an earlier target may have run
 // the request, the response must not say that it has not run.
-func (c *callerRequest) answerRejected() {
+func (c *callerRequest) replyRejected() {
 	switch {
 	case c.hasFallback():
 		c.sendFallback()
 	case c.mayHaveRun:
-		c.fail(http.StatusBadGateway, "unknown", errTurnedAway)
+		c.fail(http.StatusBadGateway, "unknown", errRejected)
 	default:
 		c.refuse("turnedAway", c.retryAfter())
 	}
 }
 
-// errTurnedAway is why the last target gave no response.
-var errTurnedAway = errors.New("the last target rejected the request")
+// errRejected is logged if the last target rejected a request that an earlier one may have run.
+var errRejected = errors.New("the last target rejected the request")
 
 func (c *callerRequest) writeHead(out *targetResponse) {
 	h := c.writer.Header()
--- a/internal/gateway/callerserver.go
+++ b/internal/gateway/callerserver.go
@@ -65,6 +65,7 @@
 	return ended
 }
 
+// connStateChanged tracks idle connections. It is called by the HTTP server.
 func (c *callerServer) connStateChanged(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +96,8 @@
 func (c *callerServer) closeIdle(since time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, at := range c.idle {
-		if at.Before(since) {
+	for conn, idleSince := range c.idle {
+		if idleSince.Before(since) {
 			delete(c.idle, conn)
 			c.closing[conn] = true
 			_ = conn.SetReadDeadline(time.Unix(1, 0)) // fails only if the connection is closed
--- a/internal/gateway/connectionpool.go
+++ b/internal/gateway/connectionpool.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt: two of the longest round trips between regions (70
-	// ms) and the target's handshake, with room for one lost packet on the shorter paths.
+	// dialTimeout bounds a connection attempt: two of the longest round trips between regions,
+	// 70 ms each, and the target's handshake, with room for one lost packet on the shorter paths.
 	dialTimeout = 300 * time.Millisecond
 	// defaultKeepAlive is how long a connection is kept if its target declares no keep-alive
 	// timeout.
@@ -52,9 +52,9 @@
 	onOpen func()
 }
 
-func newConnectionPool(opened func()) *connectionPool {
+func newConnectionPool(onOpen func()) *connectionPool {
 	dialer := &net.Dialer{KeepAlive: -1}
-	return &connectionPool{idle: make(map[string][]*connection), onOpen: opened, dial: dialer.DialContext}
+	return &connectionPool{idle: make(map[string][]*connection), onOpen: onOpen, dial: dialer.DialContext}
 }
 
 // get returns an idle connection that is still reusable, or a new one.
@@ -144,14 +144,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(errno, syscall.EAGAIN)
+		noData = errors.Is(errno, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && noData
 }
 
 // keepAliveTimeout parses the timeout that a target declares in its Keep-Alive header.
--- a/internal/gateway/controlreplicas.go
+++ b/internal/gateway/controlreplicas.go
@@ -23,7 +23,8 @@
 	mu      sync.Mutex
 	seeds   []string
 	members []string
-	cursor  int
+	// cursor counts the calls of next.
+	cursor int
 }
 
 func newReplicas(seeds []string) *replicas { return &replicas{seeds: slices.Clone(seeds)} }
@@ -35,19 +36,19 @@
 }
 
 // record records whether a process answered and reports whether that is a change.
-func (s *reachability) record(address string, answered bool) (news bool) {
+func (s *reachability) record(address string, answered bool) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news = s.unreachable[address] == answered
+	changed = s.unreachable[address] == answered
 	if answered {
 		delete(s.unreachable, address)
-		return news
+		return changed
 	}
 	if s.unreachable == nil {
 		s.unreachable = make(map[string]bool)
 	}
 	s.unreachable[address] = true
-	return news
+	return changed
 }
 
 // all returns the peer addresses of all known replicas.
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -186,8 +186,8 @@
 
 const (
 	sweepInterval = time.Second
-	// droppedLinesInterval is how often the number of dropped log lines is logged.
-	droppedLinesInterval = 5 * time.Second
+	// suppressedLinesInterval is how often the number of suppressed log lines is logged.
+	suppressedLinesInterval = 5 * time.Second
 )
 
 // Run serves until the context ends, then shuts down gracefully.
@@ -251,7 +251,7 @@
 func (d *Daemon) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	lines := time.NewTicker(droppedLinesInterval)
+	lines := time.NewTicker(suppressedLinesInterval)
 	defer lines.Stop()
 	for {
 		select {
@@ -265,7 +265,7 @@
 			d.targetLimits.prune(now, d.isRegistered)
 			d.logEndedBackOffs()
 		case <-lines.C:
-			d.logDroppedLines()
+			d.logSuppressedLines()
 		}
 	}
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -84,8 +84,8 @@
 	// zero if it needs none.
 	deadline     time.Time
 	permitExpiry time.Time
-	// connect is how long a new connection took; zero for a reused one.
-	connect time.Duration
+	// connectTime is how long a new connection took; zero for a reused one.
+	connectTime time.Duration
 	// connection is the one on which the request was sent; nil before.
 	connection *connection
 }
@@ -127,7 +127,7 @@
 	}
 	a.connection = c
 	if !c.used {
-		a.connect = a.gateway.clock.Since(began)
+		a.connectTime = a.gateway.clock.Since(began)
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	out, err := a.exchange(c)
@@ -139,7 +139,7 @@
 	finish := out.finish
 	out.finish = func(whole bool) {
 		if !stop() {
-			whole = false // the read deadline may have been set on it
+			whole = false // the end of the context may have set a deadline on it
 		}
 		finish(whole)
 	}
@@ -177,6 +177,7 @@
 	return o
 }
 
+// exchange sends the request on a connection and reads the response.
 func (a *attempt) exchange(c *connection) (*targetResponse, error) {
 	headers := targetHeaders{target: a.target.Name, workspace: a.workspace, timeout: a.gateway.clock.Until(a.deadline), bodyLength: a.body.length}
 	sent := a.body.send(c, a.gateway.config.Protocol.requestHead(a.request, headers))
--- a/internal/gateway/head.go
+++ b/internal/gateway/head.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// hopHeaders apply to one connection only and are not forwarded.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to one connection only and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Connection":    true,
@@ -23,7 +23,7 @@
 
 // isForwarded reports whether a header is forwarded. listed are the names in the Connection header.
 func isForwarded(name string, listed []string) bool {
-	if hopHeaders[name] {
+	if hopByHopHeaders[name] {
 		return false
 	}
 	for _, l := range listed {
@@ -59,8 +59,8 @@
 
 // requestHead returns the request line and headers that are sent to a target.
 func (p Protocol) requestHead(r *http.Request, headers targetHeaders) []byte {
-	const usualHead = 512
-	out := make([]byte, 0, usualHead)
+	const typicalHead = 512
+	out := make([]byte, 0, typicalHead)
 	out = append(out, r.Method...)
 	out = append(out, ' ')
 	out = append(out, r.RequestURI...)
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// minHedgeInterval and maxHedgeInterval bound the pause before the next search for a target
+	// minSearchInterval and maxHedgeInterval bound the pause before the next search for a target
 	// after one that found none. A shorter pause would ask again before any slot can have become
 	// free; a longer one would miss a target that is readmitted after the shortest ejection.
-	minHedgeInterval = 50 * time.Millisecond
-	maxHedgeInterval = 250 * time.Millisecond
+	minSearchInterval = 50 * time.Millisecond
+	maxSearchInterval = 250 * time.Millisecond
 )
 
 // errOtherResponded is the cause of a context that was canceled because another target responded.
@@ -51,10 +51,10 @@
 		gateway: c.gateway, chosenAt: c.gateway.clock.Now(), request: c.request, requestID: c.requestID, body: c.body, target: choice.Target,
 		workspace: c.workspaceName(), deadline: c.deadline, permitExpiry: earliest(c.nextPermitExpiry(), choice.permitExpiry),
 	}
-	u := &pendingAttempt{attempt: a, choice: choice, startedAt: a.chosenAt, ctx: ctx, cancel: cancel}
+	p := &pendingAttempt{attempt: a, choice: choice, startedAt: a.chosenAt, ctx: ctx, cancel: cancel}
 	c.tried = append(c.tried, choice.Target.ID)
-	c.pending = append(c.pending, u)
-	go func() { c.ended <- u.run() }()
+	c.pending = append(c.pending, p)
+	go func() { c.ended <- p.run() }()
 	c.armHedgeTimer()
 }
 
@@ -69,15 +69,15 @@
 // run runs the attempt. A panic counts as a failure of a target that may have run the request:
 // net/http recovers panics in its own goroutines only, so otherwise one panic would end the box
 // with all its requests.
-func (u *pendingAttempt) run() (e attemptEnd) {
+func (p *pendingAttempt) run() (e attemptEnd) {
 	defer func() {
-		e.took = u.attempt.gateway.clock.Since(u.startedAt)
-		if p := recover(); p != nil {
-			e.out, e.failure = nil, u.attempt.logPanic(p)
+		e.took = p.attempt.gateway.clock.Since(p.startedAt)
+		if value := recover(); value != nil {
+			e.out, e.failure = nil, p.attempt.logPanic(value)
 		}
 	}()
-	e.pendingAttempt = u
-	e.out, e.failure = u.attempt.run(u.ctx)
+	e.pendingAttempt = p
+	e.out, e.failure = p.attempt.run(p.ctx)
 	return e
 }
 
@@ -88,7 +88,7 @@
 		return
 	}
 	last := c.pending[len(c.pending)-1]
-	c.hedgeTimer.Reset(max(c.gateway.clock.Until(last.startedAt.Add(last.choice.Patience)), minHedgeInterval))
+	c.hedgeTimer.Reset(max(c.gateway.clock.Until(last.startedAt.Add(last.choice.Patience)), minSearchInterval))
 }
 
 // canHedge reports whether the request may go to a further target while another may be running it.
@@ -106,21 +106,21 @@
 // target is found or not: a target that is slow because its queue is long responds in the end, and
 // where all targets have queues no other one is faster.
 func (c *callerRequest) hedge(ctx context.Context) {
-	for _, u := range c.pending {
-		c.recordOverdue(u)
+	for _, p := range c.pending {
+		c.recordOverdue(p)
 	}
 	if ctx.Err() != nil || !c.canHedge() {
 		return
 	}
 	if !c.obtainPermitForAnother() {
 		c.hedges.lastError = errNoPermit
-		c.hedgeTimer.Reset(maxHedgeInterval)
+		c.hedgeTimer.Reset(maxSearchInterval)
 		return
 	}
 	choice, err := c.chooseRetryTarget(ctx, 0)
 	if err != nil {
 		c.hedges.lastError = err
-		c.hedgeTimer.Reset(nextHedgeDelay(err))
+		c.hedgeTimer.Reset(nextSearchDelay(err))
 		return
 	}
 	c.hedges.count++
@@ -130,30 +130,30 @@
 }
 
 // recordOverdue reports an overdue target to the balancer. Otherwise a target that stopped
-// responding would get further requests until this one has reached its deadline.
-func (c *callerRequest) recordOverdue(u *pendingAttempt) {
-	if u.overdue {
+// responding would get further requests until the request reaches its deadline.
+func (c *callerRequest) recordOverdue(p *pendingAttempt) {
+	if p.overdue {
 		return
 	}
-	u.overdue = true
-	c.gateway.reportOverdue(balance.Report{TargetID: u.choice.Target.ID, Route: c.route.Name, Outcome: balance.Stuck, Took: c.gateway.clock.Since(u.startedAt)})
+	p.overdue = true
+	c.gateway.reportOverdue(balance.Report{TargetID: p.choice.Target.ID, Route: c.route.Name, Outcome: balance.Stuck, Took: c.gateway.clock.Since(p.startedAt)})
 }
 
-// nextHedgeDelay returns the time until the next search for a target.
-func nextHedgeDelay(err error) time.Duration {
+// nextSearchDelay returns the time until the next search for a target.
+func nextSearchDelay(err error) time.Duration {
 	var none *balance.NoTargetError
 	if !errors.As(err, &none) {
-		return maxHedgeInterval
+		return maxSearchInterval
 	}
-	return min(max(none.RetryAfter, minHedgeInterval), maxHedgeInterval)
+	return min(max(none.RetryAfter, minSearchInterval), maxSearchInterval)
 }
 
 // recordAttempt records the result of an attempt and reports its outcome to the balancer.
 func (c *callerRequest) recordAttempt(e attemptEnd) {
-	c.pending = slices.DeleteFunc(c.pending, func(u *pendingAttempt) bool { return u == e.pendingAttempt })
-	c.lastAttempt = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, newConnection: e.attempt.connect > 0, took: e.took}
+	c.pending = slices.DeleteFunc(c.pending, func(p *pendingAttempt) bool { return p == e.pendingAttempt })
+	c.lastAttempt = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, newConnection: e.attempt.connectTime > 0, took: e.took}
 	report := balance.Report{
-		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connect, ToldOverdue: e.overdue,
+		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connectTime, ToldOverdue: e.overdue,
 	}
 	if e.failure != nil {
 		e.cancel(nil)
@@ -212,8 +212,8 @@
 // outlives the response.
 func (c *callerRequest) cancelPending() {
 	final := c.lastAttempt
-	for _, u := range c.pending {
-		u.cancel(errOtherResponded)
+	for _, p := range c.pending {
+		p.cancel(errOtherResponded)
 	}
 	for len(c.pending) > 0 {
 		e := <-c.ended
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -44,7 +44,7 @@
 	case errors.As(err, &over):
 		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.After)
 	case errors.As(err, &silent):
-		c.refuse(reasonLimitUnknown, max(silent.After, minRoutesRetry))
+		c.refuse(reasonLimitUnknown, max(silent.After, minRetryAfter))
 	default:
 		c.refuse(reasonLimitUnknown, permitRetryAfter)
 	}
@@ -63,8 +63,8 @@
 // the body arrived slowly or the machine was frozen or suspended. It reports whether the request
 // may proceed; if not, it has been answered.
 func (c *callerRequest) replaceExpiredPermit(ctx context.Context) bool {
-	ends := c.nextPermitExpiry()
-	if ends.IsZero() || c.gateway.clock.Now().Before(ends) {
+	expiry := c.nextPermitExpiry()
+	if expiry.IsZero() || c.gateway.clock.Now().Before(expiry) {
 		return true
 	}
 	i := c.possibleRuns + len(c.pending)
--- a/internal/gateway/linkqueue.go
+++ b/internal/gateway/linkqueue.go
@@ -77,9 +77,9 @@
 	return b, 0, true
 }
 
-// settle replaces the reserved size by the actual size of the response, zero if there was none. Without
-// this, downloads of log-normal sizes with a sigma of 0.6 overload the link: the slowest takes 6.7 s
-// instead of 4.1 s. Only the first call counts.
+// settle replaces the reserved size by the actual size of the response, zero if there was none.
+// Without this, downloads of log-normal sizes with a sigma of 0.6 overload the link: the slowest
+// takes 6.7 s instead of 4.1 s. Only the first call counts.
 func (b *reservation) settle(now time.Time, size int64) {
 	q := b.queue
 	q.mu.Lock()
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -12,7 +12,7 @@
 	otherLinesPerSecond  = 200
 )
 
-// requestLine begins the log line of a request, or returns nil if it is dropped.
+// requestLine begins the log line of a request, or returns nil if it is suppressed.
 func (d *Daemon) requestLine(served bool) *zerolog.Event {
 	limit := d.otherLineLimit
 	if served {
@@ -27,12 +27,12 @@
 	return d.log.Warn()
 }
 
-// logDroppedLines logs how many lines were dropped.
-func (d *Daemon) logDroppedLines() {
+// logSuppressedLines logs how many lines were suppressed, and how many the reader was too slow for.
+func (d *Daemon) logSuppressedLines() {
 	served, others := d.servedLineLimit.LeftOut(), d.otherLineLimit.LeftOut()
 	if served+others == 0 {
 		return
 	}
 	d.log.Warn().Str("kind", "linesLeftOut").Uint64("served", served).Uint64("others", others).
-		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines dropped to limit their volume")
+		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines suppressed to limit their volume")
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -13,9 +13,9 @@
 	attempts    *prometheus.CounterVec
 	hedges      prometheus.Counter
 	connections prometheus.Counter
-	permitAsks  *prometheus.CounterVec
-	// targetChecks, crashedRuns and quarantined are about requests that crash their targets.
-	targetChecks *prometheus.CounterVec
+	permitCalls *prometheus.CounterVec
+	// targetProbes, crashedRuns and quarantined are about requests that crash their targets.
+	targetProbes *prometheus.CounterVec
 	crashedRuns  prometheus.Counter
 	quarantined  prometheus.Gauge
 	// targetLimits, targetPermits and skippedLimited are about rate-limited targets.
@@ -50,10 +50,10 @@
 			Name: "ledgesill_target_connections_total", Help: "Connections opened to targets.",
 		}),
 	}
-	m.permitAsks = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.permitCalls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_permit_asks_total", Help: "Calls for permits of workspaces with limits, by whether they were answered.",
 	}, []string{"answered"})
-	m.targetChecks = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.targetProbes = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_target_looks_total", Help: "Targets that were looked at after a connection broke, by whether they had ended.",
 	}, []string{"found"})
 	m.crashedRuns = prometheus.NewCounter(prometheus.CounterOpts{
@@ -81,7 +81,7 @@
 		Name: "ledgesill_targets_leaving_total", Help: "Targets that said in an answer, to this box or another, that they leave.",
 	})
 	r.MustRegister(m.backOffs, m.backOffSkips, m.targetsLeaving,
-		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitAsks, m.targetChecks, m.crashedRuns, m.quarantined,
+		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitCalls, m.targetProbes, m.crashedRuns, m.quarantined,
 		m.targetLimits, m.targetPermits, m.skippedLimited)
 	return m
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -51,29 +51,29 @@
 
 // acquire returns a permit of a workspace or target and may wait for one. The error is an
 // OverLimitError or SilentError of package quota, or the context's.
-func (p *permits) acquire(ctx context.Context, workspace string) (until time.Time, err error) {
+func (p *permits) acquire(ctx context.Context, subject string) (until time.Time, err error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.Count(now, workspace)
-	if until, ok := p.cache.Take(now, workspace); ok {
+	p.cache.Count(now, subject)
+	if until, ok := p.cache.Take(now, subject); ok {
 		p.triggerRequests()
 		return until, nil
 	}
 	p.cache.SetIssuers(p.replicas())
 	timeout := time.NewTimer(maxPermitWait)
 	defer timeout.Stop()
-	p.cache.Wait(workspace)
-	defer p.cache.Unwait(workspace)
+	p.cache.Wait(subject)
+	defer p.cache.Unwait(subject)
 	for {
-		if err := p.cache.Refusal(p.clock.Now(), workspace); err != nil {
+		if err := p.cache.Refusal(p.clock.Now(), subject); err != nil {
 			return time.Time{}, err
 		}
 		p.triggerRequests()
 		if err := p.await(ctx, timeout.C); err != nil {
-			return time.Time{}, errors.CombineErrors(p.cache.Refusal(p.clock.Now(), workspace), err)
+			return time.Time{}, errors.CombineErrors(p.cache.Refusal(p.clock.Now(), subject), err)
 		}
-		if until, ok := p.cache.Take(p.clock.Now(), workspace); ok {
+		if until, ok := p.cache.Take(p.clock.Now(), subject); ok {
 			return until, nil
 		}
 	}
@@ -98,17 +98,17 @@
 }
 
 // tryAcquire takes a permit if one is cached.
-func (p *permits) tryAcquire(workspace string) (until time.Time, ok bool) {
+func (p *permits) tryAcquire(subject string) (until time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cache.Take(p.clock.Now(), workspace)
+	return p.cache.Take(p.clock.Now(), subject)
 }
 
 // release returns a permit that was not used.
-func (p *permits) release(workspace string, until time.Time) {
+func (p *permits) release(subject string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.PutBack(workspace, until)
+	p.cache.PutBack(subject, until)
 }
 
 func (p *permits) triggerRequests() {
@@ -164,10 +164,10 @@
 
 // pendingCalls returns the issuer calls that are due.
 func (p *permits) pendingCalls() []quota.IssuerAsks {
-	replicas := p.replicas()
+	addresses := p.replicas()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.SetIssuers(replicas)
+	p.cache.SetIssuers(addresses)
 	return p.cache.Asks(p.clock.Now())
 }
 
@@ -177,6 +177,7 @@
 	return p.cache.Waiting()
 }
 
+// callIssuer sends a permit request to one replica.
 func (p *permits) callIssuer(ctx context.Context, a quota.IssuerAsks) issuerResult {
 	ctx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
@@ -193,6 +194,7 @@
 	return r
 }
 
+// handleResult adds the granted permits to the cache and wakes the waiting requests.
 func (p *permits) handleResult(e issuerResult) {
 	p.onResult(e.asks, e.err)
 	p.mu.Lock()
@@ -228,13 +230,14 @@
 	p.changed = make(chan struct{})
 }
 
-// prune drops workspaces without recent requests.
+// prune drops workspaces and targets without recent requests.
 func (p *permits) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cache.Forget(now)
 }
 
+// documentNumber returns the number of the active routes document, zero for none.
 func (d *Daemon) documentNumber() uint64 {
 	if routing := d.routing.Load(); routing != nil {
 		return routing.document.Number
@@ -245,7 +248,7 @@
 // recordPermitCall counts an issuer call that has ended. A failure is logged once, until the
 // replica answers again.
 func (d *Daemon) recordPermitCall(a quota.IssuerAsks, err error) {
-	d.metrics.permitAsks.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
+	d.metrics.permitCalls.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
 	if !d.permitReachability.record(a.Address, err == nil) {
 		return
 	}
--- a/internal/gateway/permitstreams.go
+++ b/internal/gateway/permitstreams.go
@@ -64,6 +64,7 @@
 	}
 }
 
+// get returns the stream to a replica and opens one if there is none.
 func (p *permitStreams) get(ctx context.Context, address string) (*permitStream, error) {
 	p.mu.Lock()
 	l := p.streams[address]
@@ -77,9 +78,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if other := p.streams[address]; other != nil {
+	if existing := p.streams[address]; existing != nil {
 		_ = m.Close() // another request opened one meanwhile
-		return other, nil
+		return existing, nil
 	}
 	l = &permitStream{messages: m, closed: make(chan struct{})}
 	p.streams[address] = l
@@ -100,10 +101,10 @@
 // close closes all streams and waits for their readers.
 func (p *permitStreams) close() {
 	p.mu.Lock()
-	links := p.streams
+	streams := p.streams
 	p.streams = make(map[string]*permitStream)
 	p.mu.Unlock()
-	for _, l := range links {
+	for _, l := range streams {
 		_ = l.messages.Close() // no request waits on it any more
 		<-l.closed
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -23,8 +23,8 @@
 		Leaving:     d.isLeaving,
 		Replicas:    d.controlReplicas.all,
 		Tell:        d.sendEvidence,
-		Looked:      func(l isolation.Look) { d.metrics.targetChecks.WithLabelValues(l.String()).Inc() },
-		Ended:       d.recordEndedRun,
+		Looked:      func(l isolation.Look) { d.metrics.targetProbes.WithLabelValues(l.String()).Inc() },
+		Ended:       d.recordCrashedRun,
 	})
 }
 
@@ -36,7 +36,8 @@
 	return err
 }
 
-func (d *Daemon) recordEndedRun(r isolation.Run) {
+// recordCrashedRun counts and logs a request whose target crashed while it ran it.
+func (d *Daemon) recordCrashedRun(r isolation.Run) {
 	d.metrics.crashedRuns.Inc()
 	if !d.otherLineLimit.Take(d.clock.Now()) {
 		return
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -30,8 +30,8 @@
 	requestID string
 	routing   *routing
 	route     catalog.Route
-	// workspace owns the API key that the request carries, nil if there is none. regions are the
-	// regions that may serve the request; empty means all.
+	// workspace is the owner of the key that the request carries, nil if there is none. regions are
+	// the regions that may serve the request; empty means all.
 	workspace *catalog.Workspace
 	regions   []string
 	// permits are the expiry times of the permits that the request holds of its workspace's rate
@@ -121,6 +121,8 @@
 	return id
 }
 
+// serve checks the request against the routes, its workspace, the quarantine, the rate limit and
+// the link, then sends it to targets.
 func (c *callerRequest) serve() {
 	if c.routing == nil {
 		c.refuse("noRoutes", c.gateway.routesRetryAfter())
@@ -153,13 +155,13 @@
 	if !c.bufferBody() {
 		return
 	}
-	booked, wait, ok := c.gateway.linkQueue.admit(c.startedAt, route.Name, route.Objective)
+	reserved, wait, ok := c.gateway.linkQueue.admit(c.startedAt, route.Name, route.Objective)
 	if !ok {
 		c.refuse("linkFull", wait)
 		return
 	}
-	c.reservation = booked
-	defer func() { booked.settle(c.gateway.clock.Now(), 0) }()
+	c.reservation = reserved
+	defer func() { reserved.settle(c.gateway.clock.Now(), 0) }()
 	if !c.replaceExpiredPermit(ctx) {
 		return
 	}
--- a/internal/gateway/shaper.go
+++ b/internal/gateway/shaper.go
@@ -94,11 +94,11 @@
 func (s *shaper) copy(ctx context.Context, to io.Writer, from io.Reader, left int64) error {
 	p := s.begin(s.clock.Now(), left)
 	defer p.close()
-	piece := make([]byte, shapedChunk)
+	chunk := make([]byte, shapedChunk)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(chunk)
 		if n > 0 {
-			if err := p.write(ctx, to, piece[:n]); err != nil {
+			if err := p.write(ctx, to, chunk[:n]); err != nil {
 				return err
 			}
 		}
@@ -111,14 +111,14 @@
 	}
 }
 
-func (p *shapedTransfer) write(ctx context.Context, to io.Writer, piece []byte) error {
-	if wait := p.wait(p.shaper.clock.Now(), len(piece)); wait > 0 {
+func (p *shapedTransfer) write(ctx context.Context, to io.Writer, chunk []byte) error {
+	if wait := p.wait(p.shaper.clock.Now(), len(chunk)); wait > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(wait):
 		}
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err
 }
--- a/internal/gateway/splits.go
+++ b/internal/gateway/splits.go
@@ -33,16 +33,16 @@
 // pruneRoutes drops the state of routes that are no longer in the document, once there is too much
 // of it.
 func (d *Daemon) pruneRoutes(document catalog.Document) {
-	most := 0
+	limit := 0
 	for _, h := range document.Hosts {
-		most += retainedRoutesFactor * len(h.Routes)
+		limit += retainedRoutesFactor * len(h.Routes)
 	}
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	if len(d.balancing.splits) > most {
+	if len(d.balancing.splits) > limit {
 		pruneSplits(d.balancing.splits, document)
 	}
-	if d.balancing.balancer.Routes() > most {
+	if d.balancing.balancer.Routes() > limit {
 		d.balancing.balancer.KeepRoutes(routeNames(document))
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -20,6 +20,7 @@
 	d.applyTargets(c, s.Version())
 }
 
+// applyRoutes applies the routes document of a state unless it is active already.
 func (d *Daemon) applyRoutes(c catalog.State, version uint64) {
 	text := c.Document()
 	if text == nil {
@@ -173,6 +174,7 @@
 	return d.balancing.balancer.Choose(d.clock.Now(), r)
 }
 
+// recordOutcome counts the outcome of an attempt and reports it to the balancer.
 func (d *Daemon) recordOutcome(r balance.Report) {
 	d.metrics.attempts.WithLabelValues(r.Outcome.String()).Inc()
 	d.balancing.Lock()
@@ -220,20 +222,20 @@
 	// usualRoutesDelay is how long after its start a box usually has routes: 0.6 s when control
 	// starts at the same time, most of it until a leader is elected.
 	usualRoutesDelay = 700 * time.Millisecond
-	// overdueRoutesRetry is the Retry-After once that time has passed.
-	overdueRoutesRetry = 250 * time.Millisecond
-	// maxRoutesRetry bounds the Retry-After for unknown routes. It grows with the time since the
-	// last contact with control, and a partition may last for minutes.
-	maxRoutesRetry = 5 * time.Second
-	// minRoutesRetry is the minimum Retry-After until then.
-	minRoutesRetry = 50 * time.Millisecond
+	// overdueRoutesRetryAfter is the Retry-After once that time has passed.
+	overdueRoutesRetryAfter = 250 * time.Millisecond
+	// maxRoutesRetryAfter bounds the Retry-After for unknown routes, which is otherwise the time since
+	// the last contact with control: a partition may last for minutes.
+	maxRoutesRetryAfter = 5 * time.Second
+	// minRetryAfter is the minimum Retry-After while there are no routes or no permits.
+	minRetryAfter = 50 * time.Millisecond
 )
 
 // routesRetryAfter returns the Retry-After of a box that has no routes yet.
 func (d *Daemon) routesRetryAfter() time.Duration {
-	left := usualRoutesDelay - d.clock.Since(d.started)
-	if left < 0 {
-		return overdueRoutesRetry
+	remaining := usualRoutesDelay - d.clock.Since(d.started)
+	if remaining < 0 {
+		return overdueRoutesRetryAfter
 	}
-	return max(left, minRoutesRetry)
+	return max(remaining, minRetryAfter)
 }
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -26,8 +26,8 @@
 	// limits, requesting permits of each in turn would use up the box's CPU time. A request with an
 	// affinity key skips its home target only: another rate-limited target does not have the object
 	// cached, takes longer for it, and needs its permits for objects of its own.
-	maxSkippedLimited       = 4
-	maxSkippedLimitedObject = 1
+	maxSkippedLimited        = 4
+	maxSkippedLimitedWithKey = 1
 	// throttleTime is how long a target gets no requests after no permit arrived in time.
 	throttleTime = 50 * time.Millisecond
 	// minThrottleTime keeps each request in turn from requesting a permit of the same target.
@@ -50,8 +50,10 @@
 	// limit carries no new information.
 	limited atomic.Int32
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// registry holds what targets reported, to this box or another.
 	registry *targetstatus.Registry
+	// fallback issues permits while no replica answers.
 	fallback *quota.Alone
 	// pending are updates from responses to this box, by incarnation, with the time since which
 	// they are reported.
@@ -222,7 +224,7 @@
 // choosePermittedTarget chooses a target. A rate-limited target is skipped unless a permit of it
 // arrives within the wait time.
 func (c *callerRequest) choosePermittedTarget(ctx context.Context, wait time.Duration) (permittedChoice, error) {
-	waitEnds := c.gateway.permitWaitDeadline(wait)
+	deadline := c.gateway.permitWaitDeadline(wait)
 	for {
 		request := c.balanceRequest()
 		request.Unlimited = len(c.skippedLimited) >= maxSkippedFor(request)
@@ -231,7 +233,7 @@
 			return permittedChoice{Choice: choice}, err
 		}
 		began := c.gateway.clock.Now()
-		until, err := c.gateway.targetLimits.acquirePermit(ctx, choice.Target.ID, waitEnds.Sub(began))
+		until, err := c.gateway.targetLimits.acquirePermit(ctx, choice.Target.ID, deadline.Sub(began))
 		c.targetPermitWait += c.gateway.clock.Since(began)
 		if err == nil {
 			c.gateway.metrics.targetPermits.Inc()
@@ -241,9 +243,10 @@
 	}
 }
 
+// maxSkippedFor returns how many rate-limited targets the request may skip.
 func maxSkippedFor(r balance.Request) int {
 	if r.Key != "" {
-		return maxSkippedLimitedObject
+		return maxSkippedLimitedWithKey
 	}
 	return maxSkippedLimited
 }
@@ -255,6 +258,8 @@
 	}
 }
 
+// permitWaitDeadline returns when to stop waiting for permits of targets, zero if none is
+// rate-limited.
 func (d *Daemon) permitWaitDeadline(wait time.Duration) time.Time {
 	if d.targetLimits.limited.Load() == 0 {
 		return time.Time{} // saves reading the clock for most requests
--- a/internal/gateway/workspace.go
+++ b/internal/gateway/workspace.go
@@ -36,7 +36,7 @@
 	regions, ok := catalog.NarrowRegions(c.route.Regions, c.workspace.Regions)
 	if !ok {
 		// No target may run it until the routes document changes.
-		c.refuse(reasonNoRegion, maxRoutesRetry)
+		c.refuse(reasonNoRegion, maxRoutesRetryAfter)
 		return false
 	}
 	c.regions = regions
@@ -66,7 +66,7 @@
 // denial would make its caller give up, so it is told to retry.
 func (c *callerRequest) deny(status int, reason string) {
 	if age := c.gateway.controlAge(); age > maxControlAge {
-		c.refuse("routesMayBeOld", min(age, maxRoutesRetry))
+		c.refuse("routesMayBeOld", min(age, maxRoutesRetryAfter))
 		return
 	}
 	c.fail(status, reason, nil)
