--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -38,7 +38,7 @@
 		}
 		return table(in.Out, func(t *tabwriter.Writer) {
 			for _, k := range settings.Keys() {
-				fmt.Fprintf(t, "%s\t%s\tdefault %q\t%s\t%s\n", k.Name, k.Allowed(), k.Default, place(k), k.Doc)
+				fmt.Fprintf(t, "%s\t%s\tdefault %q\t%s\t%s\n", k.Name, k.AllowedValues(), k.Default, place(k), k.Doc)
 			}
 		})
 	}
@@ -47,7 +47,7 @@
 func printMarkdown(in Invocation) {
 	fmt.Fprintln(in.Out, "| key | allowed | default | where | meaning |\n| --- | --- | --- | --- | --- |")
 	for _, k := range settings.Keys() {
-		fmt.Fprintf(in.Out, "| `%s` | %s | %s | %s | %s |\n", k.Name, k.Allowed(), k.Default, place(k), k.Doc)
+		fmt.Fprintf(in.Out, "| `%s` | %s | %s | %s | %s |\n", k.Name, k.AllowedValues(), k.Default, place(k), k.Doc)
 	}
 }
 
--- a/internal/command/set.go
+++ b/internal/command/set.go
@@ -130,8 +130,8 @@
 		return nil
 	}
 	text := v.Detail
-	if len(v.Clashes) > 0 {
-		text += "; also changed since: " + strings.Join(v.Clashes, ", ")
+	if len(v.Conflicts) > 0 {
+		text += "; also changed since: " + strings.Join(v.Conflicts, ", ")
 	}
 	return &ExitError{ExitRefused, fmt.Errorf("change %s is not accepted (%s): %s", v.ID, v.Verdict, text)}
 }
--- a/internal/control/boxes_test.go
+++ b/internal/control/boxes_test.go
@@ -70,7 +70,7 @@
 		w.problem("%s puts version %d in force after %d", b.name, v, b.highest)
 	}
 	b.highest = max(b.highest, v)
-	b.pub.Put(*out.State, out.Commands)
+	b.pub.SetState(*out.State, out.Commands)
 }
 
 // stepBox carries updates over the box's subscription.
@@ -120,7 +120,7 @@
 		return nil, 0, "", false
 	}
 	b := w.boxes[i]
-	return b.pub, b.follower.Age(w.now), b.zone, true
+	return b.pub, b.follower.ControlAge(w.now), b.zone, true
 }
 
 func (w *world) killBox(b *box, down time.Duration) {
--- a/internal/control/packed_test.go
+++ b/internal/control/packed_test.go
@@ -53,7 +53,7 @@
 	}
 	l := &lone{replica: r, publisher: distribution.NewPublisher(r.state)}
 	r.send = func(*wire.ConsensusMessage) {}
-	r.publish = func(s steering.State, c []*wire.Command) { l.publisher.Put(s, c) }
+	r.publish = func(s steering.State, c []*wire.Command) { l.publisher.SetState(s, c) }
 	r.noticed = func(consensus.Notice) {}
 	r.settled = func(_ *wire.Command, result steering.Result) { l.results = append(l.results, result) }
 	r.synced = func(time.Duration) {}
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -19,11 +19,11 @@
 // The spacing is that of updates to subscribers (package relay): settled sooner, an update
 // is not told sooner.
 var updateBatches = batch.Config{
-	MaxItems:    64,
-	MaxUnderWay: 4,
-	Quick:       150 * time.Millisecond,
-	Spacing:     40 * time.Millisecond,
-	LeastLeft:   150 * time.Millisecond,
+	MaxItems:        64,
+	MaxInFlight:     4,
+	NominalDuration: 150 * time.Millisecond,
+	MinInterval:     40 * time.Millisecond,
+	MinTimeLeft:     150 * time.Millisecond,
 }
 
 // pendingUpdate is a target's update whose askers wait for what becomes of it.
@@ -63,7 +63,7 @@
 	let func(count int)
 
 	mu       sync.Mutex
-	gatherer *batch.Gatherer[*pendingUpdate]
+	gatherer *batch.Batcher[*pendingUpdate]
 	known    map[updateKey]*pendingUpdate
 	clock    *boottime.Clock
 	// due holds a token when a batch may begin.
@@ -182,7 +182,7 @@
 func (w *registrationQueue) untilDue(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at, ok := w.gatherer.Due()
+	at, ok := w.gatherer.NextAt()
 	if !ok {
 		return restBetweenWords
 	}
@@ -192,7 +192,7 @@
 func (w *registrationQueue) recordEnd(took time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.gatherer.Ended(took)
+	w.gatherer.Done(took)
 }
 
 // answer tells the askers of an update what became of it. Its lock is held.
--- a/internal/control/repeatedupdates.go
+++ b/internal/control/repeatedupdates.go
@@ -22,7 +22,7 @@
 	defer w.mu.Unlock()
 	w.take(s)
 	known := w.targets[r.Id]
-	return known != nil && catalog.Repeats(known, r)
+	return known != nil && catalog.IsRedundant(known, r)
 }
 
 func (w *repeatedUpdates) take(s catalog.State) {
--- a/internal/control/repeatedupdates_test.go
+++ b/internal/control/repeatedupdates_test.go
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
 			id := fmt.Sprint("i", rapid.IntRange(0, 1).Draw(t, "id"))
 			r := wordOf(id, rapid.Int64Range(0, 2).Draw(t, "born"), rapid.Uint64Range(1, 24).Draw(t, "sequence"), rapid.Uint32Range(1, 2).Draw(t, "slots"))
-			covered, news := w.covers(s, r), s.News(r, false)
+			covered, news := w.covers(s, r), s.WouldChange(r, false)
 			if covered && news {
 				t.Fatalf("%v is covered and would change the state", r)
 			}
@@ -58,17 +58,17 @@
 	})
 	b.Run("list", func(b *testing.B) {
 		for b.Loop() {
-			s.News(r, false)
+			s.WouldChange(r, false)
 		}
 	})
 }
 
 // BenchmarkServingBoxes makes the list of boxes for look-ups of 270 reports.
 func BenchmarkServingBoxes(b *testing.B) {
-	d := &Daemon{publishing: relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
+	d := &Daemon{publishing: relay.NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
 	for i := range 270 {
 		name := fmt.Sprint("box", i)
-		d.publishing.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
+		d.publishing.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
 	}
 	for b.Loop() {
 		d.servingNow()
@@ -80,9 +80,9 @@
 func TestServingBoxesAreKeptForAMoment(t *testing.T) {
 	var s servingBoxes
 	made := 0
-	fill := func() []lookup.Nearby {
+	fill := func() []lookup.BoxLocation {
 		made++
-		return []lookup.Nearby{{Address: "a"}}
+		return []lookup.BoxLocation{{Address: "a"}}
 	}
 	now := time.Now()
 	check := func(want int, after time.Duration, why string) {
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -140,7 +140,7 @@
 		n.downTo = w.now.Add(time.Hour)
 		return
 	}
-	c := consensus.Config{ElectionTimeout: 500 * time.Millisecond, Seed: w.random.Uint64(), Trailing: 8}
+	c := consensus.Config{ElectionTimeout: 500 * time.Millisecond, Seed: w.random.Uint64(), TrailingEntries: 8}
 	r, err := openReplica(func() time.Time { return w.now }, c, j, found, snapshotEvery)
 	if err != nil {
 		w.problem("%s does not start: %v", n.name, err)
@@ -152,7 +152,7 @@
 	n.nextAt = w.now
 	n.aloneSince = w.now
 	r.send = func(m *wire.ConsensusMessage) { w.send(n, m) }
-	r.publish = func(s steering.State, c []*wire.Command) { n.pub.Put(s, c) }
+	r.publish = func(s steering.State, c []*wire.Command) { n.pub.SetState(s, c) }
 	r.noticed = func(notice consensus.Notice) { w.noticed(n, notice) }
 	r.settled = func(c *wire.Command, _ steering.Result) { w.settled(n, c) }
 	r.synced = func(time.Duration) {}
@@ -425,7 +425,7 @@
 			continue
 		}
 		if next != nil {
-			if step != consensus.RepairLearn {
+			if step != consensus.RepairAddLearner {
 				w.at("addReplica", n)
 				if !n.alive {
 					return
--- a/internal/gateway/applystate_test.go
+++ b/internal/gateway/applystate_test.go
@@ -55,7 +55,7 @@
 	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	usable := func(want bool) {
 		t.Helper()
-		c, err := d.choose(balance.Request{Service: "s", Route: "r0", Objective: time.Second, Left: time.Second})
+		c, err := d.choose(balance.Request{Service: "s", Route: "r0", Objective: time.Second, Remaining: time.Second})
 		if got := err == nil; got != want {
 			t.Fatalf("target found: %v, want %v (%v)", got, want, err)
 		}
@@ -121,7 +121,7 @@
 		d.applyState(s, nil)
 		for _, r := range d.routing.Load().document.Hosts[0].Routes {
 			d.destination(r)
-			c, err := d.choose(balance.Request{Service: "s", Route: r.Name, Objective: time.Second, Left: time.Second})
+			c, err := d.choose(balance.Request{Service: "s", Route: r.Name, Objective: time.Second, Remaining: time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -129,7 +129,7 @@
 		}
 	}
 	const most = 3 * routes // twice the document's, and those of the last one
-	if got := d.balancing.balancer.Routes(); got > most {
+	if got := d.balancing.balancer.RouteCount(); got > most {
 		t.Errorf("state of %d routes is kept, want at most %d", got, most)
 	}
 	if got := len(d.balancing.splits); got > most {
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -131,14 +131,14 @@
 		remaining = c.gateway.clock.Until(c.deadline) // a late response is better than none
 	}
 	return balance.Request{
-		Service:   c.service,
-		Route:     c.route.Name,
-		Key:       c.affinityKey(),
-		Regions:   c.regions,
-		Near:      c.route.Repeat == catalog.Download,
-		Objective: c.route.Objective,
-		Left:      remaining,
-		Tried:     c.tried,
+		Service:     c.service,
+		Route:       c.route.Name,
+		AffinityKey: c.affinityKey(),
+		Regions:     c.regions,
+		PreferLocal: c.route.Repeat == catalog.Download,
+		Objective:   c.route.Objective,
+		Remaining:   remaining,
+		Tried:       c.tried,
 	}
 }
 
@@ -208,7 +208,7 @@
 	c.mayHaveRun = true
 	c.possibleRuns++
 	expired := errors.Is(context.Cause(e.ctx), context.DeadlineExceeded)
-	late := e.overdue || (expired && e.took > e.choice.Patience)
+	late := e.overdue || (expired && e.took > e.choice.HedgeDelay)
 	if e.failure.outcome == balance.Dropped && late {
 		return balance.Stuck
 	}
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -9,10 +9,10 @@
 )
 
 // retryBudget returns the retry budget of a service. The caller holds the lock of d.balancing.
-func (d *Daemon) retryBudget(service string) *retry.Window {
+func (d *Daemon) retryBudget(service string) *retry.WindowBudget {
 	w := d.balancing.retryBudgets[service]
 	if w == nil {
-		w = retry.NewWindow(d.config.RetryShare, d.config.RetryWindow)
+		w = retry.NewWindowBudget(d.config.RetryShare, d.config.RetryWindow)
 		d.balancing.retryBudgets[service] = w
 	}
 	return w
@@ -22,7 +22,7 @@
 func (d *Daemon) recordFirstAttempt(service string) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	d.retryBudget(service).First(d.clock.Since(d.started))
+	d.retryBudget(service).RecordFirst(d.clock.Since(d.started))
 }
 
 // allowsRetry reports whether this box's share of the retry budget of all boxes has a retry left.
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -42,7 +42,7 @@
 	log       zerolog.Logger
 	started   time.Time
 	node      *link.Node
-	follower  *relay.Following
+	follower  *relay.Follower
 	// controlAge returns the time since the last contact with control.
 	controlAge      func() time.Duration
 	controlReplicas *replicas
@@ -59,8 +59,8 @@
 	controlReachability reachability
 	permitReachability  reachability
 	metrics             *metrics
-	servedLineLimit     *process.LineLimit
-	otherLineLimit      *process.LineLimit
+	servedLineLimit     *process.LineLimiter
+	otherLineLimit      *process.LineLimiter
 	callerServer        *callerServer
 	readyListener       net.Listener
 	metricsListener     net.Listener
@@ -78,7 +78,7 @@
 	balancing struct {
 		sync.Mutex
 		balancer     *balance.Balancer
-		retryBudgets map[string]*retry.Window
+		retryBudgets map[string]*retry.WindowBudget
 		splits       map[string]*balance.Split
 		boxCount     int
 	}
@@ -103,18 +103,18 @@
 		started:         c.Clock.Now(),
 		clock:           c.Clock,
 		metrics:         newMetrics(p.Metrics),
-		servedLineLimit: process.NewLineLimit(servedLinesPerSecond),
-		otherLineLimit:  process.NewLineLimit(otherLinesPerSecond),
+		servedLineLimit: process.NewLineLimiter(servedLinesPerSecond),
+		otherLineLimit:  process.NewLineLimiter(otherLinesPerSecond),
 		reportDue:       make(chan struct{}, 1),
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
-	d.balancing.retryBudgets = make(map[string]*retry.Window)
+	d.balancing.retryBudgets = make(map[string]*retry.WindowBudget)
 	d.balancing.splits = make(map[string]*balance.Split)
 	d.connections = newConnectionPool(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
 	p.Gauge("log_lines_dropped", "Log lines that the reader did not take in time.", func() float64 { return float64(lines.Dropped()) })
-	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.follower.Age().Seconds() })
+	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.follower.ControlAge().Seconds() })
 	d.shaper = newShaper(c.LinkBytes)
 	d.shaper.clock = d.clock
 	d.linkQueue = newLinkQueue(c.LinkBytes)
@@ -131,42 +131,42 @@
 	d.targetLimits.permits.onResult = d.recordPermitCall
 	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOffTargets)
 	d.isolation = d.newIsolation()
-	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.Suspects()) })
+	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.SuspectCount()) })
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // writing to a hash never fails
-	d.follower = relay.NewFollowing(relay.Subscriber{
+	d.follower = relay.NewFollower(relay.FollowerConfig{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
 		PeerAddress: c.PeerAddress,
 		Node:        func() *link.Node { return d.node },
 		Clock:       p.Clock,
-		Time:        d.clock,
+		BootClock:   d.clock,
 		Seed:        seed.Sum64(),
 		StaleAfter:  maxControlAge,
 		Sources:     d.sources,
-		PutInForce:  d.applyState,
+		ApplyState:  d.applyState,
 		EntryBoxes:  d.setEntryBoxes,
 		Limits:      d.mergeUpdates,
 		Event:       d.recordEvent,
 	})
-	d.controlAge = d.follower.Age
+	d.controlAge = d.follower.ControlAge
 	return d, d.listen()
 }
 
 // recordEvent adds an event to the timeline. States that are applied have log lines of their own,
 // one for many commands; other events are logged here.
 func (d *Daemon) recordEvent(e *wire.TimelineEvent) {
-	if e.Kind == relay.EventInForce {
+	if e.Kind == relay.EventActive {
 		d.process.Event(e)
 		return
 	}
-	d.process.StateChange(e)
+	d.process.RecordStateChange(e)
 }
 
 func (d *Daemon) listen() error {
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	d.node = link.Dialer(id, d.process.Clock, nil)
+	d.node = link.NewClient(id, d.process.Clock, nil)
 	callers, err := newCallerServer(d)
 	if err != nil {
 		return err
@@ -235,7 +235,7 @@
 			return process.ServeHTTP(ctx, d.readyListener, d.config.ReadyHandler(d.isReady))
 		}},
 		process.Service{Name: "sweep", Run: d.sweep},
-		process.Service{Name: "suspensions", Run: d.process.NoteSuspensions},
+		process.Service{Name: "suspensions", Run: d.process.LogSuspensions},
 	}
 	if d.metricsListener != nil {
 		out = append(out, process.Service{Name: "metrics", Run: d.serveMetrics})
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -99,7 +99,7 @@
 // logPanic logs a panic of the attempt, closes its connection and returns the failure.
 func (a *attempt) logPanic(value any) *attemptError {
 	a.gateway.process.CountPanic("attempt")
-	if a.gateway.otherLineLimit.Take(a.gateway.clock.Now()) {
+	if a.gateway.otherLineLimit.Allow(a.gateway.clock.Now()) {
 		a.gateway.log.Error().Str("kind", "panic").Str("request", a.requestID).Str("target", a.target.ID).
 			Str("panic", fmt.Sprint(value)).Bytes("stack", process.Stack()).Msg("an attempt panicked")
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,9 +26,9 @@
 	return Protocol{
 		RequestID: "Test-Id", AffinityKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
 		Status: targetstatus.Headers{
-			NotRun: "Test-Not-Executed", Load: "Test-Load", ColdLeft: "Test-Cold", Limit: limitHeader, Leaving: leavingHeader,
-			ParseLoad: targetstatus.ParseLoad,
-			ParseCold: func(string) (time.Duration, bool) { return 0, false },
+			NotRun: "Test-Not-Executed", Load: "Test-Load", WarmupRemaining: "Test-Cold", Limit: limitHeader, Leaving: leavingHeader,
+			ParseLoad:   targetstatus.ParseLoad,
+			ParseWarmup: func(string) (time.Duration, bool) { return 0, false },
 		},
 	}
 }
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -88,7 +88,7 @@
 		return
 	}
 	last := c.pending[len(c.pending)-1]
-	c.hedgeTimer.Reset(max(c.gateway.clock.Until(last.startedAt.Add(last.choice.Patience)), minSearchInterval))
+	c.hedgeTimer.Reset(max(c.gateway.clock.Until(last.startedAt.Add(last.choice.HedgeDelay)), minSearchInterval))
 }
 
 // canHedge reports whether the request may go to a further target while another may be running it.
@@ -153,7 +153,7 @@
 	c.pending = slices.DeleteFunc(c.pending, func(p *pendingAttempt) bool { return p == e.pendingAttempt })
 	c.lastAttempt = attemptRecord{target: e.choice.Target, choice: e.choice.Choice, newConnection: e.attempt.connectTime > 0, took: e.took}
 	report := balance.Report{
-		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connectTime, ToldOverdue: e.overdue,
+		TargetID: e.choice.Target.ID, Route: c.route.Name, Took: e.took, Connect: e.attempt.connectTime, MarkedOverdue: e.overdue,
 	}
 	if e.failure != nil {
 		e.cancel(nil)
--- a/internal/gateway/leavingtargets_test.go
+++ b/internal/gateway/leavingtargets_test.go
@@ -90,7 +90,7 @@
 		chosen := func() map[string]int {
 			out := make(map[string]int)
 			for range 20 {
-				c, err := d.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second})
+				c, err := d.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -22,7 +22,9 @@
 const permitRetryAfter = 250 * time.Millisecond
 
 // hasRateLimit reports whether the request needs permits of its workspace.
-func (c *callerRequest) hasRateLimit() bool { return c.workspace != nil && !c.workspace.Limit.None() }
+func (c *callerRequest) hasRateLimit() bool {
+	return c.workspace != nil && !c.workspace.Limit.IsUnlimited()
+}
 
 // obtainPermit gets the permit without which no target may run the request. It reports whether the
 // request may proceed; if not, it has been answered.
@@ -37,14 +39,14 @@
 		return true
 	}
 	var over *quota.OverLimitError
-	var silent *quota.SilentError
+	var silent *quota.NoIssuerError
 	switch {
 	case c.request.Context().Err() != nil:
 		c.refuse(reasonCallerLeft, permitRetryAfter)
 	case errors.As(err, &over):
-		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.After)
+		c.refuseWith(http.StatusTooManyRequests, reasonOverLimit, over.RetryAfter)
 	case errors.As(err, &silent):
-		c.refuse(reasonLimitUnknown, max(silent.After, minRetryAfter))
+		c.refuse(reasonLimitUnknown, max(silent.RetryAfter, minRetryAfter))
 	default:
 		c.refuse(reasonLimitUnknown, permitRetryAfter)
 	}
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -18,7 +18,7 @@
 	if served {
 		limit = d.servedLineLimit
 	}
-	if !limit.Take(d.clock.Now()) {
+	if !limit.Allow(d.clock.Now()) {
 		return nil
 	}
 	if served {
@@ -29,7 +29,7 @@
 
 // logSuppressedLines logs how many lines were suppressed, and how many the reader was too slow for.
 func (d *Daemon) logSuppressedLines() {
-	served, others := d.servedLineLimit.LeftOut(), d.otherLineLimit.LeftOut()
+	served, others := d.servedLineLimit.TakeSuppressed(), d.otherLineLimit.TakeSuppressed()
 	if served+others == 0 {
 		return
 	}
--- a/internal/gateway/nativelimits_test.go
+++ b/internal/gateway/nativelimits_test.go
@@ -68,10 +68,10 @@
 		t.Fatalf("got workspaces %+v, %v", shown, err)
 	}
 	w := shown.Workspaces[0]
-	if w.Name != "north" || w.PerSecond != 50 || w.Burst != 3 || len(w.Parts) != 1 || w.Parts[0].Number != 1 {
+	if w.Name != "north" || w.PerSecond != 50 || w.Burst != 3 || len(w.Shares) != 1 || w.Shares[0].Number != 1 {
 		t.Errorf("got workspace %+v", w)
 	}
-	if w.Issued < uint64(counts[http.StatusOK]) || w.Refused == 0 {
-		t.Errorf("%d permits issued and %d refused; %v", w.Issued, w.Refused, counts)
+	if w.Issued < uint64(counts[http.StatusOK]) || w.Denied == 0 {
+		t.Errorf("%d permits issued and %d refused; %v", w.Issued, w.Denied, counts)
 	}
 }
--- a/internal/gateway/nativeprotocol.go
+++ b/internal/gateway/nativeprotocol.go
@@ -23,13 +23,13 @@
 		Workspace:    "Ledgesill-Workspace",
 		NewRequestID: rand.Text,
 		Status: targetstatus.Headers{
-			NotRun:    "Ledgesill-Not-Run",
-			Load:      "Ledgesill-Load",
-			ColdLeft:  "Ledgesill-Cold-Millis",
-			Limit:     caller.HeaderLimit,
-			Leaving:   caller.HeaderLeaving,
-			ParseLoad: targetstatus.ParseLoad,
-			ParseCold: parseColdMillis,
+			NotRun:          "Ledgesill-Not-Run",
+			Load:            "Ledgesill-Load",
+			WarmupRemaining: "Ledgesill-Cold-Millis",
+			Limit:           caller.HeaderLimit,
+			Leaving:         caller.HeaderLeaving,
+			ParseLoad:       targetstatus.ParseLoad,
+			ParseWarmup:     parseColdMillis,
 		},
 	}
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -32,13 +32,13 @@
 	// replicas returns the addresses of the replicas that can be asked.
 	replicas func() []string
 	// buildRequest returns the message of permit requests.
-	buildRequest func(asks []quota.Ask) *wire.PermitRequest
+	buildRequest func(asks []quota.SubjectRequest) *wire.PermitRequest
 	// onResult is called with the result of each issuer call.
-	onResult func(a quota.IssuerAsks, err error)
+	onResult func(a quota.IssuerCall, err error)
 
 	clock *boottime.Clock
 	mu    sync.Mutex
-	cache *quota.Stock
+	cache *quota.PermitCache
 	// changed is closed and replaced when waiting requests should check again.
 	changed chan struct{}
 	// requestDue holds a token when permits may have to be requested.
@@ -46,7 +46,7 @@
 }
 
 func newPermits(c *boottime.Clock) *permits {
-	return &permits{clock: c, cache: quota.NewStock(), changed: make(chan struct{}), requestDue: make(chan struct{}, 1)}
+	return &permits{clock: c, cache: quota.NewPermitCache(), changed: make(chan struct{}), requestDue: make(chan struct{}, 1)}
 }
 
 // acquire returns a permit of a workspace or target and may wait for one. The error is an
@@ -55,7 +55,7 @@
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.Count(now, subject)
+	p.cache.RecordRequest(now, subject)
 	if until, ok := p.cache.Take(now, subject); ok {
 		p.triggerRequests()
 		return until, nil
@@ -63,8 +63,8 @@
 	p.cache.SetIssuers(p.replicas())
 	timeout := time.NewTimer(maxPermitWait)
 	defer timeout.Stop()
-	p.cache.Wait(subject)
-	defer p.cache.Unwait(subject)
+	p.cache.AddWaiter(subject)
+	defer p.cache.RemoveWaiter(subject)
 	for {
 		if err := p.cache.Refusal(p.clock.Now(), subject); err != nil {
 			return time.Time{}, err
@@ -120,7 +120,7 @@
 
 // issuerResult is the result of an issuer call.
 type issuerResult struct {
-	asks   quota.IssuerAsks
+	asks   quota.IssuerCall
 	answer *wire.PermitAnswer
 	err    error
 }
@@ -163,33 +163,33 @@
 }
 
 // pendingCalls returns the issuer calls that are due.
-func (p *permits) pendingCalls() []quota.IssuerAsks {
+func (p *permits) pendingCalls() []quota.IssuerCall {
 	addresses := p.replicas()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cache.SetIssuers(addresses)
-	return p.cache.Asks(p.clock.Now())
+	return p.cache.StartCalls(p.clock.Now())
 }
 
 func (p *permits) waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cache.Waiting()
+	return p.cache.HasWaiters()
 }
 
 // callIssuer sends a permit request to one replica.
-func (p *permits) callIssuer(ctx context.Context, a quota.IssuerAsks) issuerResult {
+func (p *permits) callIssuer(ctx context.Context, a quota.IssuerCall) issuerResult {
 	ctx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	answer, err := p.call(ctx, a.Address, p.buildRequest(a.Asks))
+	answer, err := p.call(ctx, a.Address, p.buildRequest(a.Requests))
 	return issuerResult{a, answer, err}
 }
 
 // workspaceRequest returns the message of permit requests for workspaces.
-func (d *Daemon) workspaceRequest(asks []quota.Ask) *wire.PermitRequest {
+func (d *Daemon) workspaceRequest(asks []quota.SubjectRequest) *wire.PermitRequest {
 	r := &wire.PermitRequest{Number: d.documentNumber()}
 	for _, one := range asks {
-		r.Asks = append(r.Asks, &wire.PermitAsk{Workspace: one.Of, Count: uint32(one.Count)})
+		r.Asks = append(r.Asks, &wire.PermitAsk{Workspace: one.Subject, Count: uint32(one.Count)})
 	}
 	return r
 }
@@ -201,21 +201,21 @@
 	defer p.mu.Unlock()
 	defer p.notifyWaitersLocked()
 	if e.err != nil {
-		p.cache.Unanswered(p.clock.Now(), e.asks)
+		p.cache.HandleFailure(p.clock.Now(), e.asks)
 		return
 	}
 	if e.answer.GetBehind() {
-		p.cache.Behind(p.clock.Now(), e.asks)
+		p.cache.HandleStale(p.clock.Now(), e.asks)
 		return
 	}
 	grants := make([]quota.Grant, 0, len(e.answer.GetGrants()))
 	for _, g := range e.answer.GetGrants() {
 		grants = append(grants, quota.Grant{
-			Of: g.Workspace, Count: int(g.Count),
-			Life: time.Duration(g.LifeMilli) * time.Millisecond, Wait: time.Duration(g.WaitMilli) * time.Millisecond,
+			Subject: g.Workspace, Count: int(g.Count),
+			TTL: time.Duration(g.LifeMilli) * time.Millisecond, RetryAfter: time.Duration(g.WaitMilli) * time.Millisecond,
 		})
 	}
-	p.cache.Answered(p.clock.Now(), e.asks, grants)
+	p.cache.HandleGrants(p.clock.Now(), e.asks, grants)
 }
 
 // notifyWaiters wakes the waiting requests.
@@ -234,7 +234,7 @@
 func (p *permits) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cache.Forget(now)
+	p.cache.RemoveIdle(now)
 }
 
 // documentNumber returns the number of the active routes document, zero for none.
@@ -247,7 +247,7 @@
 
 // recordPermitCall counts an issuer call that has ended. A failure is logged once, until the
 // replica answers again.
-func (d *Daemon) recordPermitCall(a quota.IssuerAsks, err error) {
+func (d *Daemon) recordPermitCall(a quota.IssuerCall, err error) {
 	d.metrics.permitCalls.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
 	if !d.permitReachability.record(a.Address, err == nil) {
 		return
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -19,12 +19,12 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return d.connections.dial(ctx, "tcp4", address)
 		},
-		DialTimeout: dialTimeout,
-		Leaving:     d.isLeaving,
-		Replicas:    d.controlReplicas.all,
-		Tell:        d.sendEvidence,
-		Looked:      func(l isolation.Look) { d.metrics.targetProbes.WithLabelValues(l.String()).Inc() },
-		Ended:       d.recordCrashedRun,
+		DialTimeout:  dialTimeout,
+		Leaving:      d.isLeaving,
+		Replicas:     d.controlReplicas.all,
+		SendEvidence: d.sendEvidence,
+		OnProbe:      func(l isolation.ProbeResult) { d.metrics.targetProbes.WithLabelValues(l.String()).Inc() },
+		OnCrash:      d.recordCrashedRun,
 	})
 }
 
@@ -37,14 +37,14 @@
 }
 
 // recordCrashedRun counts and logs a request whose target crashed while it ran it.
-func (d *Daemon) recordCrashedRun(r isolation.Run) {
+func (d *Daemon) recordCrashedRun(r isolation.BrokenRun) {
 	d.metrics.crashedRuns.Inc()
-	if !d.otherLineLimit.Take(d.clock.Now()) {
+	if !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
-	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.End.Request.String()).
-		Str("target", r.End.Life).Str("route", r.End.Route).Str("service", r.End.Service).
-		Dur("ran", r.End.Ended.Sub(r.End.Began)).Msg("target crashed while it ran a request")
+	d.log.Warn().Str("kind", "targetEnded").Str("request", r.Request).Str("digest", r.Crash.Request.String()).
+		Str("target", r.Crash.Incarnation).Str("route", r.Crash.Route).Str("service", r.Crash.Service).
+		Dur("ran", r.Crash.Ended.Sub(r.Crash.Began)).Msg("target crashed while it ran a request")
 }
 
 // applyQuarantine applies the list of requests that are on probation or quarantined.
@@ -59,7 +59,7 @@
 	}
 	d.metrics.quarantined.Set(float64(held))
 	line := d.log.Info().Str("kind", "quarantine").Int("held", held).Int("watched", len(entries)-held).
-		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age())
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.ControlAge())
 	if n := len(entries); n > 0 {
 		line = line.Str("latestDigest", entries[n-1].Request.String()).Bool("latestHeld", entries[n-1].Held)
 	}
@@ -103,7 +103,7 @@
 // been answered, and sending it again fails until it is released. The check costs nothing while no
 // request is suspected.
 func (c *callerRequest) checkQuarantine() bool {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return true
 	}
 	if !c.bufferBody() {
@@ -116,7 +116,7 @@
 		c.onProbation = true
 	case quarantine.Busy, quarantine.Held:
 		c.verdict = &v
-		c.refuse(v.Decision.String(), v.Wait)
+		c.refuse(v.Decision.String(), v.RetryAfter)
 		return false
 	}
 	return true
@@ -145,11 +145,11 @@
 // quarantineAllowsRepeat reports whether the request may go to a further target, given the targets
 // that crashed while they ran it.
 func (c *callerRequest) quarantineAllowsRepeat() bool {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return true
 	}
 	id := c.fingerprint()
-	return !c.onProbation && c.gateway.isolation.MayRepeat(id.digest, id.caller)
+	return !c.onProbation && c.gateway.isolation.MayRetry(id.digest, id.caller)
 }
 
 // recordBrokenConnection reports that the connection of an attempt broke: its target may have
@@ -157,9 +157,9 @@
 func (c *callerRequest) recordBrokenConnection(e attemptEnd) {
 	id := c.fingerprint()
 	now := c.gateway.clock.Now()
-	c.gateway.isolation.Broke(isolation.Run{
-		End: quarantine.End{
-			Request: id.digest, Caller: id.caller, Life: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
+	c.gateway.isolation.ConnectionBroke(isolation.BrokenRun{
+		Crash: quarantine.Crash{
+			Request: id.digest, Caller: id.caller, Incarnation: e.choice.Target.ID, Route: c.route.Name, Service: c.service,
 			Began: e.startedAt, Ended: now,
 		},
 		Address: e.choice.Target.Address,
@@ -169,11 +169,11 @@
 
 // recordCompleteResponse reports that a target gave a complete response.
 func (c *callerRequest) recordCompleteResponse() {
-	if c.gateway.isolation.Idle() {
+	if c.gateway.isolation.IsIdle() {
 		return
 	}
 	id := c.fingerprint()
-	c.gateway.isolation.Answered(id.digest, id.caller)
+	c.gateway.isolation.RecordAnswer(id.digest, id.caller)
 }
 
 // otherTargets lists the targets that received the request apart from the last one, each with its
--- a/internal/gateway/recordingtarget_test.go
+++ b/internal/gateway/recordingtarget_test.go
@@ -217,14 +217,14 @@
 	}
 	c.calls++
 	i := c.issuers[address]
-	var asks []quota.Ask
+	var asks []quota.SubjectRequest
 	for _, a := range r.TargetAsks {
-		i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), a.Limit))
-		asks = append(asks, quota.Ask{Of: a.Limit.Life, Count: int(a.Count)})
+		i.Apply(time.Now(), targetstatus.UpdateOf(time.Now(), a.Limit))
+		asks = append(asks, quota.SubjectRequest{Subject: a.Limit.Life, Count: int(a.Count)})
 	}
 	out := &wire.PermitAnswer{}
 	for _, g := range i.Issue(time.Now(), asks) {
-		out.Grants = append(out.Grants, &wire.PermitGrant{Workspace: g.Of, Count: uint32(g.Count), LifeMilli: g.Life.Milliseconds(), WaitMilli: g.Wait.Milliseconds()})
+		out.Grants = append(out.Grants, &wire.PermitGrant{Workspace: g.Subject, Count: uint32(g.Count), LifeMilli: g.TTL.Milliseconds(), WaitMilli: g.RetryAfter.Milliseconds()})
 	}
 	return out, nil
 }
@@ -245,9 +245,9 @@
 				continue
 			}
 			for _, report := range reports {
-				i.Take(time.Now(), targetstatus.UpdateOf(time.Now(), report))
+				i.Apply(time.Now(), targetstatus.UpdateOf(time.Now(), report))
 			}
-			updates, last := i.Known().Since(known[name])
+			updates, last := i.Targets().ChangedSince(known[name])
 			known[name] = last
 			for _, update := range updates {
 				news = append(news, update.Message(time.Now()))
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -45,9 +45,9 @@
 			wake.Stop()
 			return ctx.Err()
 		case <-d.reportDue:
-			schedule.Changed(d.clock.Now())
+			schedule.MarkChanged(d.clock.Now())
 		case e := <-ended:
-			schedule.Ended(d.clock.Now(), e.address, e.err == nil)
+			schedule.ReportEnded(d.clock.Now(), e.address, e.err == nil)
 		case <-wake.C:
 		}
 		wake.Stop()
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -29,7 +29,7 @@
 	}
 	if c.lastAttempt.target.ID != "" {
 		line = line.Str("target", c.lastAttempt.target.ID).Str("targetZone", c.lastAttempt.target.Zone).Str("outcome", c.lastAttempt.outcome.String()).
-			Uint64("targetsVersion", c.lastAttempt.choice.Version).Dur("targetTook", c.lastAttempt.took).Dur("wait", c.lastAttempt.choice.Wait).Float64("load", c.lastAttempt.choice.Load).
+			Uint64("targetsVersion", c.lastAttempt.choice.Version).Dur("targetTook", c.lastAttempt.took).Dur("wait", c.lastAttempt.choice.ExpectedWait).Float64("load", c.lastAttempt.choice.Load).
 			Bool("newConnection", c.lastAttempt.newConnection).Int("sent", c.sent).Int("dials", c.dials).Bool("mayHaveRun", c.mayHaveRun)
 		if c.lastAttempt.choice.Skipped != "" {
 			line = line.Str("skipped", c.lastAttempt.choice.Skipped)
@@ -57,7 +57,7 @@
 		return line
 	}
 	return line.Int("registered", c.noTarget.Registered).Str("fullTarget", c.noTarget.Target).Float64("fullLoad", c.noTarget.Load).
-		Int("fullSlots", c.noTarget.Slots).Dur("reckonedWait", c.noTarget.Wait).Dur("longestWait", c.noTarget.Longest).
+		Int("fullSlots", c.noTarget.Slots).Dur("reckonedWait", c.noTarget.ExpectedWait).Dur("longestWait", c.noTarget.MaxWait).
 		Float64("serviceLoad", c.noTarget.ServiceLoad).Int("backedOff", c.noTarget.BackedOff)
 }
 
@@ -96,7 +96,7 @@
 		line = line.Bool("onProbation", true)
 	}
 	if c.verdict != nil {
-		line = line.Int("endedTargets", c.verdict.Lives).Bool("listed", c.verdict.Listed)
+		line = line.Int("endedTargets", c.verdict.CrashedTargets).Bool("listed", c.verdict.Listed)
 	}
 	return line
 }
--- a/internal/gateway/restartedtarget_test.go
+++ b/internal/gateway/restartedtarget_test.go
@@ -45,7 +45,7 @@
 	if got := <-expected; got != "t0" {
 		t.Errorf("the target was addressed as %q", got)
 	}
-	former, latter := catalog.Life{ID: "t0", Born: 100}, catalog.Life{ID: "t0", Born: 200}
+	former, latter := catalog.Incarnation{ID: "t0", StartedUnixMilli: 100}, catalog.Incarnation{ID: "t0", StartedUnixMilli: 200}
 	if d.isRegistered(former.String()) || !d.isRegistered(latter.String()) {
 		t.Error("the box still uses the old incarnation")
 	}
--- a/internal/gateway/rig_test.go
+++ b/internal/gateway/rig_test.go
@@ -217,7 +217,7 @@
 	time.Sleep(time.Minute)
 	var tried []string
 	for range s.targets {
-		c, err := s.daemon.choose(balance.Request{Service: "s", Route: "count", Objective: time.Hour, Left: time.Hour, Tried: tried})
+		c, err := s.daemon.choose(balance.Request{Service: "s", Route: "count", Objective: time.Hour, Remaining: time.Hour, Tried: tried})
 		if err != nil {
 			t.Fatalf("a target is ejected: %v", err)
 		}
--- a/internal/gateway/splits.go
+++ b/internal/gateway/splits.go
@@ -42,7 +42,7 @@
 	if len(d.balancing.splits) > limit {
 		pruneSplits(d.balancing.splits, document)
 	}
-	if d.balancing.balancer.Routes() > limit {
+	if d.balancing.balancer.RouteCount() > limit {
 		d.balancing.balancer.KeepRoutes(routeNames(document))
 	}
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -45,7 +45,7 @@
 		d.triggerReport() // the box serves from now on
 	}
 	d.log.Info().Str("kind", "routes").Uint64("number", document.Number).Uint64("stateVersion", version).
-		Dur("controlAge", d.follower.Age()).Msg("routes document applied")
+		Dur("controlAge", d.follower.ControlAge()).Msg("routes document applied")
 }
 
 // downloadRoutes returns the names of the routes whose responses are large.
@@ -64,7 +64,7 @@
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	for _, s := range services {
-		d.balancing.balancer.SetCold(s.Name, balance.ColdLimit{Time: s.ColdTime, Rate: s.ColdRate})
+		d.balancing.balancer.SetColdLimit(s.Name, balance.ColdLimit{Time: s.ColdTime, Rate: s.ColdRate})
 	}
 }
 
@@ -103,25 +103,25 @@
 	d.balancing.Unlock()
 	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", countDraining(c.Targets())).
 		Int("changed", len(changed)).Int("ended", len(ended)).Strs("evacuated", c.Evacuated()).
-		Uint64("stateVersion", version).Dur("controlAge", d.follower.Age()).Msg("targets applied")
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.ControlAge()).Msg("targets applied")
 }
 
 func (d *Daemon) balanceTarget(r *wire.Registration) balance.Target {
 	return balance.Target{
-		ID:       catalog.LifeOf(r).String(),
-		Name:     r.Id,
-		Service:  r.Service,
-		Address:  r.Address,
-		Zone:     r.Zone,
-		Region:   d.config.RegionOf[r.Zone],
-		Slots:    int(r.Slots),
-		Draining: r.Draining,
-		Cold:     r.ColdMilli > 0,
-		ColdLeft: time.Duration(r.ColdMilli) * time.Millisecond,
+		ID:            catalog.IncarnationOf(r).String(),
+		Name:          r.Id,
+		Service:       r.Service,
+		Address:       r.Address,
+		Zone:          r.Zone,
+		Region:        d.config.RegionOf[r.Zone],
+		Slots:         int(r.Slots),
+		Draining:      r.Draining,
+		Cold:          r.ColdMilli > 0,
+		ColdRemaining: time.Duration(r.ColdMilli) * time.Millisecond,
 	}
 }
 
-func incarnationNames(list []catalog.Life) []string {
+func incarnationNames(list []catalog.Incarnation) []string {
 	out := make([]string, 0, len(list))
 	for _, l := range list {
 		out = append(out, l.String())
@@ -142,7 +142,7 @@
 func (d *Daemon) isRegistered(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return d.balancing.balancer.Knows(target)
+	return d.balancing.balancer.HasTarget(target)
 }
 
 // isLeaving reports whether a target is shutting down, or has shut down, as planned.
@@ -187,18 +187,18 @@
 // request stays in flight.
 func (d *Daemon) reportOverdue(r balance.Report) {
 	d.balancing.Lock()
-	change := d.balancing.balancer.Overdue(d.clock.Now(), r)
+	change := d.balancing.balancer.MarkOverdue(d.clock.Now(), r)
 	d.balancing.Unlock()
 	d.logTargetChange(change, r)
 }
 
 // logTargetChange logs that a target was ejected or readmitted.
 func (d *Daemon) logTargetChange(change balance.Change, r balance.Report) {
-	if change == balance.Unchanged || !d.otherLineLimit.Take(d.clock.Now()) {
+	if change == balance.Unchanged || !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
-	if change == balance.LeftOut {
+	if change == balance.Ejected {
 		line.Msg("target ejected")
 		return
 	}
@@ -208,7 +208,7 @@
 func (d *Daemon) setColdLeft(target string, left time.Duration) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	d.balancing.balancer.SetColdLeft(d.clock.Now(), target, left)
+	d.balancing.balancer.SetColdRemaining(d.clock.Now(), target, left)
 }
 
 // retryAfter returns when a request that a target did not run may be sent again.
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -218,7 +218,7 @@
 		s := newRig(t, testConfig(), 1)
 		s.daemon.setColdLimits([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
 		s.daemon.setColdLeft("t0", 3*time.Second)
-		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second}
+		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second}
 		if _, err := s.daemon.choose(request); err == nil {
 			t.Fatal("a target that is warming up was chosen beyond its rate")
 		}
@@ -244,8 +244,8 @@
 				return m.rig.daemon.connections.dial(ctx, "tcp4", address)
 			},
 			DialTimeout: time.Second, Leaving: func(string) bool { return false }, Replicas: func() []string { return []string{"a"} },
-			Tell:  func(_ context.Context, _ string, e *wire.Evidence) error { evidence <- e; return nil },
-			Ended: func(isolation.Run) {}, Looked: func(isolation.Look) {},
+			SendEvidence: func(_ context.Context, _ string, e *wire.Evidence) error { evidence <- e; return nil },
+			OnCrash:      func(isolation.BrokenRun) {}, OnProbe: func(isolation.ProbeResult) {},
 		})
 		m.rig.daemon.isolation = replacement
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -54,7 +54,7 @@
 	// registry holds what targets reported, to this box or another.
 	registry *targetstatus.Registry
 	// fallback issues permits while no replica answers.
-	fallback *quota.Alone
+	fallback *quota.Fallback
 	// pending are updates from responses to this box, by incarnation, with the time since which
 	// they are reported.
 	pending map[string]time.Time
@@ -64,21 +64,21 @@
 
 func newTargetLimits(box string, c *boottime.Clock) *targetLimits {
 	p := newPermits(c)
-	p.cache = quota.NewTargetStock()
-	l := &targetLimits{clock: c, permits: p, registry: targetstatus.NewRegistry(), fallback: quota.NewAlone(box), pending: make(map[string]time.Time)}
+	p.cache = quota.NewTargetPermitCache()
+	l := &targetLimits{clock: c, permits: p, registry: targetstatus.NewRegistry(), fallback: quota.NewFallback(box), pending: make(map[string]time.Time)}
 	p.buildRequest = l.buildRequest
 	return l
 }
 
 // buildRequest returns the message of permit requests. It carries the known limits, as the replica
 // may have restarted since.
-func (l *targetLimits) buildRequest(asks []quota.Ask) *wire.PermitRequest {
+func (l *targetLimits) buildRequest(asks []quota.SubjectRequest) *wire.PermitRequest {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &wire.PermitRequest{}
 	for _, a := range asks {
-		updates := targetstatus.Messages(now, l.registry.Updates(a.Of))
+		updates := targetstatus.Messages(now, l.registry.Updates(a.Subject))
 		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: updates[0], Further: updates[1:], Count: uint32(a.Count)})
 	}
 	return r
@@ -122,9 +122,9 @@
 }
 
 func (l *targetLimits) apply(u targetstatus.Update) (targetstatus.Change, bool) {
-	c, changed := l.registry.Take(u)
+	c, changed := l.registry.Apply(u)
 	if changed {
-		l.limited.Store(int32(l.registry.Limited()))
+		l.limited.Store(int32(l.registry.LimitedCount()))
 	}
 	return c, changed
 }
@@ -173,10 +173,10 @@
 	l.permits.prune(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.registry.Keep(now, registered)
+	l.registry.Prune(now, registered)
 	maps.DeleteFunc(l.pending, func(incarnation string, _ time.Time) bool { return !registered(incarnation) })
-	l.fallback.Keep(func(incarnation string) bool { return l.registry.HasLimit(incarnation) })
-	l.limited.Store(int32(l.registry.Limited()))
+	l.fallback.Prune(func(incarnation string) bool { return l.registry.HasLimit(incarnation) })
+	l.limited.Store(int32(l.registry.LimitedCount()))
 }
 
 // acquirePermit returns a permit to send a request to a target and may wait for one. The error
@@ -210,7 +210,7 @@
 func throttleTimeAfter(err error) time.Duration {
 	var over *quota.OverLimitError
 	if errors.As(err, &over) {
-		return max(over.Room, minThrottleTime)
+		return max(over.AvailableIn, minThrottleTime)
 	}
 	return throttleTime
 }
@@ -227,7 +227,7 @@
 	deadline := c.gateway.permitWaitDeadline(wait)
 	for {
 		request := c.balanceRequest()
-		request.Unlimited = len(c.skippedLimited) >= maxSkippedFor(request)
+		request.ExcludeLimited = len(c.skippedLimited) >= maxSkippedFor(request)
 		choice, err := c.gateway.choose(request)
 		if err != nil || !choice.Limited {
 			return permittedChoice{Choice: choice}, err
@@ -245,7 +245,7 @@
 
 // maxSkippedFor returns how many rate-limited targets the request may skip.
 func maxSkippedFor(r balance.Request) int {
-	if r.Key != "" {
+	if r.AffinityKey != "" {
 		return maxSkippedLimitedWithKey
 	}
 	return maxSkippedLimited
@@ -309,7 +309,7 @@
 }
 
 func (d *Daemon) logLimit(c targetstatus.Change, request string) {
-	if !d.otherLineLimit.Take(d.clock.Now()) {
+	if !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "targetLimit").Str("target", c.Incarnation)
@@ -328,7 +328,7 @@
 
 func (d *Daemon) logLeaving(c targetstatus.Change, request string) {
 	d.metrics.targetsLeaving.Inc()
-	if !d.otherLineLimit.Take(d.clock.Now()) {
+	if !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation)
--- a/internal/gateway/targetlimits_test.go
+++ b/internal/gateway/targetlimits_test.go
@@ -223,7 +223,7 @@
 			out := make(map[string]string)
 			for i := range 40 {
 				key := fmt.Sprint("object", i)
-				choice, err := s.boxes[0].choose(balance.Request{Service: "s", Route: "r", Key: key, Objective: time.Second, Left: time.Second})
+				choice, err := s.boxes[0].choose(balance.Request{Service: "s", Route: "r", AffinityKey: key, Objective: time.Second, Remaining: time.Second})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -235,7 +235,7 @@
 		before := homes()
 		now := time.Now()
 		s.boxes[0].balancing.balancer.SetLimited("t0", true)
-		_, _ = s.boxes[0].choose(balance.Request{Service: "s", Route: "r", Key: "any", Objective: time.Second, Left: time.Second})
+		_, _ = s.boxes[0].choose(balance.Request{Service: "s", Route: "r", AffinityKey: "any", Objective: time.Second, Remaining: time.Second})
 		s.boxes[0].balancing.balancer.ThrottleUntil(now, "t0", now.Add(time.Second))
 		during := homes()
 		for key, home := range during {
--- a/internal/gateway/targetpermits_test.go
+++ b/internal/gateway/targetpermits_test.go
@@ -131,7 +131,7 @@
 		}}})
 		s.daemon.lastState = nil
 		s.daemon.applyState(state, nil)
-		choice, err := s.daemon.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Left: time.Second, Tried: []string{"t0"}})
+		choice, err := s.daemon.choose(balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second, Tried: []string{"t0"}})
 		if err != nil || choice.Target.ID != "t9" || !choice.Limited {
 			t.Errorf("got %+v, %v", choice, err)
 		}
--- a/internal/gateway/targetstatus.go
+++ b/internal/gateway/targetstatus.go
@@ -17,11 +17,11 @@
 func (a *attempt) recordTargetStatus(response *http.Response) targetstatus.Status {
 	d := a.gateway
 	status := d.config.Protocol.Status.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
-	if len(status.Unread) > 0 {
-		d.logUnparsedHeaders(a, status.Unread)
+	if len(status.Unparsed) > 0 {
+		d.logUnparsedHeaders(a, status.Unparsed)
 	}
-	if status.ColdLeft > 0 {
-		d.setColdLeft(a.target.ID, status.ColdLeft)
+	if status.WarmupRemaining > 0 {
+		d.setColdLeft(a.target.ID, status.WarmupRemaining)
 	}
 	if status.BackOff > 0 {
 		d.backOff(a, status)
@@ -54,7 +54,7 @@
 		return
 	}
 	d.metrics.backOffs.Inc()
-	if d.otherLineLimit.Take(now) {
+	if d.otherLineLimit.Allow(now) {
 		d.log.Warn().Str("kind", "backOff").Str("target", a.target.ID).Str("targetZone", a.target.Zone).
 			Str("request", a.requestID).Dur("retryAfter", status.BackOff).Msg("target asked for a back-off")
 	}
@@ -75,7 +75,7 @@
 	d.balancing.Unlock()
 	for _, e := range ended {
 		d.metrics.backOffSkips.Add(float64(e.Skipped))
-		if d.otherLineLimit.Take(now) {
+		if d.otherLineLimit.Allow(now) {
 			d.log.Info().Str("kind", "backOff").Str("target", e.TargetID).Int("skipped", e.Skipped).Msg("back-off ended")
 		}
 	}
@@ -86,12 +86,12 @@
 func (d *Daemon) backedOffTargets() float64 {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return float64(d.balancing.balancer.BackedOff(d.clock.Now()))
+	return float64(d.balancing.balancer.BackedOffCount(d.clock.Now()))
 }
 
 // logUnparsedHeaders logs status headers that could not be parsed; they are ignored.
 func (d *Daemon) logUnparsedHeaders(a *attempt, headers []string) {
-	if d.otherLineLimit.Take(d.clock.Now()) {
+	if d.otherLineLimit.Allow(d.clock.Now()) {
 		d.log.Warn().Str("kind", "unreadHeaders").Str("target", a.target.ID).Str("request", a.requestID).Strs("headers", headers).
 			Msg("status headers of a target can't be parsed")
 	}
--- a/internal/gateway/workspace.go
+++ b/internal/gateway/workspace.go
@@ -21,7 +21,7 @@
 	if given {
 		c.workspace = c.routing.keys.Identify(key)
 	}
-	if c.workspace == nil && c.routing.keys.Requires(c.route) {
+	if c.workspace == nil && c.routing.keys.RequiresKey(c.route) {
 		reason := reasonNoKey
 		if given {
 			reason = reasonUnknownKey
@@ -33,7 +33,7 @@
 	if c.workspace == nil {
 		return true
 	}
-	regions, ok := catalog.NarrowRegions(c.route.Regions, c.workspace.Regions)
+	regions, ok := catalog.IntersectRegions(c.route.Regions, c.workspace.Regions)
 	if !ok {
 		// No target may run it until the routes document changes.
 		c.refuse(reasonNoRegion, maxRoutesRetryAfter)
