--- a/internal/gateway/inforce_bench_test.go
+++ b/internal/gateway/applystate_bench_test.go
@@ -13,7 +13,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// documentOf has so many routes, each with two services.
+// documentOf returns a document with that many routes, each with two services.
 func documentOf(number uint64, routes int) catalog.Document {
 	h := catalog.Host{Name: "a.example"}
 	for i := range routes {
@@ -25,19 +25,19 @@
 	return catalog.Document{Number: number, Hosts: []catalog.Host{h}, Services: []catalog.Service{{Name: "s"}, {Name: "t"}}}
 }
 
-// newSteered returns a box that writes its log and has no callers.
-func newSteered(t testing.TB, log io.Writer, decode func([]byte) (catalog.Document, error)) *Daemon {
+// newBoxWithoutCallers returns a box that logs to a writer and serves no callers.
+func newBoxWithoutCallers(t testing.TB, log io.Writer, decode func([]byte) (catalog.Document, error)) *Daemon {
 	t.Helper()
 	d, err := Open(Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
-		Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: decode,
+		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: decode,
 	}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = d.callers.listener.Close()
-		_ = d.ready.Close()
+		_ = d.callerServer.listener.Close()
+		_ = d.readyListener.Close()
 	})
 	d.log = zerolog.New(log)
 	return d
@@ -58,13 +58,13 @@
 	return s
 }
 
-// BenchmarkPutRoutes is what a decoded document costs until it is in force, in
-// a box that has served all of its routes.
+// BenchmarkPutRoutes measures applying a decoded document in a box that has served all of its
+// routes.
 func BenchmarkPutRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			document := documentOf(1, n)
-			d := newSteered(b, io.Discard, func([]byte) (catalog.Document, error) {
+			d := newBoxWithoutCallers(b, io.Discard, func([]byte) (catalog.Document, error) {
 				document.Number++
 				return document, nil
 			})
@@ -74,31 +74,31 @@
 			number := uint64(0)
 			for b.Loop() {
 				number++
-				d.putRoutes(withDocument(steering.State{}, number).Catalog(), number)
+				d.applyRoutes(withDocument(steering.State{}, number).Catalog(), number)
 			}
 		})
 	}
 }
 
-// BenchmarkForgetRoutes is how long requests wait for a document that drops no
-// more routes than it has.
+// BenchmarkForgetRoutes measures how long requests wait for a document that drops no more routes
+// than it has.
 func BenchmarkForgetRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			document := documentOf(1, n)
 			for _, r := range document.Hosts[0].Routes {
 				d.destination(r)
 			}
 			for b.Loop() {
-				d.setCold(document.Services)
-				d.forgetRoutes(document)
+				d.setColdLimits(document.Services)
+				d.pruneRoutes(document)
 			}
 		})
 	}
 }
 
-// BenchmarkKeepSplits is how long they wait for one that drops more.
+// BenchmarkKeepSplits measures how long they wait for one that drops more.
 func BenchmarkKeepSplits(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
@@ -108,33 +108,33 @@
 				splits[r.Name] = balance.NewSplit("box", r.Name)
 			}
 			for b.Loop() {
-				keepSplits(splits, document)
+				pruneSplits(splits, document)
 			}
 		})
 	}
 }
 
-// BenchmarkPutTargets is what a state costs of which only the routes changed.
+// BenchmarkPutTargets measures applying a state of which only the routes changed.
 func BenchmarkPutTargets(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
 			}
 			for b.Loop() {
-				d.putTargets(s.Catalog(), s.Version())
+				d.applyTargets(s.Catalog(), s.Version())
 			}
 		})
 	}
 }
 
-// BenchmarkPutJoined is what a target costs that joins.
+// BenchmarkPutJoined measures applying a state with one new target.
 func BenchmarkPutJoined(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
@@ -142,7 +142,7 @@
 			joined := withTarget(s, "new", false)
 			for i := 0; b.Loop(); i++ {
 				next := []steering.State{s, joined}[i%2]
-				d.putTargets(next.Catalog(), next.Version())
+				d.applyTargets(next.Catalog(), next.Version())
 			}
 		})
 	}
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// backOffGrace is how long after a rejection requests are not counted, and
-	// backOffSlack how many may come between it and the end of the back-off.
+	// backOffGrace is the time after a rejection in which requests are not counted, and
+	// backOffSlack how many are allowed between then and the end of the back-off.
 	backOffGrace = 500 * time.Millisecond
 	backOffSlack = 2
-	// leavingGrace is how long requests may come after an answer that says that the target
-	// leaves.
+	// leavingGrace is how long requests are allowed after a response that reports that the target
+	// is shutting down.
 	leavingGrace = 2 * time.Second
 )
 
-// rejection is a 503 of a target.
+// rejection is a 503 response of a target.
 type rejection struct {
-	// retryAfter is its Retry-After, empty for none; lasts is what that says.
+	// retryAfter is its Retry-After header, empty for none; lasts is the duration that the header
+	// states.
 	retryAfter string
 	lasts      time.Duration
-	// notRun tells that it has the header that says that the request did not run.
+	// notRun tells that the response has the header that says that the request did not run.
 	notRun bool
 }
 
-// backOff is what a target asked of a box.
+// backOff is a back-off that a target asked of a box.
 type backOff struct {
 	box   int
 	at    time.Time
 	lasts time.Duration
 }
 
-// rejectWith has the target reject requests, or serve them again for nil.
-func (n *countedTarget) rejectWith(r *rejection) {
+// rejectWith makes the target reject requests, or serve them again if r is nil.
+func (n *recordingTarget) rejectWith(r *rejection) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rejects = r
+	n.activeRejection = r
 }
 
-// reject answers a request by the rejection in force, if there is one.
-func (n *countedTarget) reject(box int, r *http.Request, c net.Conn) bool {
+// reject rejects a request if there is an active rejection.
+func (n *recordingTarget) reject(box int, r *http.Request, c net.Conn) bool {
 	n.mu.Lock()
-	with := n.rejects
+	with := n.activeRejection
 	if with == nil {
 		n.mu.Unlock()
 		return false
 	}
 	if with.lasts > 0 {
-		n.rejections = append(n.rejections, backOff{box: box, at: time.Now(), lasts: with.lasts})
+		n.backOffs = append(n.backOffs, backOff{box: box, at: time.Now(), lasts: with.lasts})
 	}
 	n.mu.Unlock()
 	extra := ""
@@ -69,32 +70,31 @@
 	return true
 }
 
-// leave has the target's answers say that it leaves.
-func (n *countedTarget) leave(leaving bool) {
+// setLeaving sets whether the target's responses report that it is shutting down.
+func (n *recordingTarget) setLeaving(leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = leaving
 }
 
-// sayLeaving returns the header line of a target that leaves.
-func (n *countedTarget) sayLeaving(box int) string {
+// announceLeaving returns the header line that reports that the target is shutting down.
+func (n *recordingTarget) announceLeaving(box int) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.leaving {
 		return ""
 	}
-	if _, told := n.toldLeaving[box]; !told {
-		n.toldLeaving[box] = time.Now()
+	if _, known := n.leavingAnnouncedAt[box]; !known {
+		n.leavingAnnouncedAt[box] = time.Now()
 	}
 	return leavingHeader + ": 1\r\n"
 }
 
-// mostInBackOff returns the most requests that one box sent in the back-off of one
-// rejection.
-func (n *countedTarget) mostInBackOff() (most int) {
+// maxInBackOff returns the most requests that one box sent during one back-off.
+func (n *recordingTarget) maxInBackOff() (most int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, b := range n.rejections {
+	for _, b := range n.backOffs {
 		count := 0
 		for _, a := range n.arrivals {
 			if a.box == b.box && a.at.After(b.at.Add(backOffGrace)) && a.at.Before(b.at.Add(b.lasts)) {
@@ -106,47 +106,47 @@
 	return most
 }
 
-// afterLeaving counts the requests of boxes that came too late after these were told that
-// the target leaves.
-func (n *countedTarget) afterLeaving() (count int) {
+// countAfterLeaving counts the requests of boxes that came later than leavingGrace after the target
+// had reported to them that it is shutting down.
+func (n *recordingTarget) countAfterLeaving() (count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, a := range n.arrivals {
-		if told, ok := n.toldLeaving[a.box]; ok && a.at.Sub(told) > leavingGrace {
+		if announced, ok := n.leavingAnnouncedAt[a.box]; ok && a.at.Sub(announced) > leavingGrace {
 			count++
 		}
 	}
 	return count
 }
 
-func (s *targetScene) wantBackOffs(t *testing.T) {
+func (s *testCluster) wantBackOffs(t *testing.T) {
 	t.Helper()
 	for i, target := range s.targets {
-		if got := target.mostInBackOff(); got > backOffSlack {
-			t.Errorf("target %d got %d requests of a box that it had asked to back off, at most %d may come", i, got, backOffSlack)
+		if got := target.maxInBackOff(); got > backOffSlack {
+			t.Errorf("target %d got %d requests from a box that it had asked to back off, want at most %d", i, got, backOffSlack)
 		}
 	}
 }
 
-// Guards against requests to a target that answered this box 503 with Retry-After, before
-// that time is over.
+// Guards against requests to a target that responded to this box with 503 and Retry-After, before
+// that time has passed.
 func TestTargetGetsNothingWhileABoxBacksOff(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150} {
 		for _, targets := range []int{1, 2, 4} {
 			for _, notRun := range []bool{true, false} {
 				t.Run(fmt.Sprint(boxes, " boxes, ", targets, " targets, not run ", notRun), func(t *testing.T) {
 					inVirtualTime(t, func(t *testing.T) {
-						s := newTargetScene(t, boxes, 4)
-						s.load(80, 2*time.Second)
+						s := newTestCluster(t, boxes, 4)
+						s.sendLoad(80, 2*time.Second)
 						for _, target := range s.targets[:targets] {
 							target.rejectWith(&rejection{retryAfter: "3", lasts: 3 * time.Second, notRun: notRun})
 						}
-						s.load(80, 3*time.Second)
+						s.sendLoad(80, 3*time.Second)
 						for _, target := range s.targets {
 							target.rejectWith(nil)
 						}
-						s.load(80, 6*time.Second)
-						s.settle()
+						s.sendLoad(80, 6*time.Second)
+						s.waitForResponses()
 						s.wantBackOffs(t)
 					})
 				})
@@ -155,11 +155,11 @@
 	}
 }
 
-// Guards against a request that was chosen for a target before it asked for a back-off, and
-// is sent after, when it has its connection.
+// Guards against sending a request to a target that asked for a back-off while the request waited
+// for its connection.
 func TestRequestThatWaitsForAConnectionIsSentElsewhere(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
 		dial := d.connections.dial
 		d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -167,8 +167,8 @@
 			return dial(ctx, network, address)
 		}
 		for range 4 {
-			s.asked++
-			go s.ask(d, s.asked)
+			s.sent++
+			go s.send(d, s.sent)
 		}
 		time.Sleep(100 * time.Millisecond)
 		d.balancing.Lock()
@@ -176,8 +176,8 @@
 		d.balancing.Unlock()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if got := s.targets[0].between(time.Time{}, time.Now()); got > 0 {
-			t.Errorf("%d requests were sent", got)
+		if got := s.targets[0].countBetween(time.Time{}, time.Now()); got > 0 {
+			t.Errorf("the backed-off target got %d requests", got)
 		}
 		if s.served != 4 {
 			t.Errorf("%d of 4 requests were served", s.served)
@@ -185,53 +185,53 @@
 	})
 }
 
-// Guards against a box that backs off by a clock that stands while the machine is suspended.
+// Guards against back-offs timed by a clock that stops while the machine is suspended.
 func TestBackOffEndsWhileTheBoxIsSuspended(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
-		s.load(80, time.Second)
+		s.sendLoad(80, time.Second)
 		s.targets[0].rejectWith(&rejection{retryAfter: "60", lasts: time.Minute, notRun: true})
-		s.load(80, time.Second)
+		s.sendLoad(80, time.Second)
 		s.targets[0].rejectWith(nil)
-		s.load(80, time.Second)
-		if d.backedOff() != 1 {
-			t.Fatalf("%v targets are backed off", d.backedOff())
+		s.sendLoad(80, time.Second)
+		if d.backedOffTargets() != 1 {
+			t.Fatalf("%v targets are backed off", d.backedOffTargets())
 		}
-		s.asleep[0].Add(int64(70 * time.Second))
+		s.suspended[0].Add(int64(70 * time.Second))
 		from := time.Now()
-		s.load(80, 3*time.Second)
-		if got := s.targets[0].between(from, time.Now()); got < 20 {
+		s.sendLoad(80, 3*time.Second)
+		if got := s.targets[0].countBetween(from, time.Now()); got < 20 {
 			t.Errorf("got %d requests after the end of its back-off", got)
 		}
 	})
 }
 
-// Guards against requests that wait or are sent in vain where all targets are backed off:
-// they are refused at once, with the end of the first back-off.
+// Guards against requests that wait, or are sent in vain, while all targets are backed off. They
+// must be refused at once, with the end of the first back-off as Retry-After.
 func TestRequestIsRefusedAtOnceWhereAllTargetsAreBackedOff(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, 2)
+		s := newTestCluster(t, 1, 2)
 		for i := range s.targets {
 			s.boxes[0].balancing.balancer.BackOff(s.boxes[0].clock.Now(), fmt.Sprint("t", i), targetstatus.Status{BackOff: 30 * time.Second})
 		}
-		s.ask(s.boxes[0], 1)
-		if s.refused != 1 || s.slowest > 0 {
-			t.Errorf("%d refused, after %s", s.refused, s.slowest)
+		s.send(s.boxes[0], 1)
+		if s.refused != 1 || s.slowestRefusal > 0 {
+			t.Errorf("%d requests were refused, the slowest after %s; want 1 at once", s.refused, s.slowestRefusal)
 		}
-		for told := range s.told {
-			if seconds, err := strconv.ParseFloat(told, 64); err != nil || seconds < 30 || seconds > 32 {
-				t.Errorf("told to come back after %q s", told)
+		for retryAfter := range s.retryAfters {
+			if seconds, err := strconv.ParseFloat(retryAfter, 64); err != nil || seconds < 30 || seconds > 32 {
+				t.Errorf("got Retry-After %q, want 30 to 32 s", retryAfter)
 			}
 		}
 	})
 }
 
-// Guards against a request that is given up as if it had failed to connect so often: what
-// was not sent because of back-offs is no failed connection.
+// Guards against counting attempts that were not sent because of back-offs as failed connections:
+// the request would give up after maxDials of them.
 func TestWithdrawnAttemptsAreNoFailedConnections(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newTargetScene(t, 1, maxDials+3)
+		s := newTestCluster(t, 1, maxDials+3)
 		d := s.boxes[0]
 		dial := d.connections.dial
 		d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -242,9 +242,9 @@
 			}
 			return dial(ctx, network, address)
 		}
-		s.ask(d, 1)
+		s.send(d, 1)
 		if s.served != 1 {
-			t.Error("the request was refused, a target has room")
+			t.Error("the request was refused although a target has free slots")
 		}
 	})
 }
--- a/internal/gateway/daemon.go
+++ b/internal/gateway/daemon.go
@@ -24,12 +24,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// inForce is the document of routes that the box goes by.
-type inForce struct {
+// routing is the active routes document with the tables built from it.
+type routing struct {
 	document catalog.Document
 	table    *catalog.Table
 	keys     *catalog.KeyTable
-	// version is that of the replicated state.
+	// version is the version of the replicated state.
 	version uint64
 }
 
@@ -38,57 +38,57 @@
 	clock     *boottime.Clock
 	config    Config
 	process   *process.Process
-	lines     *process.LogWriter
+	logWriter *process.LogWriter
 	log       zerolog.Logger
 	started   time.Time
 	node      *link.Node
-	following *relay.Follower
-	// controlAge is how long ago control was last heard of.
-	controlAge  func() time.Duration
-	controls    *controls
-	connections *connections
-	shaper      *shaper
-	longAnswers *linkQueue
-	permits     *permits
-	permitLinks *permitLinks
-	// targetLimits are about targets that name limits.
+	follower  *relay.Follower
+	// controlAge returns the time since the last contact with control.
+	controlAge      func() time.Duration
+	controlReplicas *replicas
+	connections     *connectionPool
+	shaper          *shaper
+	linkQueue       *linkQueue
+	permits         *permits
+	permitStreams   *permitStreams
+	// targetLimits tracks rate-limited targets.
 	targetLimits *targetLimits
 	isolation    *isolation.Isolation
-	// reportWord and permitWord tell which replicas take reports and issue permits.
-	reportWord  silences
-	permitWord  silences
-	metrics     *metrics
-	servedLines *process.LineLimiter
-	otherLines  *process.LineLimiter
-	callers     *callers
-	ready       net.Listener
-	exposed     net.Listener
+	// controlReachability and permitReachability track which replicas take reports and which issue
+	// permits.
+	controlReachability reachability
+	permitReachability  reachability
+	metrics             *metrics
+	servedLineLimit     *process.LineLimiter
+	otherLineLimit      *process.LineLimiter
+	callerServer        *callerServer
+	readyListener       net.Listener
+	metricsListener     net.Listener
 
-	// reportDue holds a token when the replicas must be told of this box at once.
+	// reportDue holds a token when the replicas must get a report at once.
 	reportDue chan struct{}
 
-	rules atomic.Pointer[inForce]
-	// steered is the last state, whose targets are in force; only putInForce uses it.
-	steered  *catalog.State
-	stopping atomic.Bool
-	inFlight atomic.Int64
+	routing atomic.Pointer[routing]
+	// lastState is the last state that was applied; only applyState uses it.
+	lastState *catalog.State
+	stopping  atomic.Bool
+	inFlight  atomic.Int64
 
-	// balancing guards what requests decide by.
+	// balancing guards the state by which targets are chosen.
 	balancing struct {
 		sync.Mutex
-		balancer *balance.Balancer
-		budgets  map[string]*retry.WindowBudget
-		splits   map[string]*balance.Split
-		boxes    int
+		balancer     *balance.Balancer
+		retryBudgets map[string]*retry.WindowBudget
+		splits       map[string]*balance.Split
+		boxCount     int
 	}
 }
 
-// staleAfter is how old the word of control may be before another replica is
-// followed: replicas tell it each second, and a target's drain must reach all
-// boxes within 2 s.
-const staleAfter = 1600 * time.Millisecond
+// maxControlAge is the time without contact with control after which another replica is followed.
+// Replicas send an update each second, and a target's drain must reach all boxes within 2 s.
+const maxControlAge = 1600 * time.Millisecond
 
-// Open listens. Run must follow.
+// Open listens on the configured addresses. Run must follow.
 func Open(c Config, log io.Writer) (*Daemon, error) {
 	lines := process.NewLogWriter(log)
 	p, err := process.New(c.Name, lines, c.LogLevel, "")
@@ -96,66 +96,66 @@
 		return nil, err
 	}
 	d := &Daemon{
-		config:      c,
-		process:     p,
-		lines:       lines,
-		log:         p.Log,
-		started:     c.Clock.Now(),
-		clock:       c.Clock,
-		metrics:     newMetrics(p.Metrics),
-		servedLines: process.NewLineLimiter(servedLines),
-		otherLines:  process.NewLineLimiter(otherLines),
-		reportDue:   make(chan struct{}, 1),
+		config:          c,
+		process:         p,
+		logWriter:       lines,
+		log:             p.Log,
+		started:         c.Clock.Now(),
+		clock:           c.Clock,
+		metrics:         newMetrics(p.Metrics),
+		servedLineLimit: process.NewLineLimiter(servedLinesPerSecond),
+		otherLineLimit:  process.NewLineLimiter(otherLinesPerSecond),
+		reportDue:       make(chan struct{}, 1),
 	}
 	p.BootClock = c.Clock
 	d.balancing.balancer = balance.New(balance.Config{Box: c.Name, Zone: c.Zone, Region: c.Region})
-	d.balancing.budgets = make(map[string]*retry.WindowBudget)
+	d.balancing.retryBudgets = make(map[string]*retry.WindowBudget)
 	d.balancing.splits = make(map[string]*balance.Split)
-	d.connections = newConnections(d.metrics.connections.Inc)
+	d.connections = newConnectionPool(d.metrics.connections.Inc)
 	d.connections.clock = d.clock
 	p.Gauge("log_lines_dropped", "Log lines that the reader did not take in time.", func() float64 { return float64(lines.Dropped()) })
-	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.following.ControlAge().Seconds() })
+	p.Gauge("control_age_seconds", "Age of the word of control.", func() float64 { return d.follower.ControlAge().Seconds() })
 	d.shaper = newShaper(c.LinkBytes)
 	d.shaper.clock = d.clock
-	d.longAnswers = newLinkQueue(c.LinkBytes)
-	d.controls = newControls(c.Seeds)
+	d.linkQueue = newLinkQueue(c.LinkBytes)
+	d.controlReplicas = newReplicas(c.Seeds)
 	d.permits = newPermits(d.clock)
-	d.permitLinks = newPermitLinks(func(ctx context.Context, address string) (*link.Messages, error) { return d.node.Permits(ctx, address) })
-	d.permits.call = d.permitLinks.call
-	d.permits.replicas = d.controls.all
-	d.permits.request = d.workspaceRequest
-	d.permits.answered = d.recordPermits
+	d.permitStreams = newPermitStreams(func(ctx context.Context, address string) (*link.Messages, error) { return d.node.Permits(ctx, address) })
+	d.permits.call = d.permitStreams.call
+	d.permits.replicas = d.controlReplicas.all
+	d.permits.buildRequest = d.workspaceRequest
+	d.permits.onResult = d.recordPermitCall
 	d.targetLimits = newTargetLimits(c.Name, d.clock)
-	d.targetLimits.permits.call = d.permitLinks.call
-	d.targetLimits.permits.replicas = d.controls.replicas
-	d.targetLimits.permits.answered = d.recordPermits
-	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOff)
+	d.targetLimits.permits.call = d.permitStreams.call
+	d.targetLimits.permits.replicas = d.controlReplicas.membersOrSeeds
+	d.targetLimits.permits.onResult = d.recordPermitCall
+	p.Gauge("backed_off_targets", "Targets that this box sends nothing at their request.", d.backedOffTargets)
 	d.isolation = d.newIsolation()
 	p.Gauge("quarantine_suspects", "Requests under which a target ended at this box.", func() float64 { return float64(d.isolation.SuspectCount()) })
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
-	d.following = relay.NewFollower(relay.FollowerConfig{
+	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // writing to a hash never fails
+	d.follower = relay.NewFollower(relay.FollowerConfig{
 		Box:         c.Name,
 		Incarnation: p.Incarnation,
 		Zone:        c.Zone,
-		PeerAddress: c.Peers,
+		PeerAddress: c.PeerAddress,
 		Node:        func() *link.Node { return d.node },
 		Clock:       p.Clock,
 		BootClock:   d.clock,
 		Seed:        seed.Sum64(),
-		StaleAfter:  staleAfter,
+		StaleAfter:  maxControlAge,
 		Sources:     d.sources,
-		ApplyState:  d.putInForce,
-		EntryBoxes:  d.setBoxes,
-		Limits:      d.takeUpdates,
+		ApplyState:  d.applyState,
+		EntryBoxes:  d.setEntryBoxes,
+		Limits:      d.mergeUpdates,
 		Event:       d.recordEvent,
 	})
-	d.controlAge = d.following.ControlAge
+	d.controlAge = d.follower.ControlAge
 	return d, d.listen()
 }
 
-// recordEvent keeps an event in the time line. What comes into force has its own
-// line in the log, one for many commands; other events are logged as they are.
+// recordEvent adds an event to the timeline. States that are applied have log lines of their own,
+// one for many commands; other events are logged here.
 func (d *Daemon) recordEvent(e *wire.TimelineEvent) {
 	if e.Kind == relay.EventActive {
 		d.process.Event(e)
@@ -167,18 +167,18 @@
 func (d *Daemon) listen() error {
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
 	d.node = link.NewClient(id, d.process.Clock, nil)
-	callers, err := newCallers(d)
+	callers, err := newCallerServer(d)
 	if err != nil {
 		return err
 	}
-	d.callers = callers
-	if d.ready, err = net.Listen("tcp4", d.config.Ready); err != nil {
+	d.callerServer = callers
+	if d.readyListener, err = net.Listen("tcp4", d.config.ReadyAddress); err != nil {
 		return errors.Wrap(err, "listening for readiness checks")
 	}
-	if d.config.Metrics == "" {
+	if d.config.MetricsAddress == "" {
 		return nil
 	}
-	if d.exposed, err = net.Listen("tcp4", d.config.Metrics); err != nil {
+	if d.metricsListener, err = net.Listen("tcp4", d.config.MetricsAddress); err != nil {
 		return errors.Wrap(err, "listening for metrics")
 	}
 	return nil
@@ -186,17 +186,17 @@
 
 const (
 	sweepInterval = time.Second
-	// lineInterval is how often left out log lines are told of.
-	lineInterval = 5 * time.Second
+	// suppressedLinesInterval is how often the number of suppressed log lines is logged.
+	suppressedLinesInterval = 5 * time.Second
 )
 
-// Run serves until the context ends, then stops as planned.
+// Run serves until the context ends, then shuts down gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.log.Info().Str("kind", "start").Str("zone", d.config.Zone).Str("region", d.config.Region).
-		Str("incarnation", d.process.Incarnation).Strs("seeds", d.config.Seeds).Msg("entry box starts")
+		Str("incarnation", d.process.Incarnation).Strs("seeds", d.config.Seeds).Msg("entry box starting")
 	logging, stopLogging := context.WithCancel(context.Background())
 	logged := make(chan error, 1)
-	go func() { logged <- d.lines.Run(logging) }()
+	go func() { logged <- d.logWriter.Run(logging) }()
 
 	root := d.process.Supervisor()
 	for _, s := range d.services() {
@@ -204,20 +204,20 @@
 	}
 	tree, stopTree := context.WithCancel(context.Background())
 	ended := root.ServeBackground(tree)
-	served := d.callers.serve()
+	served := d.callerServer.serve()
 
 	var err error
 	select {
 	case <-ctx.Done():
-		d.leave()
+		d.shutdown()
 	case err = <-served:
 	}
 	stopTree()
 	<-ended
 	d.connections.close()
-	d.permitLinks.close()
+	d.permitStreams.close()
 	err = errors.CombineErrors(err, d.node.Close())
-	d.log.Info().Str("kind", "stop").Int64("inFlight", d.inFlight.Load()).Msg("entry box stops")
+	d.log.Info().Str("kind", "stop").Int64("inFlight", d.inFlight.Load()).Msg("entry box stopped")
 	stopLogging()
 	<-logged
 	return errors.CombineErrors(err, d.process.Close())
@@ -225,32 +225,33 @@
 
 func (d *Daemon) services() []suture.Service {
 	out := []suture.Service{
-		process.Service{Name: "following", Run: d.following.Run},
-		process.Service{Name: "controls", Run: d.keepControls},
-		process.Service{Name: "reports", Run: d.report},
+		process.Service{Name: "following", Run: d.follower.Run},
+		process.Service{Name: "controls", Run: d.refreshMembership},
+		process.Service{Name: "reports", Run: d.sendReports},
 		process.Service{Name: "permits", Run: d.permits.run},
 		process.Service{Name: "targetPermits", Run: d.targetLimits.permits.run},
 		process.Service{Name: "isolation", Run: d.isolation.Run},
 		process.Service{Name: "ready", Run: func(ctx context.Context) error {
-			return process.ServeHTTP(ctx, d.ready, d.config.ReadyHandler(d.isReady))
+			return process.ServeHTTP(ctx, d.readyListener, d.config.ReadyHandler(d.isReady))
 		}},
 		process.Service{Name: "sweep", Run: d.sweep},
 		process.Service{Name: "suspensions", Run: d.process.LogSuspensions},
 	}
-	if d.exposed != nil {
+	if d.metricsListener != nil {
 		out = append(out, process.Service{Name: "metrics", Run: d.serveMetrics})
 	}
 	return out
 }
 
 // isReady reports whether the box can serve callers.
-func (d *Daemon) isReady() bool { return d.rules.Load() != nil && !d.stopping.Load() }
+func (d *Daemon) isReady() bool { return d.routing.Load() != nil && !d.stopping.Load() }
 
-// sweep closes connections that have rested too long, on both sides.
+// sweep closes connections that have been idle for too long, to callers and to targets, and drops
+// expired entries.
 func (d *Daemon) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
-	lines := time.NewTicker(lineInterval)
+	lines := time.NewTicker(suppressedLinesInterval)
 	defer lines.Stop()
 	for {
 		select {
@@ -258,25 +259,25 @@
 			return ctx.Err()
 		case <-ticker.C:
 			now := d.clock.Now()
-			d.connections.sweep(now, d.knows)
-			d.callers.sweep(now)
-			d.permits.forget(now)
-			d.targetLimits.keep(now, d.knows)
-			d.reportBackOffs()
+			d.connections.closeExpired(now, d.isRegistered)
+			d.callerServer.closeExpired(now)
+			d.permits.prune(now)
+			d.targetLimits.prune(now, d.isRegistered)
+			d.logEndedBackOffs()
 		case <-lines.C:
-			d.logDroppedLines()
+			d.logSuppressedLines()
 		}
 	}
 }
 
-// CallerAddress is where the box listens for callers.
-func (d *Daemon) CallerAddress() string { return d.callers.listener.Addr().String() }
+// CallerAddress returns the address on which the box listens for callers.
+func (d *Daemon) CallerAddress() string { return d.callerServer.listener.Addr().String() }
 
 // Log returns the log of the process.
 func (d *Daemon) Log() zerolog.Logger { return d.log }
 
-// SetSeeds replaces the control replicas that were named at the start.
+// SetSeeds replaces the control replicas that were configured at the start.
 func (d *Daemon) SetSeeds(seeds []string) {
-	d.controls.setSeeds(seeds)
-	d.following.SourcesChanged()
+	d.controlReplicas.setSeeds(seeds)
+	d.follower.SourcesChanged()
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,10 +21,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// testProtocol has the headers of these tests.
+// testProtocol returns the headers of these tests.
 func testProtocol() Protocol {
 	return Protocol{
-		RequestID: "Test-Id", ObjectKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
+		RequestID: "Test-Id", AffinityKey: "Test-Key", Deadline: "Test-Deadline", ExpectTarget: "Test-Expect",
 		Status: targetstatus.Headers{
 			NotRun: "Test-Not-Executed", Load: "Test-Load", WarmupRemaining: "Test-Cold", Limit: limitHeader, Leaving: leavingHeader,
 			ParseLoad:   targetstatus.ParseLoad,
@@ -33,7 +33,7 @@
 	}
 }
 
-// target is a stand-in that answers each request as its script says.
+// target is a fake target that responds to each request as its script says.
 type target struct {
 	listener net.Listener
 	script   func(n int, r *http.Request, c net.Conn) (keep bool)
@@ -78,17 +78,17 @@
 	}
 }
 
-func answerWith(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func served(_ int, r *http.Request, c net.Conn) bool {
+func respondHello(_ int, r *http.Request, c net.Conn) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
-	answerWith(c, r.Header.Get("Test-Id"), "hello")
+	writeResponse(c, r.Header.Get("Test-Id"), "hello")
 	return true
 }
 
-// routes of these tests: /safe/ may be repeated, /unsafe/ not.
+// testRoutes has the route /safe/, whose requests may be repeated, and /unsafe/, whose may not.
 func testRoutes([]byte) (catalog.Document, error) {
 	route := func(name string, repeat catalog.Repeat) catalog.Route {
 		return catalog.Route{
@@ -103,22 +103,22 @@
 	}, nil
 }
 
-// gateway is a box with targets and an HTTP server in front of it.
-type gateway struct {
+// testGateway is a box with targets, behind an HTTP server.
+type testGateway struct {
 	daemon *Daemon
 	server *httptest.Server
 }
 
-// testConfig is that of a box whose retries are as good as unbounded.
+// testConfig returns the configuration of a box with practically unlimited retries.
 func testConfig() Config {
 	return Config{
 		Name: "box", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"},
-		Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: testRoutes,
+		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", Protocol: testProtocol(), DecodeRoutes: testRoutes,
 		RetryShare: 1, RetryExtra: 100, RetryWindow: 10 * time.Second, LogLevel: zerolog.Disabled,
 	}
 }
 
-// newDaemon opens a box that knows targets t0, t1 and so on at their addresses.
+// newDaemon opens a box with the targets t0, t1 and so on at the given addresses.
 func newDaemon(t testing.TB, c Config, addresses ...string) *Daemon {
 	t.Helper()
 	d, err := Open(c, io.Discard)
@@ -132,12 +132,12 @@
 		}}})
 	}
 	d.controlAge = func() time.Duration { return 0 }
-	d.putInForce(state, nil)
-	d.setBoxes([]*wire.EntryBox{{Name: "box", Zone: "z", Region: "r"}})
+	d.applyState(state, nil)
+	d.setEntryBoxes([]*wire.EntryBox{{Name: "box", Zone: "z", Region: "r"}})
 	return d
 }
 
-func newGateway(t *testing.T, targets ...*target) *gateway {
+func newGateway(t *testing.T, targets ...*target) *testGateway {
 	t.Helper()
 	addresses := make([]string, 0, len(targets))
 	for _, s := range targets {
@@ -146,20 +146,20 @@
 	return serveDaemon(t, newDaemon(t, testConfig(), addresses...))
 }
 
-// serveDaemon serves requests of callers by a box until the test ends.
-func serveDaemon(t *testing.T, d *Daemon) *gateway {
+// serveDaemon serves callers through a box until the test ends.
+func serveDaemon(t *testing.T, d *Daemon) *testGateway {
 	t.Helper()
-	g := &gateway{daemon: d, server: httptest.NewServer(d)}
+	g := &testGateway{daemon: d, server: httptest.NewServer(d)}
 	t.Cleanup(func() {
 		g.server.Close()
 		d.connections.close()
-		_ = d.callers.listener.Close()
-		_ = d.ready.Close()
+		_ = d.callerServer.listener.Close()
+		_ = d.readyListener.Close()
 	})
 	return g
 }
 
-func (g *gateway) do(t *testing.T, method, path, id, body string) (*http.Response, string) {
+func (g *testGateway) do(t *testing.T, method, path, id, body string) (*http.Response, string) {
 	t.Helper()
 	r, err := http.NewRequest(method, g.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -190,7 +190,7 @@
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
 		got <- seen{r.Method, r.RequestURI, string(body), r.Header}
-		answerWith(c, r.Header.Get("Test-Id"), "hello")
+		writeResponse(c, r.Header.Get("Test-Id"), "hello")
 		return true
 	})
 	g := newGateway(t, s)
@@ -205,14 +205,14 @@
 	if at.header.Get("Test-Id") != "id1" || at.header.Get("Test-Expect") != "t0" {
 		t.Fatalf("the target got %v", at.header)
 	}
-	left, err := strconv.Atoi(at.header.Get("Test-Deadline"))
-	if err != nil || left <= 0 || left > 1500 {
-		t.Fatalf("the target was told to have %q", at.header.Get("Test-Deadline"))
+	millis, err := strconv.Atoi(at.header.Get("Test-Deadline"))
+	if err != nil || millis <= 0 || millis > 1500 {
+		t.Fatalf("the target got deadline %q", at.header.Get("Test-Deadline"))
 	}
 }
 
 func TestConnectionIsKept(t *testing.T) {
-	s := newTarget(t, served)
+	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	for i := range 5 {
 		g.do(t, "GET", "/safe/", fmt.Sprint(i), "")
@@ -222,8 +222,7 @@
 	}
 }
 
-// What comes behind a whole answer belongs to no request: the connection is
-// not used again.
+// Data after a complete response belongs to no request: the connection must not be reused.
 func TestSurplusAnswerIsNotPassedOn(t *testing.T) {
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		id := r.Header.Get("Test-Id")
@@ -239,11 +238,11 @@
 	}
 }
 
-// An answer to an earlier request may stand where the next one is due.
+// A response to an earlier request may arrive before the one to this request.
 func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
-		answerWith(c, "other", "wrong")
-		answerWith(c, r.Header.Get("Test-Id"), "right")
+		writeResponse(c, "other", "wrong")
+		writeResponse(c, r.Header.Get("Test-Id"), "right")
 		return true
 	})
 	g := newGateway(t, s)
@@ -252,12 +251,12 @@
 	}
 	g.do(t, "POST", "/unsafe/", "id2", "")
 	if n := s.conns.Load(); n != 2 {
-		t.Fatalf("%d connections: the doubtful one was used again", n)
+		t.Fatalf("got %d connections, want 2: one that is out of sync must not be reused", n)
 	}
 }
 
-// breaks are the ways in which an answer can break.
-var breaks = map[string]func(c net.Conn, id string){
+// brokenResponses are the ways in which a response can break.
+var brokenResponses = map[string]func(c net.Conn, id string){
 	"no answer": func(net.Conn, string) {},
 	"garbage":   func(c net.Conn, _ string) { _, _ = io.WriteString(c, "\x00\x01 what\r\n\r\n") },
 	"half a body": func(c net.Conn, id string) {
@@ -276,10 +275,10 @@
 }
 
 func TestBrokenAnswerOfAnUnrepeatableRequestIsUnknown(t *testing.T) {
-	for name, break_ := range breaks {
+	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
-				break_(c, r.Header.Get("Test-Id"))
+				respondBroken(c, r.Header.Get("Test-Id"))
 				return false
 			})
 			g := newGateway(t, s, newTarget(t, s.script))
@@ -288,22 +287,22 @@
 				t.Fatalf("got %d, %v", response.StatusCode, response.Header)
 			}
 			if s.requests.Load() > 1 {
-				t.Fatal("sent twice")
+				t.Fatal("the request was sent twice")
 			}
 		})
 	}
 }
 
 func TestBrokenAnswerOfARepeatableRequestIsTriedElsewhere(t *testing.T) {
-	for name, break_ := range breaks {
+	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			var total atomic.Int32
 			script := func(_ int, r *http.Request, c net.Conn) bool {
 				if total.Add(1) == 1 {
-					break_(c, r.Header.Get("Test-Id"))
+					respondBroken(c, r.Header.Get("Test-Id"))
 					return false
 				}
-				return served(0, r, c)
+				return respondHello(0, r, c)
 			}
 			g := newGateway(t, newTarget(t, script), newTarget(t, script))
 			if response, body := g.do(t, "GET", "/safe/", "id1", ""); response.StatusCode != http.StatusOK || body != "hello" {
@@ -313,20 +312,20 @@
 	}
 }
 
-func turnAway(_ int, r *http.Request, c net.Conn) bool {
+func rejectNotRun(_ int, r *http.Request, c net.Conn) bool {
 	fmt.Fprintf(c, "HTTP/1.1 503 Service Unavailable\r\nTest-Id: %s\r\nTest-Not-Executed: 1\r\nSeal: x\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Test-Id"))
 	return true
 }
 
 func TestRequestThatDidNotRunIsRefusedWithATime(t *testing.T) {
-	a, b := newTarget(t, turnAway), newTarget(t, turnAway)
+	a, b := newTarget(t, rejectNotRun), newTarget(t, rejectNotRun)
 	g := newGateway(t, a, b)
 	response, _ := g.do(t, "POST", "/unsafe/", "id1", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 		t.Fatalf("got %d, %v", response.StatusCode, response.Header)
 	}
 	if response.Header.Get("Seal") != "" {
-		t.Fatal("the target's header is on the box's own answer")
+		t.Fatal("the target's header is on a response generated by the box")
 	}
 	if a.requests.Load() != 1 || b.requests.Load() != 1 {
 		t.Fatalf("targets got %d and %d requests; the route allows 2 attempts", a.requests.Load(), b.requests.Load())
@@ -346,9 +345,9 @@
 }
 
 func TestUnreachableTargetIsPassedOver(t *testing.T) {
-	dead := newTarget(t, served)
+	dead := newTarget(t, respondHello)
 	_ = dead.listener.Close()
-	g := newGateway(t, dead, newTarget(t, served))
+	g := newGateway(t, dead, newTarget(t, respondHello))
 	for i := range 6 {
 		if response, _ := g.do(t, "POST", "/unsafe/", fmt.Sprint(i), ""); response.StatusCode != http.StatusOK {
 			t.Fatalf("got %d", response.StatusCode)
@@ -357,47 +356,46 @@
 }
 
 func TestOwnAnswers(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
+	g := newGateway(t, newTarget(t, respondHello))
 	if response, _ := g.do(t, "GET", "/none/", "id1", ""); response.StatusCode != http.StatusNotFound {
-		t.Fatalf("no route: %d", response.StatusCode)
+		t.Fatalf("unknown route: got %d", response.StatusCode)
 	}
-	g.daemon.rules.Store(nil)
+	g.daemon.routing.Store(nil)
 	response, _ := g.do(t, "GET", "/safe/", "id2", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Fatalf("no routes known: %d, %v", response.StatusCode, response.Header)
+		t.Fatalf("box without routes: got %d, %v", response.StatusCode, response.Header)
 	}
 	if g.daemon.isReady() {
 		t.Fatal("ready without routes")
 	}
 }
 
-// A box answered requests at a route that had been added with 404, for seconds:
-// the change had not reached it, and its word of control was seven seconds old. It
-// answered from what it knew as if it knew all there is; the log lines of these
-// requests named an older document than the one in force, with that age.
+// Guards against answering 404 for a route that was added while the box had no contact with
+// control. A box did so for seconds: its last contact was seven seconds ago, and it answered from
+// an older routes document than the active one as if that were up to date.
 func TestRouteThatMayHaveBeenAddedIsNotDenied(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
-	age := staleAfter + time.Millisecond
+	g := newGateway(t, newTarget(t, respondHello))
+	age := maxControlAge + time.Millisecond
 	g.daemon.controlAge = func() time.Duration { return age }
 	response, _ := g.do(t, "GET", "/added/", "id1", "")
 	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Errorf("no word of control for %s: %d, %v", age, response.StatusCode, response.Header)
+		t.Errorf("no contact with control for %s: got %d, %v", age, response.StatusCode, response.Header)
 	}
 	if response, _ := g.do(t, "GET", "/safe/", "id2", ""); response.StatusCode != http.StatusOK {
-		t.Errorf("a known route: %d", response.StatusCode)
+		t.Errorf("known route: got %d", response.StatusCode)
 	}
-	age = staleAfter
+	age = maxControlAge
 	if response, _ := g.do(t, "GET", "/added/", "id3", ""); response.StatusCode != http.StatusNotFound {
-		t.Errorf("word of control: %d", response.StatusCode)
+		t.Errorf("unknown route with recent contact with control: got %d", response.StatusCode)
 	}
 }
 
-// Long bodies and long answers go through in pieces.
+// Large request and response bodies are streamed.
 func TestLongBodies(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 40_000)
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
-		answerWith(c, r.Header.Get("Test-Id"), string(body))
+		writeResponse(c, r.Header.Get("Test-Id"), string(body))
 		return true
 	})
 	g := newGateway(t, s)
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -10,26 +10,25 @@
 	"time"
 )
 
-// idleServer serves with the connections' states told to the callers of a box;
-// before is called with each state before the box hears of it.
-func idleServer(t *testing.T, before func(c *callers, s http.ConnState)) *gateway {
+// newIdleTestServer passes connection state changes on to the box's caller server. before is called
+// with each state first.
+func newIdleTestServer(t *testing.T, before func(c *callerServer, s http.ConnState)) *testGateway {
 	t.Helper()
-	g := newGateway(t, newTarget(t, served))
-	c := g.daemon.callers
+	g := newGateway(t, newTarget(t, respondHello))
+	c := g.daemon.callerServer
 	g.server.Close()
 	g.server = httptest.NewUnstartedServer(g.daemon)
 	g.server.Config.ConnState = func(conn net.Conn, s http.ConnState) {
 		before(c, s)
-		c.note(conn, s)
+		c.connStateChanged(conn, s)
 	}
 	g.server.Start()
 	return g
 }
 
-// A request that is read while its connection is ended for resting too long is
-// answered.
+// A request that is read while its connection is being closed as idle must be served.
 func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
-	g := idleServer(t, func(c *callers, s http.ConnState) {
+	g := newIdleTestServer(t, func(c *callerServer, s http.ConnState) {
 		if s == http.StateActive {
 			c.closeIdle(time.Now().Add(time.Hour))
 		}
@@ -37,16 +36,16 @@
 	for _, id := range []string{"id1", "id2", "id3"} {
 		response, _ := g.do(t, http.MethodPost, "/unsafe/", id, "")
 		if response.StatusCode != http.StatusOK {
-			t.Fatalf("%s was answered %d", id, response.StatusCode)
+			t.Fatalf("request %s: got status %d", id, response.StatusCode)
 		}
 	}
 }
 
-// A connection that has rested too long is closed.
+// A connection that has been idle for too long is closed.
 func TestConnectionThatRestsTooLongIsClosed(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	idle := make(chan struct{}, 8)
-	g := idleServer(t, func(_ *callers, s http.ConnState) {
+	g := newIdleTestServer(t, func(_ *callerServer, s http.ConnState) {
 		if s == http.StateClosed {
 			closed <- struct{}{}
 		}
@@ -57,7 +56,7 @@
 	g.do(t, http.MethodGet, "/safe/", "id1", "")
 	<-idle
 	for ended := false; !ended; {
-		g.daemon.callers.closeIdle(time.Now().Add(time.Hour))
+		g.daemon.callerServer.closeIdle(time.Now().Add(time.Hour))
 		select {
 		case <-closed:
 			ended = true
@@ -66,16 +65,16 @@
 	}
 }
 
-// crossingConn is a connection whose end begins between the reading of a request
-// and its coming to the server.
+// crossingConn is a connection that starts to close after a request was read and before the server
+// gets it.
 type crossingConn struct {
 	net.Conn
 	read func()
-	// crossing tells that a request has been read; then ends is closed when the
-	// connection is told to end.
+	// crossing is set once a request has been read; from then on, ending is closed when the
+	// connection is told to close.
 	crossing atomic.Bool
 	endOnce  sync.Once
-	ends     chan struct{}
+	ending   chan struct{}
 }
 
 // Read implements net.Conn.
@@ -103,11 +102,11 @@
 
 func (c *crossingConn) recordEnd() {
 	if c.crossing.Load() {
-		c.endOnce.Do(func() { close(c.ends) })
+		c.endOnce.Do(func() { close(c.ending) })
 	}
 }
 
-// crossingListener makes its connections crossing ones.
+// crossingListener wraps its connections in crossingConn.
 type crossingListener struct {
 	net.Listener
 	read func(c *crossingConn)
@@ -119,19 +118,19 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &crossingConn{Conn: accepted, ends: make(chan struct{})}
+	c := &crossingConn{Conn: accepted, ending: make(chan struct{})}
 	c.read = func() { l.read(c) }
 	return c, nil
 }
 
-// Guards against a stopping box that closes a connection on which a request has just been
-// read.
+// Guards against a box that, while shutting down, closes a connection on which a request has just
+// been read.
 func TestRequestThatCrossesTheStopIsServed(t *testing.T) {
-	g := newGateway(t, newTarget(t, served))
-	c := g.daemon.callers
+	g := newGateway(t, newTarget(t, respondHello))
+	c := g.daemon.callerServer
 	idle := make(chan struct{}, 8)
 	c.server.ConnState = func(conn net.Conn, s http.ConnState) {
-		c.note(conn, s)
+		c.connStateChanged(conn, s)
 		if s == http.StateIdle {
 			idle <- struct{}{}
 		}
@@ -143,18 +142,18 @@
 			return
 		}
 		conn.crossing.Store(true)
-		go func() { stopped <- c.end(t.Context()) }()
-		<-conn.ends
+		go func() { stopped <- c.shutdown(t.Context()) }()
+		<-conn.ending
 	}}
 	ended := c.serve()
 	g.server.Client().Transport = &http.Transport{}
 	g.server.URL = "http://" + c.listener.Addr().String()
 	if response, _ := g.do(t, http.MethodPost, "/unsafe/", "id1", ""); response.StatusCode != http.StatusOK {
-		t.Fatalf("the first was answered %d", response.StatusCode)
+		t.Fatalf("first request: got status %d", response.StatusCode)
 	}
-	<-idle // else the second may come while its connection still counts as active
+	<-idle // otherwise the second may arrive while its connection still counts as active
 	if response, _ := g.do(t, http.MethodPost, "/unsafe/", "id2", ""); response.StatusCode != http.StatusOK {
-		t.Fatalf("the second was answered %d", response.StatusCode)
+		t.Fatalf("second request: got status %d", response.StatusCode)
 	}
 	g.server.Client().CloseIdleConnections()
 	if err := <-stopped; err != nil {
--- a/internal/gateway/loglimit.go
+++ b/internal/gateway/loglimit.go
@@ -5,18 +5,18 @@
 )
 
 const (
-	// servedLines and otherLines are the log lines a second for requests that
-	// were served and for the others: several times the usual traffic of a
-	// box, and a bound under overload.
-	servedLines = 100
-	otherLines  = 200
+	// servedLinesPerSecond and otherLinesPerSecond limit the log lines for requests that were
+	// served and for all others: several times the usual traffic of a box, and a bound under
+	// overload.
+	servedLinesPerSecond = 100
+	otherLinesPerSecond  = 200
 )
 
-// requestLine begins the line of a request, or returns nil if it is left out.
+// requestLine begins the log line of a request, or returns nil if it is suppressed.
 func (d *Daemon) requestLine(served bool) *zerolog.Event {
-	limit := d.otherLines
+	limit := d.otherLineLimit
 	if served {
-		limit = d.servedLines
+		limit = d.servedLineLimit
 	}
 	if !limit.Allow(d.clock.Now()) {
 		return nil
@@ -27,12 +27,12 @@
 	return d.log.Warn()
 }
 
-// logDroppedLines tells how many lines were left out.
-func (d *Daemon) logDroppedLines() {
-	served, others := d.servedLines.TakeSuppressed(), d.otherLines.TakeSuppressed()
+// logSuppressedLines logs how many lines were suppressed, and how many the reader was too slow for.
+func (d *Daemon) logSuppressedLines() {
+	served, others := d.servedLineLimit.TakeSuppressed(), d.otherLineLimit.TakeSuppressed()
 	if served+others == 0 {
 		return
 	}
 	d.log.Warn().Str("kind", "linesLeftOut").Uint64("served", served).Uint64("others", others).
-		Uint64("byReader", d.lines.Dropped()).Msg("log lines were left out to bound their volume")
+		Uint64("byReader", d.logWriter.Dropped()).Msg("log lines suppressed to limit their volume")
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,31 +6,30 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics count what became of requests.
+// metrics count the requests and their outcomes.
 type metrics struct {
 	requests    *prometheus.CounterVec
 	latency     *prometheus.HistogramVec
 	attempts    *prometheus.CounterVec
 	hedges      prometheus.Counter
 	connections prometheus.Counter
-	permitAsks  *prometheus.CounterVec
-	// looks, endedRuns and held are about requests that end targets.
-	looks     *prometheus.CounterVec
-	endedRuns prometheus.Counter
-	held      prometheus.Gauge
-	// targetLimits, targetPermits and skippedLimited are about targets that name limits.
+	permitCalls *prometheus.CounterVec
+	// targetProbes, crashedRuns and quarantined are about requests that crash their targets.
+	targetProbes *prometheus.CounterVec
+	crashedRuns  prometheus.Counter
+	quarantined  prometheus.Gauge
+	// targetLimits, targetPermits and skippedLimited are about rate-limited targets.
 	targetLimits   prometheus.Gauge
 	targetPermits  prometheus.Counter
 	skippedLimited prometheus.Counter
-	// backOffs and backOffSkips are about targets that ask this box for a back-off.
+	// backOffs and backOffSkips are about targets that ask this box to back off.
 	backOffs     prometheus.Counter
 	backOffSkips prometheus.Counter
-	// targetsLeaving counts targets that said in an answer that they leave.
+	// targetsLeaving counts targets that reported in a response that they are shutting down.
 	targetsLeaving prometheus.Counter
 }
 
-// latencyBuckets are in seconds; the objectives of the users' routes lie
-// between 0.3 and 0.6.
+// latencyBuckets are in seconds; the objectives of the users' routes lie between 0.3 and 0.6.
 var latencyBuckets = []float64{0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.8, 1, 1.5, 2, 3, 4}
 
 func newMetrics(r *prometheus.Registry) *metrics {
@@ -51,16 +50,16 @@
 			Name: "ledgesill_target_connections_total", Help: "Connections opened to targets.",
 		}),
 	}
-	m.permitAsks = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.permitCalls = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_permit_asks_total", Help: "Calls for permits of workspaces with limits, by whether they were answered.",
 	}, []string{"answered"})
-	m.looks = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.targetProbes = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ledgesill_target_looks_total", Help: "Targets that were looked at after a connection broke, by whether they had ended.",
 	}, []string{"found"})
-	m.endedRuns = prometheus.NewCounter(prometheus.CounterOpts{
+	m.crashedRuns = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "ledgesill_ended_runs_total", Help: "Requests that were at work at a target when it ended.",
 	})
-	m.held = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.quarantined = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "ledgesill_quarantine_held", Help: "Requests that reach no target as targets ended under them.",
 	})
 	m.targetLimits = prometheus.NewGauge(prometheus.GaugeOpts{
@@ -82,7 +81,7 @@
 		Name: "ledgesill_targets_leaving_total", Help: "Targets that said in an answer, to this box or another, that they leave.",
 	})
 	r.MustRegister(m.backOffs, m.backOffSkips, m.targetsLeaving,
-		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitAsks, m.looks, m.endedRuns, m.held,
+		m.requests, m.latency, m.attempts, m.hedges, m.connections, m.permitCalls, m.targetProbes, m.crashedRuns, m.quarantined,
 		m.targetLimits, m.targetPermits, m.skippedLimited)
 	return m
 }
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -14,76 +14,76 @@
 )
 
 const (
-	// permitCallTimeout bounds a call for permits: two of the longest round trips
-	// between regions and some turns of a busy replica.
+	// permitCallTimeout bounds a permit call: two of the longest round trips between regions and
+	// some scheduling delay of a busy replica.
 	permitCallTimeout = 250 * time.Millisecond
-	// permitTick is how often it is looked again, while requests wait, whether
-	// another replica can be asked.
-	permitTick = 30 * time.Millisecond
-	// longestPermitWait bounds how long a request waits for a permit. It covers a
-	// replica that is silent, and one in another region that is asked after it.
-	longestPermitWait = 400 * time.Millisecond
+	// issuerRecheckInterval is how often waiting requests check whether another replica can be
+	// asked.
+	issuerRecheckInterval = 30 * time.Millisecond
+	// maxPermitWait bounds how long a request waits for a permit. It is enough for an unresponsive
+	// replica and a second call to one in another region.
+	maxPermitWait = 400 * time.Millisecond
 )
 
-// permits are what this box may send for workspaces, or to targets, with limits.
+// permits holds the permits of this box, either of workspaces or of targets with rate limits.
 type permits struct {
-	// call asks a replica.
+	// call sends a permit request to a replica.
 	call func(ctx context.Context, address string, r *wire.PermitRequest) (*wire.PermitAnswer, error)
-	// replicas are the addresses of those that can be asked.
+	// replicas returns the addresses of the replicas that can be asked.
 	replicas func() []string
-	// request returns the message of asks.
-	request func(asks []quota.SubjectRequest) *wire.PermitRequest
-	// answered is told how an ask has ended.
-	answered func(a quota.IssuerCall, err error)
+	// buildRequest returns the message of permit requests.
+	buildRequest func(asks []quota.SubjectRequest) *wire.PermitRequest
+	// onResult is called with the result of each issuer call.
+	onResult func(a quota.IssuerCall, err error)
 
 	clock *boottime.Clock
 	mu    sync.Mutex
-	stock *quota.PermitCache
-	// changed is closed and replaced when waiting requests may look again.
+	cache *quota.PermitCache
+	// changed is closed and replaced when waiting requests should check again.
 	changed chan struct{}
-	// due holds a token when there may be something to ask.
-	due chan struct{}
+	// requestDue holds a token when permits may have to be requested.
+	requestDue chan struct{}
 }
 
 func newPermits(c *boottime.Clock) *permits {
-	return &permits{clock: c, stock: quota.NewPermitCache(), changed: make(chan struct{}), due: make(chan struct{}, 1)}
+	return &permits{clock: c, cache: quota.NewPermitCache(), changed: make(chan struct{}), requestDue: make(chan struct{}, 1)}
 }
 
-// take returns a permit of a workspace, for which it may wait. The error is an
-// OverLimitError or NoIssuerError of package quota, or the context's.
-func (p *permits) take(ctx context.Context, workspace string) (until time.Time, err error) {
+// acquire returns a permit of a workspace or target and may wait for one. The error is an
+// OverLimitError or SilentError of package quota, or the context's.
+func (p *permits) acquire(ctx context.Context, subject string) (until time.Time, err error) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.RecordRequest(now, workspace)
-	if until, ok := p.stock.Take(now, workspace); ok {
-		p.wake()
+	p.cache.RecordRequest(now, subject)
+	if until, ok := p.cache.Take(now, subject); ok {
+		p.triggerRequests()
 		return until, nil
 	}
-	p.stock.SetIssuers(p.replicas())
-	latest := time.NewTimer(longestPermitWait)
-	defer latest.Stop()
-	p.stock.AddWaiter(workspace)
-	defer p.stock.RemoveWaiter(workspace)
+	p.cache.SetIssuers(p.replicas())
+	timeout := time.NewTimer(maxPermitWait)
+	defer timeout.Stop()
+	p.cache.AddWaiter(subject)
+	defer p.cache.RemoveWaiter(subject)
 	for {
-		if err := p.stock.Refusal(p.clock.Now(), workspace); err != nil {
+		if err := p.cache.Refusal(p.clock.Now(), subject); err != nil {
 			return time.Time{}, err
 		}
-		p.wake()
-		if err := p.await(ctx, latest.C); err != nil {
-			return time.Time{}, errors.CombineErrors(p.stock.Refusal(p.clock.Now(), workspace), err)
+		p.triggerRequests()
+		if err := p.await(ctx, timeout.C); err != nil {
+			return time.Time{}, errors.CombineErrors(p.cache.Refusal(p.clock.Now(), subject), err)
 		}
-		if until, ok := p.stock.Take(p.clock.Now(), workspace); ok {
+		if until, ok := p.cache.Take(p.clock.Now(), subject); ok {
 			return until, nil
 		}
 	}
 }
 
-// errNoPermitInTime says that a request has waited for a permit for too long.
-var errNoPermitInTime = errors.New("no control replica answered in time whether the limit leaves room")
+// errPermitTimeout says that a request has waited too long for a permit.
+var errPermitTimeout = errors.New("no control replica answered the permit request in time")
 
-// await waits, without the lock, until it is worth while to look again.
-func (p *permits) await(ctx context.Context, latest <-chan time.Time) error {
+// await waits, with the lock released, until it is worth checking again.
+func (p *permits) await(ctx context.Context, timeout <-chan time.Time) error {
 	changed := p.changed
 	p.mu.Unlock()
 	defer p.mu.Lock()
@@ -92,50 +92,50 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-latest:
-		return errNoPermitInTime
+	case <-timeout:
+		return errPermitTimeout
 	}
 }
 
-// takeNow takes a permit if there is one in stock.
-func (p *permits) takeNow(workspace string) (until time.Time, ok bool) {
+// tryAcquire takes a permit if one is cached.
+func (p *permits) tryAcquire(subject string) (until time.Time, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stock.Take(p.clock.Now(), workspace)
+	return p.cache.Take(p.clock.Now(), subject)
 }
 
-// putBack returns a permit that was not used.
-func (p *permits) putBack(workspace string, until time.Time) {
+// release returns a permit that was not used.
+func (p *permits) release(subject string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.PutBack(workspace, until)
+	p.cache.PutBack(subject, until)
 }
 
-func (p *permits) wake() {
+func (p *permits) triggerRequests() {
 	select {
-	case p.due <- struct{}{}:
+	case p.requestDue <- struct{}{}:
 	default:
 	}
 }
 
-// endedAsk is how an ask has ended.
-type endedAsk struct {
+// issuerResult is the result of an issuer call.
+type issuerResult struct {
 	asks   quota.IssuerCall
 	answer *wire.PermitAnswer
 	err    error
 }
 
-// run asks replicas for permits until the context ends.
+// run requests permits from replicas until the context ends.
 func (p *permits) run(ctx context.Context) error {
-	ended := make(chan endedAsk)
+	ended := make(chan issuerResult)
 	var running sync.WaitGroup
 	defer running.Wait()
 	var tick *time.Ticker
 	var ticks <-chan time.Time
 	for {
-		for _, a := range p.plan() {
+		for _, a := range p.pendingCalls() {
 			running.Go(func() {
-				end := p.ask(ctx, a)
+				end := p.callIssuer(ctx, a)
 				select {
 				case ended <- end:
 				case <-ctx.Done():
@@ -144,7 +144,7 @@
 		}
 		switch waits := p.waiting(); {
 		case waits && tick == nil:
-			tick = time.NewTicker(permitTick)
+			tick = time.NewTicker(issuerRecheckInterval)
 			ticks = tick.C
 		case !waits && tick != nil:
 			tick.Stop()
@@ -153,38 +153,39 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-p.due:
+		case <-p.requestDue:
 		case <-ticks:
-			p.tell()
+			p.notifyWaiters()
 		case e := <-ended:
-			p.settle(e)
+			p.handleResult(e)
 		}
 	}
 }
 
-// plan returns what is to be asked now.
-func (p *permits) plan() []quota.IssuerCall {
-	replicas := p.replicas()
+// pendingCalls returns the issuer calls that are due.
+func (p *permits) pendingCalls() []quota.IssuerCall {
+	addresses := p.replicas()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.SetIssuers(replicas)
-	return p.stock.StartCalls(p.clock.Now())
+	p.cache.SetIssuers(addresses)
+	return p.cache.StartCalls(p.clock.Now())
 }
 
 func (p *permits) waiting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.stock.HasWaiters()
+	return p.cache.HasWaiters()
 }
 
-func (p *permits) ask(ctx context.Context, a quota.IssuerCall) endedAsk {
+// callIssuer sends a permit request to one replica.
+func (p *permits) callIssuer(ctx context.Context, a quota.IssuerCall) issuerResult {
 	ctx, cancel := context.WithTimeout(ctx, permitCallTimeout)
 	defer cancel()
-	answer, err := p.call(ctx, a.Address, p.request(a.Requests))
-	return endedAsk{a, answer, err}
+	answer, err := p.call(ctx, a.Address, p.buildRequest(a.Requests))
+	return issuerResult{a, answer, err}
 }
 
-// workspaceRequest is the message of asks for permits of workspaces.
+// workspaceRequest returns the message of permit requests for workspaces.
 func (d *Daemon) workspaceRequest(asks []quota.SubjectRequest) *wire.PermitRequest {
 	r := &wire.PermitRequest{Number: d.documentNumber()}
 	for _, one := range asks {
@@ -193,17 +194,18 @@
 	return r
 }
 
-func (p *permits) settle(e endedAsk) {
-	p.answered(e.asks, e.err)
+// handleResult adds the granted permits to the cache and wakes the waiting requests.
+func (p *permits) handleResult(e issuerResult) {
+	p.onResult(e.asks, e.err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer p.tellLocked()
+	defer p.notifyWaitersLocked()
 	if e.err != nil {
-		p.stock.HandleFailure(p.clock.Now(), e.asks)
+		p.cache.HandleFailure(p.clock.Now(), e.asks)
 		return
 	}
 	if e.answer.GetBehind() {
-		p.stock.HandleStale(p.clock.Now(), e.asks)
+		p.cache.HandleStale(p.clock.Now(), e.asks)
 		return
 	}
 	grants := make([]quota.Grant, 0, len(e.answer.GetGrants()))
@@ -213,45 +215,46 @@
 			TTL: time.Duration(g.LifeMilli) * time.Millisecond, RetryAfter: time.Duration(g.WaitMilli) * time.Millisecond,
 		})
 	}
-	p.stock.HandleGrants(p.clock.Now(), e.asks, grants)
+	p.cache.HandleGrants(p.clock.Now(), e.asks, grants)
 }
 
-// tell has waiting requests look again.
-func (p *permits) tell() {
+// notifyWaiters wakes the waiting requests.
+func (p *permits) notifyWaiters() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tellLocked()
+	p.notifyWaitersLocked()
 }
 
-func (p *permits) tellLocked() {
+func (p *permits) notifyWaitersLocked() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// forget drops what is known of workspaces without requests.
-func (p *permits) forget(now time.Time) {
+// prune drops workspaces and targets without recent requests.
+func (p *permits) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stock.RemoveIdle(now)
+	p.cache.RemoveIdle(now)
 }
 
+// documentNumber returns the number of the active routes document, zero for none.
 func (d *Daemon) documentNumber() uint64 {
-	if rules := d.rules.Load(); rules != nil {
-		return rules.document.Number
+	if routing := d.routing.Load(); routing != nil {
+		return routing.document.Number
 	}
 	return 0
 }
 
-// recordPermits counts an ask that has ended. Why it was not answered is told once,
-// until the replica answers again.
-func (d *Daemon) recordPermits(a quota.IssuerCall, err error) {
-	d.metrics.permitAsks.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
-	if !d.permitWord.note(a.Address, err == nil) {
+// recordPermitCall counts an issuer call that has ended. A failure is logged once, until the
+// replica answers again.
+func (d *Daemon) recordPermitCall(a quota.IssuerCall, err error) {
+	d.metrics.permitCalls.WithLabelValues(strconv.FormatBool(err == nil)).Inc()
+	if !d.permitReachability.record(a.Address, err == nil) {
 		return
 	}
 	if err != nil {
-		d.log.Warn().Str("kind", "permits").Str("address", a.Address).Err(err).Msg("a control replica issues no permits")
+		d.log.Warn().Str("kind", "permits").Str("address", a.Address).Err(err).Msg("control replica issues no permits")
 		return
 	}
-	d.log.Info().Str("kind", "permits").Str("address", a.Address).Msg("a control replica issues permits again")
+	d.log.Info().Str("kind", "permits").Str("address", a.Address).Msg("control replica issues permits again")
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// contactTime is within how long all boxes must know of a request that has ended
-	// three targets, and retriesAfter how many more it may reach later than that.
-	contactTime  = 3 * time.Second
-	retriesAfter = 3
+	// maxSpreadTime is the time in which all boxes must learn of a request that has crashed three
+	// targets, and maxLateRetries how many more targets it may reach after that.
+	maxSpreadTime  = 3 * time.Second
+	maxLateRetries = 3
 )
 
-// mortals are targets that end while they run a request of /…/fatal and answer all
-// others. A target that has ended refuses connections.
-type mortals struct {
-	scene *scene
-	// reached is when the fatal request reached a target.
+// crashingTargets are targets that crash while they run a request with n=fatal and respond to all
+// others. A target that has crashed refuses connections.
+type crashingTargets struct {
+	rig *rig
+	// reached gets a time whenever the fatal request reaches a target.
 	reached chan time.Time
 	ended   []atomic.Bool
 }
 
-func newMortals(t *testing.T, targets int) *mortals {
+func newCrashingTargets(t *testing.T, targets int) *crashingTargets {
 	t.Helper()
-	m := &mortals{scene: newScene(t, testConfig(), targets), reached: make(chan time.Time, 1000), ended: make([]atomic.Bool, targets)}
+	m := &crashingTargets{rig: newRig(t, testConfig(), targets), reached: make(chan time.Time, 1000), ended: make([]atomic.Bool, targets)}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	own := m.scene.daemon.isolation // a test may put another in its place
-	go func() { ended <- own.Run(ctx) }()
+	original := m.rig.daemon.isolation // a test may replace it
+	go func() { ended <- original.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
 	})
-	for i, one := range m.scene.targets {
-		one.script = func(_ int, r *http.Request, c net.Conn) bool { return m.play(i, r, c) }
+	for i, one := range m.rig.targets {
+		one.script = func(_ int, r *http.Request, c net.Conn) bool { return m.serve(i, r, c) }
 	}
-	dial := m.scene.daemon.connections.dial
-	m.scene.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+	dial := m.rig.daemon.connections.dial
+	m.rig.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		var n int
 		if _, err := fmt.Sscan(address, &n); err != nil {
 			return nil, err
@@ -57,10 +57,10 @@
 	return m
 }
 
-func (m *mortals) play(i int, r *http.Request, c net.Conn) bool {
+func (m *crashingTargets) serve(i int, r *http.Request, c net.Conn) bool {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.URL.Query().Get("n") != "fatal" {
-		answerWith(c, r.Header.Get("Test-Id"), "hello")
+		writeResponse(c, r.Header.Get("Test-Id"), "hello")
 		return true
 	}
 	m.reached <- time.Now()
@@ -69,20 +69,20 @@
 	return false
 }
 
-// A request that ends each target that runs it came again at any box, with another id
-// each time, and was sent to two targets at each arrival: 59 targets ended in some
-// seconds, and a tenth of all other requests was not served. A box booked each failure
-// to the target that broke off and knew nothing of the request any more when it came
-// again. In the run below 20 arrivals reached 40 targets.
+// Guards against a request that crashes each target that runs it and is sent again and again. Such
+// a request came to any box, with a new id each time, and was sent to two targets each time: 59
+// targets crashed within seconds, and a tenth of all other requests failed. Each box attributed the
+// failure to the target and forgot the request. Before the quarantine, the 20 requests below
+// reached 40 targets.
 func TestRequestThatEndsItsTargetsIsHeld(t *testing.T) {
 	for _, route := range []string{"long", "once", "single"} {
 		t.Run(route, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				m := newMortals(t, 60)
+				m := newCrashingTargets(t, 60)
 				for range 20 {
-					got := m.scene.ask(context.Background(), "/"+route+"/x?n=fatal", "body")
+					got := m.rig.send(context.Background(), "/"+route+"/x?n=fatal", "body")
 					if got.status == http.StatusOK {
-						t.Fatalf("answered with %d", got.status)
+						t.Fatalf("got status %d", got.status)
 					}
 					time.Sleep(time.Second)
 				}
@@ -93,9 +93,9 @@
 	}
 }
 
-// wantFewRetries checks how often the fatal request reached targets later than
-// contactTime after it had ended the third.
-func (m *mortals) wantFewRetries(t *testing.T) {
+// wantFewRetries checks how often the fatal request reached targets later than maxSpreadTime after
+// it had crashed the third one.
+func (m *crashingTargets) wantFewRetries(t *testing.T) {
 	t.Helper()
 	close(m.reached)
 	var all []time.Time
@@ -103,15 +103,15 @@
 		all = append(all, at)
 	}
 	if len(all) < 3 {
-		t.Fatalf("the request reached %d targets; it was not tried enough to tell", len(all))
+		t.Fatalf("the request reached %d targets; want at least 3 for this test", len(all))
 	}
 	late := 0
 	for _, at := range all {
-		if at.After(all[2].Add(contactTime)) {
+		if at.After(all[2].Add(maxSpreadTime)) {
 			late++
 		}
 	}
-	if late > retriesAfter {
-		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want %d at most", len(all), late, contactTime, retriesAfter)
+	if late > maxLateRetries {
+		t.Fatalf("the request reached %d targets, %d of them later than %s after the third, want at most %d", len(all), late, maxSpreadTime, maxLateRetries)
 	}
 }
--- a/internal/gateway/replaced_bench_test.go
+++ b/internal/gateway/replaced_bench_test.go
@@ -10,17 +10,17 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// BenchmarkTargetsReplaced is what an update costs a box in which ten targets each
-// join, drain or leave, from the update to the targets in force.
+// BenchmarkTargetsReplaced measures an update in which ten targets each join, drain or leave, from
+// its receipt until the targets are applied.
 func BenchmarkTargetsReplaced(b *testing.B) {
 	for _, n := range []int{400, 1356, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
-			d := newSteered(b, io.Discard, testRoutes)
+			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
 			s := steering.State{}
 			for i := range n {
 				s = withTarget(s, fmt.Sprint("i", i), false)
 			}
-			d.putInForce(s, nil)
+			d.applyState(s, nil)
 			next, oldest := n, 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -40,7 +40,7 @@
 					b.Fatal(err)
 				}
 				s = after
-				d.putInForce(s, commands)
+				d.applyState(s, commands)
 			}
 		})
 	}
--- a/internal/gateway/reports.go
+++ b/internal/gateway/reports.go
@@ -9,27 +9,27 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// endedReport tells that a report to a replica has ended, and how.
-type endedReport struct {
+// reportResult is the result of a report to a replica.
+type reportResult struct {
 	address string
 	err     error
 }
 
-// report tells every control replica that this box serves, each at its own
-// times.
-func (d *Daemon) report(ctx context.Context) error {
+// sendReports reports to every control replica that this box serves, on a schedule of its own for
+// each.
+func (d *Daemon) sendReports(ctx context.Context) error {
 	schedule := lookup.NewReportSchedule()
-	ended := make(chan endedReport)
+	ended := make(chan reportResult)
 	var running sync.WaitGroup
 	defer running.Wait()
 	for {
 		now := d.clock.Now()
 		schedule.SetInterval(lookup.ReportInterval(d.boxCount()))
-		schedule.SetReplicas(now, d.controls.all())
+		schedule.SetReplicas(now, d.controlReplicas.all())
 		due, next := schedule.Due(now)
 		for _, address := range due {
 			running.Go(func() {
-				end := endedReport{address, d.reportTo(ctx, address)}
+				end := reportResult{address, d.reportTo(ctx, address)}
 				select {
 				case ended <- end:
 				case <-ctx.Done():
@@ -54,55 +54,55 @@
 	}
 }
 
-// reportsChanged has the reports told at once: what they say or the replicas
-// that they go to have changed.
-func (d *Daemon) reportsChanged() {
+// triggerReport sends the reports at once, because their content or the replicas that get them have
+// changed.
+func (d *Daemon) triggerReport() {
 	select {
 	case d.reportDue <- struct{}{}:
 	default:
 	}
 }
 
-// boxCount returns how many entry boxes serve as far as is known.
+// boxCount returns the number of known entry boxes that serve.
 func (d *Daemon) boxCount() int {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
-	return d.balancing.boxes
+	return d.balancing.boxCount
 }
 
-// reportToAll reports outside the usual times and waits until all replicas have
-// answered or their time is over.
+// reportToAll sends a report to all replicas outside the schedule and waits until they have
+// answered or timed out.
 func (d *Daemon) reportToAll(ctx context.Context) {
 	var running sync.WaitGroup
-	for _, address := range d.controls.all() {
-		running.Go(func() { _ = d.reportTo(ctx, address) }) // noted there; the usual reports follow
+	for _, address := range d.controlReplicas.all() {
+		running.Go(func() { _ = d.reportTo(ctx, address) }) // failures are logged by reportTo; scheduled reports follow
 	}
 	running.Wait()
 }
 
-// reportTo tells one replica that this box serves.
+// reportTo reports to one replica that this box serves.
 func (d *Daemon) reportTo(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, controlCallTimeout)
 	defer cancel()
-	request := &wire.CallRequest{Report: &wire.Report{Boxes: []*wire.BoxReport{d.ownReport()}, Limits: d.targetLimits.pendingReports()}}
+	request := &wire.CallRequest{Report: &wire.Report{Boxes: []*wire.BoxReport{d.boxReport()}, Limits: d.targetLimits.pendingReports()}}
 	_, err := d.node.Call(ctx, address, request)
-	d.recordControl(address, err)
+	d.recordControlCall(address, err)
 	return err
 }
 
-// ownReport is what this box says of itself.
-func (d *Daemon) ownReport() *wire.BoxReport {
+// boxReport returns this box's report of itself.
+func (d *Daemon) boxReport() *wire.BoxReport {
 	report := &wire.BoxReport{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
 		Zone:        d.config.Zone,
 		Region:      d.config.Region,
-		Address:     d.config.Peers,
+		Address:     d.config.PeerAddress,
 		Stopping:    d.stopping.Load(),
 	}
-	if rules := d.rules.Load(); rules != nil {
-		report.Version = rules.version
-		report.CallerAddress = d.config.Callers
+	if routing := d.routing.Load(); routing != nil {
+		report.Version = routing.version
+		report.CallerAddress = d.config.CallerAddress
 	}
 	return report
 }
--- a/internal/gateway/scene_test.go
+++ b/internal/gateway/rig_test.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// patience is what the balancer gives a target of these routes, which nothing
-	// is known of: three times 5/4 of the objective.
-	patience = 750 * time.Millisecond
-	// atWork is longer than the patience and ends long before the time-out.
-	atWork = 2 * time.Second
+	// hedgeDelay is the delay that the balancer chooses for a target of these routes of which it
+	// knows nothing: three times 5/4 of the objective.
+	hedgeDelay = 750 * time.Millisecond
+	// slowResponseTime is longer than the hedge delay and much shorter than the timeout.
+	slowResponseTime = 2 * time.Second
 )
 
-// patientRoutes are those of these tests: /long/ may be repeated, /once/ not,
-// and /single/ has one attempt.
-func patientRoutes([]byte) (catalog.Document, error) {
+// hedgedRoutes has the route /long/, whose requests may be repeated, /once/, whose may not, and
+// /single/, which allows one attempt.
+func hedgedRoutes([]byte) (catalog.Document, error) {
 	route := func(name string, repeat catalog.Repeat, attempts int) catalog.Route {
 		return catalog.Route{
 			Name: name, Prefix: "/" + name + "/", Repeat: repeat, Objective: 200 * time.Millisecond, Timeout: 5 * time.Second,
@@ -42,32 +42,31 @@
 	}, nil
 }
 
-// script is what a target does with a request; it returns whether the connection
-// is kept.
+// script is how a target responds to a request; it returns whether the connection is kept.
 type script func(r *http.Request, c net.Conn) bool
 
-// scene is a box in virtual time with targets behind a network in memory. The
-// n-th request that reaches any target gets the n-th script; one more gets no answer.
-type scene struct {
+// rig is a box in virtual time with targets on an in-memory network. The n-th request that reaches
+// any target gets the n-th script; any further request gets no response.
+type rig struct {
 	daemon  *Daemon
 	targets []*target
 	scripts chan script
-	// reached are the targets in the order in which requests reached them, and
-	// ended the requests whose connection ended at their target.
+	// reached are the targets in the order in which requests reached them. ended are the ids of the
+	// requests whose connection was closed while their target ran them.
 	reached chan *target
 	ended   chan string
-	// key is the key that requests carry; empty for none.
+	// key is the workspace key of the requests; empty for none.
 	key string
 }
 
-func newScene(t *testing.T, config Config, targets int) *scene {
+func newRig(t *testing.T, config Config, targets int) *rig {
 	t.Helper()
-	config.DecodeRoutes = patientRoutes
-	s := &scene{reached: make(chan *target, 8), ended: make(chan string, 8)}
+	config.DecodeRoutes = hedgedRoutes
+	s := &rig{reached: make(chan *target, 8), ended: make(chan string, 8)}
 	addresses := make([]string, 0, targets)
 	for i := range targets {
 		one := &target{}
-		one.script = func(_ int, r *http.Request, c net.Conn) bool { return s.play(one, r, c) }
+		one.script = func(_ int, r *http.Request, c net.Conn) bool { return s.runScript(one, r, c) }
 		s.targets = append(s.targets, one)
 		addresses = append(addresses, fmt.Sprint(i))
 	}
@@ -84,20 +83,20 @@
 	}
 	t.Cleanup(func() {
 		s.daemon.connections.close()
-		_ = s.daemon.callers.listener.Close()
-		_ = s.daemon.ready.Close()
+		_ = s.daemon.callerServer.listener.Close()
+		_ = s.daemon.readyListener.Close()
 	})
 	return s
 }
 
-func (s *scene) play(at *target, r *http.Request, c net.Conn) bool {
+func (s *rig) runScript(at *target, r *http.Request, c net.Conn) bool {
 	s.reached <- at
 	_, _ = io.Copy(io.Discard, r.Body)
 	next, ok := <-s.scripts
 	return ok && next(r, c)
 }
 
-// scripts returns what targets do with the requests that reach them, in order.
+// scripts returns the scripts for the requests that reach targets, in order.
 func scripts(list ...script) chan script {
 	out := make(chan script, len(list))
 	for _, s := range list {
@@ -107,20 +106,19 @@
 	return out
 }
 
-// answers works for a time, then answers with a body, unless its connection ends
-// before.
-func (s *scene) answers(after time.Duration, body string) script {
+// responds responds with a body after some time, unless the connection closes before.
+func (s *rig) responds(after time.Duration, body string) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
 		}
-		answerWith(c, r.Header.Get("Test-Id"), body)
+		writeResponse(c, r.Header.Get("Test-Id"), body)
 		return true
 	}
 }
 
-// status answers with a status after a time.
-func (s *scene) status(after time.Duration, code int) script {
+// respondsStatus responds with a status after some time.
+func (s *rig) respondsStatus(after time.Duration, code int) script {
 	return func(r *http.Request, c net.Conn) bool {
 		if s.endsWithin(after, r, c) {
 			return false
@@ -130,25 +128,25 @@
 	}
 }
 
-// silent never answers.
-func (s *scene) silent() script {
+// silent never responds.
+func (s *rig) silent() script {
 	return func(r *http.Request, c net.Conn) bool { return !s.endsWithin(time.Hour, r, c) }
 }
 
-func (s *scene) turnsAway() script {
-	return func(r *http.Request, c net.Conn) bool { return turnAway(0, r, c) }
+func (s *rig) rejects() script {
+	return func(r *http.Request, c net.Conn) bool { return rejectNotRun(0, r, c) }
 }
 
-// breaks ends the connection after a time.
-func (s *scene) breaks(after time.Duration) script {
+// breaks closes the connection after some time.
+func (s *rig) breaks(after time.Duration) script {
 	return func(r *http.Request, c net.Conn) bool {
 		s.endsWithin(after, r, c)
 		return false
 	}
 }
 
-// endsWithin reports whether the connection ends within a time.
-func (s *scene) endsWithin(d time.Duration, r *http.Request, c net.Conn) bool {
+// endsWithin reports whether the connection closes within a time.
+func (s *rig) endsWithin(d time.Duration, r *http.Request, c net.Conn) bool {
 	_ = c.SetReadDeadline(time.Now().Add(d))
 	_, err := c.Read(make([]byte, 1))
 	_ = c.SetReadDeadline(time.Time{})
@@ -159,7 +157,7 @@
 	return true
 }
 
-// result is what a caller got, and after how long.
+// result is the response that a caller got, and how long it took.
 type result struct {
 	status int
 	header http.Header
@@ -167,8 +165,8 @@
 	took   time.Duration
 }
 
-// ask sends a request; its caller waits for 5 s.
-func (s *scene) ask(ctx context.Context, path, body string) result {
+// send sends a request of a caller that waits for 5 s.
+func (s *rig) send(ctx context.Context, path, body string) result {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	r.Host = "a.example"
 	r.Header.Set("Test-Id", "id1")
@@ -182,7 +180,7 @@
 	return result{status: w.Code, header: w.Header(), body: w.Body.String(), took: time.Since(began)}
 }
 
-func (s *scene) wantAnswer(t *testing.T, got result, body string, took time.Duration) {
+func (s *rig) wantResponse(t *testing.T, got result, body string, took time.Duration) {
 	t.Helper()
 	if got.status != http.StatusOK || got.body != body {
 		t.Fatalf("got %d %q after %s, want %q", got.status, got.body, got.took, body)
@@ -192,13 +190,13 @@
 	}
 }
 
-// wantSettled checks that as many requests reached targets, each another one,
-// that as many connections ended there, and that the balancer counts none.
-func (s *scene) wantSettled(t *testing.T, reached, ended int) {
+// wantAttempts checks how many requests reached targets, each a different one, and how many
+// connections were closed at targets, and that the balancer counts no request in flight.
+func (s *rig) wantAttempts(t *testing.T, reached, ended int) {
 	t.Helper()
 	synctest.Wait()
 	if len(s.reached) != reached || len(s.ended) != ended {
-		t.Fatalf("%d requests reached targets and %d connections ended there, want %d and %d", len(s.reached), len(s.ended), reached, ended)
+		t.Fatalf("%d requests reached targets and %d connections closed there, want %d and %d", len(s.reached), len(s.ended), reached, ended)
 	}
 	seen := make(map[*target]bool)
 	for range reached {
@@ -208,23 +206,23 @@
 		}
 		seen[at] = true
 	}
-	s.wantNoneCounted(t)
+	s.wantNoneInFlight(t)
 }
 
-// wantNoneCounted checks that the balancer counts no request at any target. What
-// targets told of their load is forgotten before, and none is left out by then
-// unless a request counts as being there.
-func (s *scene) wantNoneCounted(t *testing.T) {
+// wantNoneInFlight checks that the balancer counts no request in flight at any target. After a
+// minute it has dropped the load that targets reported, and a target is still ejected only if a
+// request counts as in flight there.
+func (s *rig) wantNoneInFlight(t *testing.T) {
 	t.Helper()
 	time.Sleep(time.Minute)
 	var tried []string
 	for range s.targets {
 		c, err := s.daemon.choose(balance.Request{Service: "s", Route: "count", Objective: time.Hour, Remaining: time.Hour, Tried: tried})
 		if err != nil {
-			t.Fatalf("a target is left out: %v", err)
+			t.Fatalf("a target is ejected: %v", err)
 		}
 		if c.Load > 0.01 {
-			t.Fatalf("the balancer counts %v requests that have ended", c.Load)
+			t.Fatalf("the balancer still counts a load of %v", c.Load)
 		}
 		tried = append(tried, c.Target.ID)
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,46 +9,47 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// putInForce takes the next state from control.
-func (d *Daemon) putInForce(s steering.State, _ []*wire.Command) {
+// applyState applies the next state from control.
+func (d *Daemon) applyState(s steering.State, _ []*wire.Command) {
 	c := s.Catalog()
-	// Before the routes: a box that starts takes no request without the list.
-	if before := d.steered; before == nil && len(c.Quarantined()) > 0 || before != nil && !c.SharesQuarantined(*before) {
-		d.putQuarantine(c.Quarantined(), s.Version())
+	// Before the routes: a box that starts accepts no request until it has the quarantine list.
+	if previous := d.lastState; previous == nil && len(c.Quarantined()) > 0 || previous != nil && !c.SharesQuarantined(*previous) {
+		d.applyQuarantine(c.Quarantined(), s.Version())
 	}
-	d.putRoutes(c, s.Version())
-	d.putTargets(c, s.Version())
+	d.applyRoutes(c, s.Version())
+	d.applyTargets(c, s.Version())
 }
 
-func (d *Daemon) putRoutes(c catalog.State, version uint64) {
+// applyRoutes applies the routes document of a state unless it is active already.
+func (d *Daemon) applyRoutes(c catalog.State, version uint64) {
 	text := c.Document()
 	if text == nil {
 		return
 	}
-	before := d.rules.Load()
-	if before != nil && before.document.Number == text.Number {
-		d.rules.Store(&inForce{document: before.document, table: before.table, keys: before.keys, version: version})
+	previous := d.routing.Load()
+	if previous != nil && previous.document.Number == text.Number {
+		d.routing.Store(&routing{document: previous.document, table: previous.table, keys: previous.keys, version: version})
 		return
 	}
 	document, err := d.config.DecodeRoutes(text.Text)
 	if err != nil {
-		d.log.Error().Str("kind", "routes").Uint64("number", text.Number).Err(err).Msg("can't read the document of routes; the one before stays in force")
+		d.log.Error().Str("kind", "routes").Uint64("number", text.Number).Err(err).Msg("can't decode the routes document; the previous one stays active")
 		return
 	}
-	next := &inForce{document: document, table: catalog.NewTable(document), keys: catalog.NewKeyTable(document), version: version}
-	d.setCold(document.Services)
-	d.longAnswers.assumeLong(downloads(document))
-	d.rules.Store(next)
-	d.forgetRoutes(document)
-	if before == nil {
-		d.reportsChanged() // from now on it serves
+	next := &routing{document: document, table: catalog.NewTable(document), keys: catalog.NewKeyTable(document), version: version}
+	d.setColdLimits(document.Services)
+	d.linkQueue.assumeLarge(downloadRoutes(document))
+	d.routing.Store(next)
+	d.pruneRoutes(document)
+	if previous == nil {
+		d.triggerReport() // the box serves from now on
 	}
 	d.log.Info().Str("kind", "routes").Uint64("number", document.Number).Uint64("stateVersion", version).
-		Dur("controlAge", d.following.ControlAge()).Msg("document of routes in force")
+		Dur("controlAge", d.follower.ControlAge()).Msg("routes document applied")
 }
 
-// downloads returns the names of the routes whose answers are large.
-func downloads(document catalog.Document) (names []string) {
+// downloadRoutes returns the names of the routes whose responses are large.
+func downloadRoutes(document catalog.Document) (names []string) {
 	for _, h := range document.Hosts {
 		for _, r := range h.Routes {
 			if r.Repeat == catalog.Download {
@@ -59,7 +60,7 @@
 	return names
 }
 
-func (d *Daemon) setCold(services []catalog.Service) {
+func (d *Daemon) setColdLimits(services []catalog.Service) {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	for _, s := range services {
@@ -67,30 +68,30 @@
 	}
 }
 
-// putTargets takes the targets and evacuations unless they are in force, and of the
-// targets those that changed: requests wait meanwhile, and a box hears of tens of states a
-// second while targets are replaced.
-func (d *Daemon) putTargets(c catalog.State, version uint64) {
-	var before catalog.State
-	if d.steered != nil {
-		before = *d.steered
+// applyTargets applies the targets and evacuations if they have changed, and only the targets that
+// changed: requests wait for the lock meanwhile, and while targets are replaced a box receives tens
+// of states a second.
+func (d *Daemon) applyTargets(c catalog.State, version uint64) {
+	var previous catalog.State
+	if d.lastState != nil {
+		previous = *d.lastState
 	}
-	known := d.steered != nil && c.SharesTargets(before)
-	d.steered = &c // also if known, so that no earlier document is kept in memory
-	if known {
+	unchanged := d.lastState != nil && c.SharesTargets(previous)
+	d.lastState = &c // also if unchanged, so that no earlier document is kept in memory
+	if unchanged {
 		d.balancing.Lock()
 		d.balancing.balancer.SetVersion(version)
 		d.balancing.Unlock()
 		return
 	}
-	registrations, ended := c.TargetsSince(before)
+	registrations, ended := c.TargetsSince(previous)
 	changed := make([]balance.Target, 0, len(registrations))
 	for _, r := range registrations {
-		changed = append(changed, d.target(r))
+		changed = append(changed, d.balanceTarget(r))
 	}
 	now := d.clock.Now()
 	d.balancing.Lock()
-	d.balancing.balancer.ChangeTargets(now, changed, names(ended))
+	d.balancing.balancer.ChangeTargets(now, changed, incarnationNames(ended))
 	d.balancing.balancer.SetEvacuated(now, c.Evacuated())
 	d.balancing.balancer.SetVersion(version)
 	for _, t := range changed {
@@ -100,12 +101,12 @@
 		}
 	}
 	d.balancing.Unlock()
-	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", draining(c.Targets())).
+	d.log.Info().Str("kind", "targets").Int("targets", len(c.Targets())).Int("draining", countDraining(c.Targets())).
 		Int("changed", len(changed)).Int("ended", len(ended)).Strs("evacuated", c.Evacuated()).
-		Uint64("stateVersion", version).Dur("controlAge", d.following.ControlAge()).Msg("targets in force")
+		Uint64("stateVersion", version).Dur("controlAge", d.follower.ControlAge()).Msg("targets applied")
 }
 
-func (d *Daemon) target(r *wire.Registration) balance.Target {
+func (d *Daemon) balanceTarget(r *wire.Registration) balance.Target {
 	return balance.Target{
 		ID:            catalog.IncarnationOf(r).String(),
 		Name:          r.Id,
@@ -120,7 +121,7 @@
 	}
 }
 
-func names(list []catalog.Incarnation) []string {
+func incarnationNames(list []catalog.Incarnation) []string {
 	out := make([]string, 0, len(list))
 	for _, l := range list {
 		out = append(out, l.String())
@@ -128,7 +129,7 @@
 	return out
 }
 
-func draining(list []*wire.Registration) (n int) {
+func countDraining(list []*wire.Registration) (n int) {
 	for _, r := range list {
 		if r.Draining {
 			n++
@@ -137,22 +138,22 @@
 	return n
 }
 
-// knows reports whether a target is registered.
-func (d *Daemon) knows(target string) bool {
+// isRegistered reports whether a target is registered.
+func (d *Daemon) isRegistered(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return d.balancing.balancer.HasTarget(target)
 }
 
-// isLeaving reports whether a target is to end, or has ended, as planned.
+// isLeaving reports whether a target is shutting down, or has shut down, as planned.
 func (d *Daemon) isLeaving(target string) bool {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	return d.balancing.balancer.IsLeaving(target)
 }
 
-// setBoxes takes the entry boxes that serve.
-func (d *Daemon) setBoxes(boxes []*wire.EntryBox) {
+// setEntryBoxes sets the entry boxes that serve.
+func (d *Daemon) setEntryBoxes(boxes []*wire.EntryBox) {
 	out := make([]balance.Box, 0, len(boxes))
 	names := make([]string, 0, len(boxes))
 	for _, b := range boxes {
@@ -162,9 +163,9 @@
 	d.targetLimits.setBoxes(names)
 	d.balancing.Lock()
 	d.balancing.balancer.SetBoxes(out)
-	d.balancing.boxes = len(out)
+	d.balancing.boxCount = len(out)
 	d.balancing.Unlock()
-	d.log.Info().Str("kind", "entryBoxes").Int("boxes", len(out)).Msg("entry boxes that serve")
+	d.log.Info().Str("kind", "entryBoxes").Int("boxes", len(out)).Msg("entry boxes updated")
 }
 
 func (d *Daemon) choose(r balance.Request) (balance.Choice, error) {
@@ -173,34 +174,35 @@
 	return d.balancing.balancer.Choose(d.clock.Now(), r)
 }
 
-func (d *Daemon) done(r balance.Report) {
+// recordOutcome counts the outcome of an attempt and reports it to the balancer.
+func (d *Daemon) recordOutcome(r balance.Report) {
 	d.metrics.attempts.WithLabelValues(r.Outcome.String()).Inc()
 	d.balancing.Lock()
 	change := d.balancing.balancer.Done(d.clock.Now(), r)
 	d.balancing.Unlock()
-	d.logTarget(change, r)
+	d.logTargetChange(change, r)
 }
 
-// overdue tells the balancer of a request whose target has not answered for longer
-// than it is waited for; the request stays under way.
-func (d *Daemon) overdue(r balance.Report) {
+// reportOverdue tells the balancer that a target has not responded within the hedge delay. The
+// request stays in flight.
+func (d *Daemon) reportOverdue(r balance.Report) {
 	d.balancing.Lock()
 	change := d.balancing.balancer.MarkOverdue(d.clock.Now(), r)
 	d.balancing.Unlock()
-	d.logTarget(change, r)
+	d.logTargetChange(change, r)
 }
 
-// logTarget tells that a target was lost or is back.
-func (d *Daemon) logTarget(change balance.Change, r balance.Report) {
-	if change == balance.Unchanged || !d.otherLines.Allow(d.clock.Now()) {
+// logTargetChange logs that a target was ejected or readmitted.
+func (d *Daemon) logTargetChange(change balance.Change, r balance.Report) {
+	if change == balance.Unchanged || !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "target").Str("target", r.TargetID).Str("outcome", r.Outcome.String()).Dur("took", r.Took)
 	if change == balance.Ejected {
-		line.Msg("target is left out for a while")
+		line.Msg("target ejected")
 		return
 	}
-	line.Msg("target answers again")
+	line.Msg("target readmitted")
 }
 
 func (d *Daemon) setColdLeft(target string, left time.Duration) {
@@ -209,7 +211,7 @@
 	d.balancing.balancer.SetColdRemaining(d.clock.Now(), target, left)
 }
 
-// retryAfter is when a request that a target did not run may come back.
+// retryAfter returns when a request that a target did not run may be sent again.
 func (d *Daemon) retryAfter(target, route string) time.Duration {
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
@@ -217,23 +219,23 @@
 }
 
 const (
-	// routesTime is how long after its start a box usually has routes: 0.6 s
-	// where control starts with it, most of it until a leader is elected.
-	routesTime = 700 * time.Millisecond
-	// routesOverdue is what a caller is told to wait once that time is over.
-	routesOverdue = 250 * time.Millisecond
-	// longestRoutesWait bounds what is told to callers of an unknown route, who wait
-	// for as long again as control has been silent; a cut may last for minutes.
-	longestRoutesWait = 5 * time.Second
-	// leastRoutesWait bounds what is told before.
-	leastRoutesWait = 50 * time.Millisecond
+	// usualRoutesDelay is how long after its start a box usually has routes: 0.6 s when control
+	// starts at the same time, most of it until a leader is elected.
+	usualRoutesDelay = 700 * time.Millisecond
+	// overdueRoutesRetryAfter is the Retry-After once that time has passed.
+	overdueRoutesRetryAfter = 250 * time.Millisecond
+	// maxRoutesRetryAfter bounds the Retry-After for unknown routes, which is otherwise the time since
+	// the last contact with control: a partition may last for minutes.
+	maxRoutesRetryAfter = 5 * time.Second
+	// minRetryAfter is the minimum Retry-After while there are no routes or no permits.
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// untilRoutes is when a caller may come back to a box that has no routes yet.
-func (d *Daemon) untilRoutes() time.Duration {
-	left := routesTime - d.clock.Since(d.started)
-	if left < 0 {
-		return routesOverdue
+// routesRetryAfter returns the Retry-After of a box that has no routes yet.
+func (d *Daemon) routesRetryAfter() time.Duration {
+	remaining := usualRoutesDelay - d.clock.Since(d.started)
+	if remaining < 0 {
+		return overdueRoutesRetryAfter
 	}
-	return max(left, leastRoutesWait)
+	return max(remaining, minRetryAfter)
 }
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -18,59 +18,60 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// suspensions lets a test suspend the machine.
-func suspensions(t *testing.T) (suspend func(time.Duration)) {
+// simulateSuspension returns a function that suspends the machine.
+func simulateSuspension(t *testing.T) (suspend func(time.Duration)) {
 	t.Helper()
 	var asleep atomic.Int64
 	t.Cleanup(boottime.Simulate(func() time.Duration { return time.Duration(asleep.Load()) }))
 	return func(d time.Duration) { asleep.Add(int64(d)) }
 }
 
-// Guards against what ran out while the machine was suspended and still counts after.
-// A permit of a window that is over would count in two windows.
+// The tests below guard against using what expired while the machine was suspended. A permit of a
+// window that has passed would count in two windows.
 func TestPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, r := limitedScene(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.turnsAway(), s.answers(0, "old"))
-		// The target turned it away, so that its permit is in stock again.
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
+		suspend := simulateSuspension(t)
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
+		s.scripts = scripts(s.rejects(), s.responds(0, "old"))
+		// The target rejects it, so that its permit is cached again.
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusServiceUnavailable)
 		suspend(5 * time.Second)
-		wantRefusal(t, s.ask(t.Context(), "/once/", ""), http.StatusTooManyRequests)
+		wantRefusal(t, s.send(t.Context(), "/once/", ""), http.StatusTooManyRequests)
 		if n := r.issued(1); n != 1 {
 			t.Fatalf("%d permits were issued", n)
 		}
 	})
 }
 
-// A target closes what rests longer than it told; a request sent on it then may be lost.
+// A target closes connections that are idle for longer than it declared; a request sent on one then
+// may be lost.
 func TestIdleConnectionIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(0, "first"), s.answers(0, "second"), s.answers(0, "third"))
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "first", 0)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "second", 0)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
+		s.scripts = scripts(s.responds(0, "first"), s.responds(0, "second"), s.responds(0, "third"))
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "first", 0)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "second", 0)
 		if n := s.targets[0].conns.Load(); n != 1 {
 			t.Fatalf("%d connections before the suspension", n)
 		}
-		suspend(defaultIdle)
-		s.wantAnswer(t, s.ask(t.Context(), "/long/", ""), "third", 0)
+		suspend(defaultKeepAlive)
+		s.wantResponse(t, s.send(t.Context(), "/long/", ""), "third", 0)
 		if n := s.targets[0].conns.Load(); n != 2 {
 			t.Fatalf("%d connections after the suspension, want a new one", n)
 		}
 	})
 }
 
-// What a box earned of retries before belongs to a window that is over.
+// Retries earned before the suspension belong to a window that has passed.
 func TestRetriesEarnedBeforeASuspensionHaveExpired(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
+		suspend := simulateSuspension(t)
 		config := testConfig()
 		config.RetryShare, config.RetryExtra = 1, 0
-		s := newScene(t, config, 2)
+		s := newRig(t, config, 2)
 		for range 4 {
-			s.daemon.countFirst("s")
+			s.daemon.recordFirstAttempt("s")
 		}
 		if !s.daemon.allowsRetry("s") {
 			t.Fatal("no retry is allowed before the suspension")
@@ -82,17 +83,17 @@
 	})
 }
 
-// A request whose caller's time is over is not sent on.
+// A request whose deadline has passed is not sent to another target.
 func TestRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 2)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(func(*http.Request, net.Conn) bool {
 			suspend(10 * time.Second)
-			return false // the first target breaks off as the machine wakes
-		}, s.answers(0, "late"))
-		if got := s.ask(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout {
-			t.Fatalf("got %d %q, want a time out", got.status, got.body)
+			return false // the first attempt breaks as the machine wakes up
+		}, s.responds(0, "late"))
+		if got := s.send(t.Context(), "/long/", ""); got.status != http.StatusGatewayTimeout {
+			t.Fatalf("got %d %q, want a timeout", got.status, got.body)
 		}
 		if len(s.reached) != 1 {
 			t.Fatalf("%d targets were reached", len(s.reached))
@@ -100,15 +101,15 @@
 	})
 }
 
-// A request that waits for its target when the machine is suspended is answered when it
-// wakes, not when what was left of its time by the steady clock is over.
+// A request that waits for its target when the machine is suspended is answered when the machine
+// wakes up, not after the rest of its timeout by a clock that stopped.
 func TestWaitingRequestEndsOnWaking(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
 		s.scripts = scripts(s.silent())
 		answered := make(chan result, 1)
-		go func() { answered <- s.ask(t.Context(), "/single/", "") }()
+		go func() { answered <- s.send(t.Context(), "/single/", "") }()
 		time.Sleep(time.Second)
 		suspend(10 * time.Second)
 		boottime.Now() // as the next request does
@@ -116,7 +117,7 @@
 		select {
 		case got := <-answered:
 			if got.status != http.StatusGatewayTimeout {
-				t.Fatalf("got %d %q, want a time out", got.status, got.body)
+				t.Fatalf("got %d %q, want a timeout", got.status, got.body)
 			}
 		default:
 			t.Fatal("the request still waits")
@@ -124,46 +125,46 @@
 	})
 }
 
-// wantNotSent has a request wait for its connection while something happens, and checks
-// that no target gets it and its caller is told so.
-func (s *scene) wantNotSent(t *testing.T, meanwhile func()) {
+// wantNotSent runs meanwhile while a request waits for its connection, and checks that no target
+// gets the request and that its caller is told that it has not run.
+func (s *rig) wantNotSent(t *testing.T, meanwhile func()) {
 	t.Helper()
 	dial := s.daemon.connections.dial
 	s.daemon.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		meanwhile()
 		return dial(ctx, network, address)
 	}
-	if got := s.ask(t.Context(), "/once/", ""); got.status != http.StatusServiceUnavailable {
-		t.Fatalf("got %d %q, want a word that it has not run", got.status, got.body)
+	if got := s.send(t.Context(), "/once/", ""); got.status != http.StatusServiceUnavailable {
+		t.Fatalf("got %d %q, want a refusal", got.status, got.body)
 	}
 	if len(s.reached) != 0 {
 		t.Fatalf("%d targets were reached", len(s.reached))
 	}
 }
 
-// A request whose target was chosen before the suspension, and that was not sent, is not
-// sent after its time; it has not run.
+// A request whose target was chosen before the suspension must not be sent after its deadline. It
+// has not run.
 func TestChosenRequestIsNotSentAfterItsTime(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
-		s.scripts = scripts(s.answers(0, "late"))
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
+		s.scripts = scripts(s.responds(0, "late"))
 		s.wantNotSent(t, func() { suspend(10 * time.Second) })
 	})
 }
 
-// A permit that was taken before the suspension and not used counts for a window that is
-// over: the request is not sent on it.
+// A permit that was taken before the suspension and not used belongs to a window that has passed:
+// the request must not be sent with it.
 func TestTakenPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := limitedScene(t, 1, map[string]int{"a": 1, "b": 0})
-		s.scripts = scripts(s.answers(0, "old"))
-		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's time
+		suspend := simulateSuspension(t)
+		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
+		s.scripts = scripts(s.responds(0, "old"))
+		s.wantNotSent(t, func() { suspend(2 * time.Second) }) // within the request's deadline
 	})
 }
 
-// slowBody is a body whose end comes late.
+// slowBody is a body that ends after some time.
 type slowBody struct{ wait time.Duration }
 
 // Read implements io.Reader.
@@ -172,11 +173,12 @@
 	return 0, io.EOF
 }
 
-// A body that takes longer than a permit lasts costs another permit, not the request.
+// A body that takes longer than a permit is valid costs another permit, but does not fail the
+// request.
 func TestSlowBodyGetsAnotherPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s, r := limitedScene(t, 1, map[string]int{"a": 2, "b": 0})
-		s.scripts = scripts(s.answers(0, "served"))
+		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 2, "b": 0})
+		s.scripts = scripts(s.responds(0, "served"))
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/once/", &slowBody{2 * time.Second})
 		request.Host = "a.example"
 		request.Header.Set("Test-Id", "id1")
@@ -190,99 +192,100 @@
 	})
 }
 
-// What is in stock is looked at by the clock that counts, also where nothing else looks.
+// Expiry of cached permits includes the time of a suspension, also if nothing else has read the
+// clock since.
 func TestStockIsForgottenInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := limitedScene(t, 1, map[string]int{"a": 0, "b": 0})
-		s.daemon.permits.putBack("north", boottime.Now().Add(time.Second))
+		suspend := simulateSuspension(t)
+		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 0, "b": 0})
+		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
 		suspend(2 * time.Second)
-		if until, ok := s.daemon.permits.takeNow("north"); ok {
-			t.Errorf("a permit was taken that ended %s ago", boottime.Since(until))
+		if until, ok := s.daemon.permits.tryAcquire("north"); ok {
+			t.Errorf("got a permit that expired %s ago", boottime.Since(until))
 		}
-		s.daemon.permits.putBack("north", boottime.Now().Add(time.Second))
-		if _, ok := s.daemon.permits.takeNow("north"); !ok {
-			t.Error("a permit of after the suspension was not taken")
+		s.daemon.permits.release("north", boottime.Now().Add(time.Second))
+		if _, ok := s.daemon.permits.tryAcquire("north"); !ok {
+			t.Error("a permit cached after the suspension was not used")
 		}
 	})
 }
 
-// A target that was cold when the machine was suspended is warm when it wakes after that
-// time, and an evacuation's targets are cold as long as they should from then on.
+// A target that was warming up when the machine was suspended for longer than its warm-up time is
+// warm afterwards.
 func TestColdTargetsWarmUpInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s := newScene(t, testConfig(), 1)
-		s.daemon.setCold([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
+		suspend := simulateSuspension(t)
+		s := newRig(t, testConfig(), 1)
+		s.daemon.setColdLimits([]catalog.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 0.1}})
 		s.daemon.setColdLeft("t0", 3*time.Second)
 		request := balance.Request{Service: "s", Route: "r", Objective: time.Second, Remaining: time.Second}
 		if _, err := s.daemon.choose(request); err == nil {
-			t.Fatal("a cold target without a turn was chosen")
+			t.Fatal("a target that is warming up was chosen beyond its rate")
 		}
 		suspend(4 * time.Second)
 		for range 3 {
 			if _, err := s.daemon.choose(request); err != nil {
-				t.Fatalf("after its cold time: %v", err)
+				t.Fatalf("after its warm-up: %v", err)
 			}
 		}
 	})
 }
 
-// What ended under a request after the suspension is told as what has just happened: old
-// evidence holds nothing.
+// The age of evidence recorded after a suspension does not include the suspension: evidence that
+// counts as old quarantines nothing.
 func TestEvidenceAfterASuspensionIsFresh(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		m := newMortals(t, 4)
-		told := make(chan *wire.Evidence, 100)
-		tell := m.scene.daemon.isolation
-		own := isolation.New(isolation.Config{
+		suspend := simulateSuspension(t)
+		m := newCrashingTargets(t, 4)
+		evidence := make(chan *wire.Evidence, 100)
+		original := m.rig.daemon.isolation
+		replacement := isolation.New(isolation.Config{
 			Dial: func(ctx context.Context, address string) (net.Conn, error) {
-				return m.scene.daemon.connections.dial(ctx, "tcp4", address)
+				return m.rig.daemon.connections.dial(ctx, "tcp4", address)
 			},
 			DialTimeout: time.Second, Leaving: func(string) bool { return false }, Replicas: func() []string { return []string{"a"} },
-			SendEvidence: func(_ context.Context, _ string, e *wire.Evidence) error { told <- e; return nil },
+			SendEvidence: func(_ context.Context, _ string, e *wire.Evidence) error { evidence <- e; return nil },
 			OnCrash:      func(isolation.BrokenRun) {}, OnProbe: func(isolation.ProbeResult) {},
 		})
-		m.scene.daemon.isolation = own
+		m.rig.daemon.isolation = replacement
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- own.Run(ctx) }()
+		go func() { ended <- replacement.Run(ctx) }()
 		defer func() {
 			cancel()
 			<-ended
-			m.scene.daemon.isolation = tell
+			m.rig.daemon.isolation = original
 		}()
 		suspend(20 * time.Second)
-		m.scene.ask(t.Context(), "/single/x?n=fatal", "body")
+		m.rig.send(t.Context(), "/single/x?n=fatal", "body")
 		time.Sleep(time.Second)
 		synctest.Wait()
 		select {
-		case e := <-told:
+		case e := <-evidence:
 			if len(e.Ends) != 1 || e.Ends[0].EndedAgoMilli > 1000 || e.Ends[0].BeganAgoMilli > 1000 {
-				t.Errorf("told %v", e)
+				t.Errorf("got evidence %v", e)
 			}
 		default:
-			t.Error("nothing was told")
+			t.Error("no evidence was sent")
 		}
 	})
 }
 
-// What a target told before a long suspension is no news any more, and a box without control
-// may send it what came free meanwhile.
+// Updates received before a long suspension are no longer reported, and a box without control may
+// use the capacity that was freed meanwhile.
 func TestLimitsOfTargetsAgeInASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		suspend := suspensions(t)
-		s, _ := namedScene(t, 1, map[string]int{"a": -1, "b": -1})
+		suspend := simulateSuspension(t)
+		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
 		s.daemon.targetLimits.setBoxes([]string{"box"})
-		if _, err := s.daemon.targetLimits.permit(t.Context(), "t0", targetPermitWait); err == nil {
-			t.Fatal("a permit of a limit that was just named")
+		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err == nil {
+			t.Fatal("got a permit of a limit that was just reported")
 		}
-		suspend(2 * reportTime)
-		if told := s.daemon.targetLimits.pendingReports(); len(told) > 0 {
-			t.Errorf("still tells %v", told)
+		suspend(2 * updateRepeatTime)
+		if reports := s.daemon.targetLimits.pendingReports(); len(reports) > 0 {
+			t.Errorf("still reports %v", reports)
 		}
-		if _, err := s.daemon.targetLimits.permit(t.Context(), "t0", targetPermitWait); err != nil {
+		if _, err := s.daemon.targetLimits.acquirePermit(t.Context(), "t0", targetPermitWait); err != nil {
 			t.Errorf("after the suspension: %v", err)
 		}
 	})
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -18,127 +18,129 @@
 )
 
 const (
-	// targetPermitWait bounds how long a request waits for permits of targets that name
-	// limits before it goes to others: a way between regions and back.
+	// targetPermitWait bounds how long a request waits for permits of rate-limited targets before
+	// it goes to others: a round trip between regions.
 	targetPermitWait = 100 * time.Millisecond
-	// maxSkippedLimited is how many rate-limited targets a request is kept from before it goes
-	// to one that names no limit, or is refused if there is none: where a thousand are at their
-	// limits, asking for each in turn would take the box's processor time. One about an object
-	// is kept from its home alone: another rate-limited target does not know the object, takes
-	// longer for it, and lacks the permit for objects of its own.
-	maxSkippedLimited       = 4
-	maxSkippedLimitedObject = 1
-	// permitPause is for how long a target gets nothing for which no permit came in time.
-	permitPause = 50 * time.Millisecond
-	// leastPermitPause keeps a target from being asked for by each request in turn.
-	leastPermitPause = 5 * time.Millisecond
-	// reportTime is for how long each report carries an update: three of the longest
-	// intervals between two, as reports may be lost and replicas start anew.
-	reportTime = 6 * time.Second
-	// reportPause is the least time between two reports for the sake of limits. Asks for permits
-	// tell what is new besides.
-	reportPause = 250 * time.Millisecond
-	// maxReported bounds the targets in one report, of some 40 bytes each.
-	maxReported = 256
+	// maxSkippedLimited is how many rate-limited targets without a permit a request skips before
+	// only targets without a rate limit are considered: where a thousand targets are at their
+	// limits, requesting permits of each in turn would use up the box's CPU time. A request with an
+	// affinity key skips its home target only: another rate-limited target does not have the object
+	// cached, takes longer for it, and needs its permits for objects of its own.
+	maxSkippedLimited        = 4
+	maxSkippedLimitedWithKey = 1
+	// throttleTime is how long a target gets no requests after no permit arrived in time.
+	throttleTime = 50 * time.Millisecond
+	// minThrottleTime keeps each request in turn from requesting a permit of the same target.
+	minThrottleTime = 5 * time.Millisecond
+	// updateRepeatTime is how long reports repeat an update: three of the longest report intervals,
+	// as reports may be lost and replicas may restart.
+	updateRepeatTime = 6 * time.Second
+	// minReportInterval is the minimum time between two reports that are triggered by rate limits.
+	// Permit requests carry new updates as well.
+	minReportInterval = 250 * time.Millisecond
+	// maxReportedTargets bounds the targets in one report, at about 40 bytes each.
+	maxReportedTargets = 256
 )
 
-// targetLimits is what a box knows of targets that name limits, and what it may send them.
+// targetLimits tracks rate-limited targets and the permits to send to them.
 type targetLimits struct {
 	clock   *boottime.Clock
 	permits *permits
-	// named is how many targets name limits: while there are none, answers without a limit
-	// say nothing new.
-	named atomic.Int32
+	// limited is the number of rate-limited targets. While there are none, a response without a
+	// limit carries no new information.
+	limited atomic.Int32
 
-	mu    sync.Mutex
-	known *targetstatus.Registry
-	alone *quota.Fallback
-	// pending are changes that answers to this box brought, by incarnation, with the times
-	// since which they are reported.
+	mu sync.Mutex
+	// registry holds what targets reported, to this box or another.
+	registry *targetstatus.Registry
+	// fallback issues permits while no replica answers.
+	fallback *quota.Fallback
+	// pending are updates from responses to this box, by incarnation, with the time since which
+	// they are reported.
 	pending map[string]time.Time
-	// reportedAt is when a report was last asked for at once.
+	// reportedAt is when a report was last triggered.
 	reportedAt time.Time
 }
 
 func newTargetLimits(box string, c *boottime.Clock) *targetLimits {
 	p := newPermits(c)
-	p.stock = quota.NewTargetPermitCache()
-	l := &targetLimits{clock: c, permits: p, known: targetstatus.NewRegistry(), alone: quota.NewFallback(box), pending: make(map[string]time.Time)}
-	p.request = l.request
+	p.cache = quota.NewTargetPermitCache()
+	l := &targetLimits{clock: c, permits: p, registry: targetstatus.NewRegistry(), fallback: quota.NewFallback(box), pending: make(map[string]time.Time)}
+	p.buildRequest = l.buildRequest
 	return l
 }
 
-// request is for permits; it carries what is known of the limits, as the replica
-// may have started since.
-func (l *targetLimits) request(asks []quota.SubjectRequest) *wire.PermitRequest {
+// buildRequest returns the message of permit requests. It carries the known limits, as the replica
+// may have restarted since.
+func (l *targetLimits) buildRequest(asks []quota.SubjectRequest) *wire.PermitRequest {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := &wire.PermitRequest{}
 	for _, a := range asks {
-		known := targetstatus.Messages(now, l.known.Updates(a.Subject))
-		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: known[0], Further: known[1:], Count: uint32(a.Count)})
+		updates := targetstatus.Messages(now, l.registry.Updates(a.Subject))
+		r.TargetAsks = append(r.TargetAsks, &wire.TargetPermitAsk{Limit: updates[0], Further: updates[1:], Count: uint32(a.Count)})
 	}
 	return r
 }
 
-// receive takes what an answer to this box says.
-func (l *targetLimits) receive(u targetstatus.Update) (c targetstatus.Change, changed bool) {
-	if !u.HasLimit() && !u.Leaving && l.named.Load() == 0 {
+// recordResponse applies what a response to this box reports.
+func (l *targetLimits) recordResponse(u targetstatus.Update) (c targetstatus.Change, changed bool) {
+	if !u.HasLimit() && !u.Leaving && l.limited.Load() == 0 {
 		return c, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, changed = l.take(u)
+	c, changed = l.apply(u)
 	if changed {
 		l.pending[u.Incarnation] = u.Received
 	}
 	return c, changed
 }
 
-// merge takes what another box reported. What this box knows better it reports in turn.
+// merge applies the update of another box. If this box has newer information, it reports that.
 func (l *targetLimits) merge(u targetstatus.Update) (c targetstatus.Change, changed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c, changed = l.take(u)
-	if l.known.Limit(u.Incarnation) != u.Limit || l.known.IsLeaving(u.Incarnation) && !u.Leaving {
+	c, changed = l.apply(u)
+	if l.registry.Limit(u.Incarnation) != u.Limit || l.registry.IsLeaving(u.Incarnation) && !u.Leaving {
 		l.pending[u.Incarnation] = l.clock.Now()
 	}
 	return c, changed
 }
 
-// allowReport reports whether a report may be asked for at once, and counts that.
+// allowReport reports whether a report may be triggered now, and counts it.
 func (l *targetLimits) allowReport() bool {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.reportedAt) < reportPause {
+	if now.Sub(l.reportedAt) < minReportInterval {
 		return false
 	}
 	l.reportedAt = now
 	return true
 }
 
-func (l *targetLimits) take(u targetstatus.Update) (targetstatus.Change, bool) {
-	c, changed := l.known.Apply(u)
+func (l *targetLimits) apply(u targetstatus.Update) (targetstatus.Change, bool) {
+	c, changed := l.registry.Apply(u)
 	if changed {
-		l.named.Store(int32(l.known.LimitedCount()))
+		l.limited.Store(int32(l.registry.LimitedCount()))
 	}
 	return c, changed
 }
 
-// limit returns a target's limit.
+// limit returns a target's rate limit.
 func (l *targetLimits) limit(target string) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Limit(target)
+	return l.registry.Limit(target)
 }
 
-// isLeaving reports whether a target reported that it leaves.
+// isLeaving reports whether a target reported that it is shutting down.
 func (l *targetLimits) isLeaving(target string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.IsLeaving(target)
+	return l.registry.IsLeaving(target)
 }
 
 func (l *targetLimits) hasLimit(target string) bool { return l.limit(target) < targetstatus.NoLimit }
@@ -148,14 +150,14 @@
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.pending, func(_ string, since time.Time) bool { return now.Sub(since) > reportTime })
+	maps.DeleteFunc(l.pending, func(_ string, since time.Time) bool { return now.Sub(since) > updateRepeatTime })
 	if len(l.pending) == 0 {
 		return nil
 	}
-	lives := slices.SortedFunc(maps.Keys(l.pending), func(a, b string) int { return l.pending[b].Compare(l.pending[a]) })
+	incarnations := slices.SortedFunc(maps.Keys(l.pending), func(a, b string) int { return l.pending[b].Compare(l.pending[a]) })
 	var out []*wire.TargetLimit
-	for _, life := range lives[:min(len(lives), maxReported)] {
-		out = append(out, targetstatus.Messages(now, l.known.Updates(life))...)
+	for _, incarnation := range incarnations[:min(len(incarnations), maxReportedTargets)] {
+		out = append(out, targetstatus.Messages(now, l.registry.Updates(incarnation))...)
 	}
 	return out
 }
@@ -163,32 +165,32 @@
 func (l *targetLimits) setBoxes(names []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alone.SetBoxes(names)
+	l.fallback.SetBoxes(names)
 }
 
-// keep forgets targets whose lives are over.
-func (l *targetLimits) keep(now time.Time, lives func(life string) bool) {
-	l.permits.forget(now)
+// prune drops targets whose incarnations have ended.
+func (l *targetLimits) prune(now time.Time, registered func(life string) bool) {
+	l.permits.prune(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known.Prune(now, lives)
-	maps.DeleteFunc(l.pending, func(life string, _ time.Time) bool { return !lives(life) })
-	l.alone.Prune(func(life string) bool { return l.known.HasLimit(life) })
-	l.named.Store(int32(l.known.LimitedCount()))
+	l.registry.Prune(now, registered)
+	maps.DeleteFunc(l.pending, func(incarnation string, _ time.Time) bool { return !registered(incarnation) })
+	l.fallback.Prune(func(incarnation string) bool { return l.registry.HasLimit(incarnation) })
+	l.limited.Store(int32(l.registry.LimitedCount()))
 }
 
-// permit returns a permit to send a request to a target, for which it may wait. The error
+// acquirePermit returns a permit to send a request to a target and may wait for one. The error
 // tells why there is none.
-func (l *targetLimits) permit(ctx context.Context, life string, wait time.Duration) (until time.Time, err error) {
+func (l *targetLimits) acquirePermit(ctx context.Context, incarnation string, wait time.Duration) (until time.Time, err error) {
 	if wait <= 0 {
-		if until, ok := l.permits.takeNow(life); ok {
+		if until, ok := l.permits.tryAcquire(incarnation); ok {
 			return until, nil
 		}
-		return until, errNoPermitInTime
+		return until, errPermitTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	if until, err = l.permits.take(ctx, life); err == nil {
+	if until, err = l.permits.acquire(ctx, incarnation); err == nil {
 		return until, nil
 	}
 	var over *quota.OverLimitError
@@ -197,85 +199,88 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if until, ok := l.alone.Take(l.clock.Now(), life, l.known.Limit(life)); ok {
+	if until, ok := l.fallback.Take(l.clock.Now(), incarnation, l.registry.Limit(incarnation)); ok {
 		return until, nil
 	}
 	return time.Time{}, err
 }
 
-// pauseAfter is for how long a target gets nothing for which there was no permit.
-func pauseAfter(err error) time.Duration {
+// throttleTimeAfter returns how long a target gets no requests after a permit was denied or did not
+// arrive.
+func throttleTimeAfter(err error) time.Duration {
 	var over *quota.OverLimitError
 	if errors.As(err, &over) {
-		return max(over.AvailableIn, leastPermitPause)
+		return max(over.AvailableIn, minThrottleTime)
 	}
-	return permitPause
+	return throttleTime
 }
 
-// chosen is a target that a request is to be sent to, and until when its permit may be
-// used; zero if it needs none.
-type chosen struct {
+// permittedChoice is the choice of a target, with the expiry of its permit; zero if it needs none.
+type permittedChoice struct {
 	balance.Choice
-	permitEnds time.Time
+	permitExpiry time.Time
 }
 
-// choosePermitted chooses a target. A rate-limited one is skipped without a permit,
-// for which it waits no longer than a time.
-func (c *call) choosePermitted(ctx context.Context, wait time.Duration) (chosen, error) {
-	waitEnds := c.gateway.permitWaitEnds(wait)
+// choosePermittedTarget chooses a target. A rate-limited target is skipped unless a permit of it
+// arrives within the wait time.
+func (c *callerRequest) choosePermittedTarget(ctx context.Context, wait time.Duration) (permittedChoice, error) {
+	deadline := c.gateway.permitWaitDeadline(wait)
 	for {
-		wanted := c.wanted()
-		wanted.ExcludeLimited = len(c.skippedLimited) >= maxSkippedOf(wanted)
-		choice, err := c.gateway.choose(wanted)
+		request := c.balanceRequest()
+		request.ExcludeLimited = len(c.skippedLimited) >= maxSkippedFor(request)
+		choice, err := c.gateway.choose(request)
 		if err != nil || !choice.Limited {
-			return chosen{Choice: choice}, err
+			return permittedChoice{Choice: choice}, err
 		}
 		began := c.gateway.clock.Now()
-		until, err := c.gateway.targetLimits.permit(ctx, choice.Target.ID, waitEnds.Sub(began))
+		until, err := c.gateway.targetLimits.acquirePermit(ctx, choice.Target.ID, deadline.Sub(began))
 		c.targetPermitWait += c.gateway.clock.Since(began)
 		if err == nil {
 			c.gateway.metrics.targetPermits.Inc()
-			return chosen{choice, until}, nil
+			return permittedChoice{choice, until}, nil
 		}
-		c.skip(choice, err)
+		c.skipLimitedTarget(choice, err)
 	}
 }
 
-func maxSkippedOf(r balance.Request) int {
+// maxSkippedFor returns how many rate-limited targets the request may skip.
+func maxSkippedFor(r balance.Request) int {
 	if r.AffinityKey != "" {
-		return maxSkippedLimitedObject
+		return maxSkippedLimitedWithKey
 	}
 	return maxSkippedLimited
 }
 
-// returnPermit gives a permit back with which nothing was sent.
-func (d *Daemon) returnPermit(choice chosen) {
-	if !choice.permitEnds.IsZero() {
-		d.targetLimits.permits.putBack(choice.Target.ID, choice.permitEnds)
+// returnPermit returns a permit with which nothing was sent.
+func (d *Daemon) returnPermit(choice permittedChoice) {
+	if !choice.permitExpiry.IsZero() {
+		d.targetLimits.permits.release(choice.Target.ID, choice.permitExpiry)
 	}
 }
 
-func (d *Daemon) permitWaitEnds(wait time.Duration) time.Time {
-	if d.targetLimits.named.Load() == 0 {
-		return time.Time{} // the usual request needs no time
+// permitWaitDeadline returns when to stop waiting for permits of targets, zero if none is
+// rate-limited.
+func (d *Daemon) permitWaitDeadline(wait time.Duration) time.Time {
+	if d.targetLimits.limited.Load() == 0 {
+		return time.Time{} // saves reading the clock for most requests
 	}
 	return d.clock.Now().Add(wait)
 }
 
-// skip takes a choice back for which there is no permit.
-func (c *call) skip(choice balance.Choice, cause error) {
+// skipLimitedTarget undoes the choice of a target that granted no permit.
+func (c *callerRequest) skipLimitedTarget(choice balance.Choice, cause error) {
 	d := c.gateway
 	d.metrics.skippedLimited.Inc()
 	c.skippedLimited = append(c.skippedLimited, choice.Target.ID)
-	c.skippedFor = cause
+	c.skipCause = cause
 	d.balancing.Lock()
 	defer d.balancing.Unlock()
 	now := c.gateway.clock.Now()
-	d.balancing.balancer.ThrottleUntil(now, choice.Target.ID, now.Add(pauseAfter(cause)))
+	d.balancing.balancer.ThrottleUntil(now, choice.Target.ID, now.Add(throttleTimeAfter(cause)))
 }
 
-// takeUpdates takes what targets said to other boxes.
-func (d *Daemon) takeUpdates(list []*wire.TargetLimit) {
+// mergeUpdates applies what targets reported to other boxes.
+func (d *Daemon) mergeUpdates(list []*wire.TargetLimit) {
 	now := d.clock.Now()
 	for _, m := range list {
 		if change, changed := d.targetLimits.merge(targetstatus.UpdateOf(now, m)); changed {
@@ -284,17 +289,17 @@
 	}
 }
 
-// applyChange has the balancer use what became known of a target; request is the id of the
-// request whose answer said so, empty where it was another box's.
+// applyChange applies a change of a target's status to the balancer. request is the id of the
+// request whose response reported it, empty if another box did.
 func (d *Daemon) applyChange(c targetstatus.Change, request string) {
 	d.balancing.Lock()
-	// Another change may have been reported meanwhile: what is known now counts.
+	// Another change may have been reported meanwhile: use the latest limit.
 	d.balancing.balancer.SetLimited(c.Incarnation, d.targetLimits.hasLimit(c.Incarnation))
 	if c.Leaving {
 		d.balancing.balancer.SetLeaving(d.clock.Now(), c.Incarnation)
 	}
 	d.balancing.Unlock()
-	d.metrics.targetLimits.Set(float64(d.targetLimits.named.Load()))
+	d.metrics.targetLimits.Set(float64(d.targetLimits.limited.Load()))
 	if c.LimitChanged() {
 		d.logLimit(c, request)
 	}
@@ -304,7 +309,7 @@
 }
 
 func (d *Daemon) logLimit(c targetstatus.Change, request string) {
-	if !d.otherLines.Allow(d.clock.Now()) {
+	if !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Warn().Str("kind", "targetLimit").Str("target", c.Incarnation)
@@ -318,17 +323,17 @@
 		line.Float64("perSecond", c.After).Msg("target reported a rate limit")
 		return
 	}
-	line.Msg("target reports no rate limit any more")
+	line.Msg("target withdrew its rate limit")
 }
 
 func (d *Daemon) logLeaving(c targetstatus.Change, request string) {
 	d.metrics.targetsLeaving.Inc()
-	if !d.otherLines.Allow(d.clock.Now()) {
+	if !d.otherLineLimit.Allow(d.clock.Now()) {
 		return
 	}
 	line := d.log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation)
 	if request != "" {
 		line = line.Str("request", request)
 	}
-	line.Msg("target reported that it leaves")
+	line.Msg("target reported that it is shutting down")
 }
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -17,8 +17,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against a request that was chosen for a target before the target drained, ended or
-// was evacuated, and is sent after, when it has its connection.
+// Guards against sending a request to a target that drained, ended or was evacuated while the
+// request waited for its connection.
 func TestRequestIsNotSentToATargetThatIsClosedMeanwhile(t *testing.T) {
 	serving := balance.Target{ID: "t0", Name: "t0", Service: "s", Address: "0", Zone: "z", Slots: 4}
 	draining := serving
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
-				s := newTargetScene(t, 1, 2)
+				s := newTestCluster(t, 1, 2)
 				d := s.boxes[0]
 				dial := d.connections.dial
 				d.connections.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -43,8 +43,8 @@
 					return dial(ctx, network, address)
 				}
 				for range 4 {
-					s.asked++
-					go s.ask(d, s.asked)
+					s.sent++
+					go s.send(d, s.sent)
 				}
 				time.Sleep(100 * time.Millisecond)
 				d.balancing.Lock()
@@ -52,7 +52,7 @@
 				d.balancing.Unlock()
 				time.Sleep(2 * time.Second)
 				synctest.Wait()
-				if got := s.targets[0].between(time.Time{}, time.Now()); got > 0 {
+				if got := s.targets[0].countBetween(time.Time{}, time.Now()); got > 0 {
 					t.Errorf("%d requests were sent to the closed target", got)
 				}
 				if s.served != c.served {
@@ -63,22 +63,22 @@
 	}
 }
 
-// Guards against a request whose line does not tell which evacuations it went by: routes and
-// targets of one state come into force one after the other.
+// Guards against a request whose log line does not tell which evacuations it was subject to: the
+// routes and the targets of one state are applied one after the other.
 func TestRequestLineTellsTheVersionOfItsTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
-		s := newScene(t, testConfig(), 1)
+		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
 		s.daemon.log = zerolog.New(&lines)
-		s.scripts = scripts(s.answers(0, "a"), s.answers(0, "a"), s.answers(0, "a"))
-		evacuated, _ := s.daemon.steered.ApplyEvacuation(&wire.EvacuationCommand{Zone: "y"})
-		for i, c := range []catalog.State{*s.daemon.steered, evacuated, evacuated} {
+		s.scripts = scripts(s.responds(0, "a"), s.responds(0, "a"), s.responds(0, "a"))
+		evacuated, _ := s.daemon.lastState.ApplyEvacuation(&wire.EvacuationCommand{Zone: "y"})
+		for i, c := range []catalog.State{*s.daemon.lastState, evacuated, evacuated} {
 			version := uint64(i + 2)
-			s.daemon.putTargets(c, version)
+			s.daemon.applyTargets(c, version)
 			lines.Reset()
-			s.ask(t.Context(), "/long/", "")
+			s.send(t.Context(), "/long/", "")
 			if want := fmt.Sprintf(`"targetsVersion":%d,`, version); !strings.Contains(lines.String(), want) {
-				t.Errorf("no %s in %s", want, lines.String())
+				t.Errorf("%s is not in the log: %s", want, lines.String())
 			}
 		}
 	})
