--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -56,9 +56,9 @@
 
 // readPlatform reads the settings file of the platform.
 func readPlatform() (path string, s platform.Settings, err error) {
-	path = os.Getenv(platform.SettingsVariable)
+	path = os.Getenv(platform.SettingsEnv)
 	if path == "" {
-		return "", s, usageError("variable %s is empty; it names the settings file", platform.SettingsVariable)
+		return "", s, usageError("variable %s is empty; it names the settings file", platform.SettingsEnv)
 	}
 	s, err = platform.ReadSettings(path)
 	if err != nil {
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	host, _, err := splitHost(s.Peers)
+	host, _, err := splitHost(s.PeerAddress)
 	if err != nil {
 		return err
 	}
@@ -107,10 +107,10 @@
 		Zone:         s.Zone,
 		Region:       s.Region,
 		RegionOf:     s.RegionOf,
-		Callers:      s.Callers,
-		Ready:        s.Ready,
+		Callers:      s.CallerAddress,
+		Ready:        s.ReadyAddress,
 		Metrics:      host + metricsPort,
-		Peers:        s.Peers,
+		Peers:        s.PeerAddress,
 		Seeds:        s.Seeds,
 		Protocol:     platform.Protocol(),
 		DecodeRoutes: platform.NewRoutesDecoder().Decode,
@@ -159,15 +159,15 @@
 		zones = append(zones, z)
 	}
 	d, err := control.Open(config.Control{
-		Common:          config.Common{Name: s.Name, PeerAddress: s.Peers, OperatorAddress: s.OwnOperators, LogLevel: "info"},
+		Common:          config.Common{Name: s.Name, PeerAddress: s.PeerAddress, OperatorAddress: s.OperatorAddress, LogLevel: "info"},
 		PeerListen:      os.Getenv(peerListenVariable),
-		Folder:          s.Folder,
+		Folder:          s.DataDir,
 		Peers:           s.Seeds,
 		ElectionTimeout: electionTimeout,
 		SnapshotEvery:   snapshotEvery,
 		Seeded:          true,
 		MayForm:         s.FirstStart,
-		SpareFailures:   s.SpareDisks,
+		SpareFailures:   s.ToleratedDiskLosses,
 		Zones:           zones,
 		LookupTTL:       s.LookupTTL,
 		LimitBound:      s.LimitBound,
@@ -176,14 +176,14 @@
 	if err != nil {
 		return nil, err
 	}
-	calls := platform.Control{Register: d.Register, Leave: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, Unread: d.NoteUnread}
-	if s.Operators != "" {
-		if err := d.AddHandler("calls", s.Operators, calls.Handler()); err != nil {
+	calls := platform.ControlAPI{Register: d.Register, Deregister: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, OnInvalidHeartbeat: d.NoteUnread}
+	if s.ControlAddress != "" {
+		if err := d.AddHandler("calls", s.ControlAddress, calls.Handler()); err != nil {
 			return nil, err
 		}
 	}
-	if s.Lookups != "" {
-		if err := d.AddHandler("lookups", s.Lookups, platform.Lookups{Boxes: d.BoxesFor}.Handler()); err != nil {
+	if s.LookupAddress != "" {
+		if err := d.AddHandler("lookups", s.LookupAddress, platform.LookupAPI{Boxes: d.BoxesFor}.Handler()); err != nil {
 			return nil, err
 		}
 	}
