--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -157,7 +157,7 @@
 	if c.Example != "" {
 		fmt.Fprintf(w, "\nexample:\n  %s\n", strings.ReplaceAll(c.Example, "\n", "\n  "))
 	}
-	fmt.Fprintf(w, "\nflags (each also as a variable, -name as %s):\n", config.Variable("name"))
+	fmt.Fprintf(w, "\nflags (each also as a variable, -name as %s):\n", config.EnvName("name"))
 	fs.SetOutput(w)
 	fs.PrintDefaults()
 }
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -43,7 +43,7 @@
 	memoryShare = 0.7
 	// peerListenVariable names where a control replica listens for the others,
 	// if they reach it through a proxy.
-	peerListenVariable = config.Prefix + "_PEER_LISTEN"
+	peerListenVariable = config.EnvPrefix + "_PEER_LISTEN"
 	// metricsPort is where an entry box tells its metrics.
 	metricsPort = ":9464"
 	// electionTimeout of control replicas: several round trips of 70 ms and
@@ -159,19 +159,19 @@
 		zones = append(zones, z)
 	}
 	d, err := control.Open(config.Control{
-		Common:          config.Common{Name: s.Name, PeerAddress: s.PeerAddress, OperatorAddress: s.OperatorAddress, LogLevel: "info"},
-		PeerListen:      os.Getenv(peerListenVariable),
-		Folder:          s.DataDir,
-		Peers:           s.Seeds,
-		ElectionTimeout: electionTimeout,
-		SnapshotEvery:   snapshotEvery,
-		Seeded:          true,
-		MayForm:         s.FirstStart,
-		SpareFailures:   s.ToleratedDiskLosses,
-		Zones:           zones,
-		LookupTTL:       s.LookupTTL,
-		LimitBound:      s.LimitBound,
-		DecodeRoutes:    platform.DecodeRoutes,
+		Common:              config.Common{Name: s.Name, PeerAddress: s.PeerAddress, OperatorAddress: s.OperatorAddress, LogLevel: "info"},
+		PeerListenAddress:   os.Getenv(peerListenVariable),
+		DataDir:             s.DataDir,
+		Peers:               s.Seeds,
+		ElectionTimeout:     electionTimeout,
+		SnapshotEvery:       snapshotEvery,
+		PeersAreSeeds:       true,
+		MayBootstrap:        s.FirstStart,
+		ToleratedDiskLosses: s.ToleratedDiskLosses,
+		Zones:               zones,
+		LookupTTL:           s.LookupTTL,
+		LimitBound:          s.LimitBound,
+		DecodeRoutes:        platform.DecodeRoutes,
 	}, log)
 	if err != nil {
 		return nil, err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,8 +22,8 @@
 	"ledgesill.dev/ledgesill/pkg/quota"
 )
 
-// Prefix begins the names of the environment variables.
-const Prefix = "LEDGESILL"
+// EnvPrefix begins the names of the environment variables.
+const EnvPrefix = "LEDGESILL"
 
 // ValueError names a setting whose value is not allowed.
 type ValueError struct {
@@ -34,12 +34,12 @@
 
 // Error implements error.
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("flag -%s (variable %s): value %q is not allowed; allowed is %s", e.Flag, Variable(e.Flag), e.Value, e.Allowed)
+	return fmt.Sprintf("flag -%s (variable %s): value %q is not allowed; allowed is %s", e.Flag, EnvName(e.Flag), e.Value, e.Allowed)
 }
 
-// Variable returns the environment variable of a flag.
-func Variable(flag string) string {
-	return Prefix + "_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
+// EnvName returns the environment variable of a flag.
+func EnvName(flag string) string {
+	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
 // Common are the settings of every daemon.
@@ -101,23 +101,23 @@
 // Control are the settings of a control replica.
 type Control struct {
 	Common
-	Folder          string
+	DataDir         string
 	Peers           []string
 	Token           string
 	ElectionTimeout time.Duration
 	SnapshotEvery   int
-	// PeerListen is where the replica listens for other processes, if that is not
+	// PeerListenAddress is where the replica listens for other processes, if that is not
 	// PeerAddress, at which the others reach it: behind a proxy.
-	PeerListen string
-	// Seeded tells that Peers are only some of the control replicas, by which
+	PeerListenAddress string
+	// PeersAreSeeds tells that Peers are only some of the control replicas, by which
 	// the others are found; the membership then grows by those that ask to join.
-	Seeded bool
-	// MayForm allows a seeded replica on an empty disk to form the first
+	PeersAreSeeds bool
+	// MayBootstrap allows a seeded replica on an empty disk to form the first
 	// membership together with the other seeds.
-	MayForm bool
-	// SpareFailures is how many disks may be lost at once; a seeded membership
+	MayBootstrap bool
+	// ToleratedDiskLosses is how many disks may be lost at once; a seeded membership
 	// does not shrink below what bears that.
-	SpareFailures int
+	ToleratedDiskLosses int
 	// Zones are all availability zones, for what operators order for one.
 	Zones []string
 	// LookupTTL is the longest time for which the answer of a look-up counts.
@@ -140,16 +140,16 @@
 	PlatformList  string
 }
 
-// Parsed is what reading the settings gave: an error, or a request for help
+// ParseResult is what reading the settings gave: an error, or a request for help
 // that has been answered.
-type Parsed struct{ Help bool }
+type ParseResult struct{ Help bool }
 
 // ReadControl reads and checks the settings of a control replica.
-func ReadControl(args []string, out io.Writer) (Control, Parsed, error) {
+func ReadControl(args []string, out io.Writer) (Control, ParseResult, error) {
 	var c Control
 	fs := newFlagSet("ledgesill control", out)
 	c.register(fs)
-	fs.StringVar(&c.Folder, "folder", "", "data folder on a disk")
+	fs.StringVar(&c.DataDir, "folder", "", "data folder on a disk")
 	peers := fs.String("peers", "", "peer addresses of all control replicas, this one included, separated by commas")
 	fs.StringVar(&c.Token, "token", "", "token that operators must send to change something; empty for none")
 	fs.DurationVar(&c.ElectionTimeout, "election-timeout", time.Second, "how long a replica waits for a leader, 100ms to 30s")
@@ -159,11 +159,11 @@
 	fs.Float64Var(&c.LimitBound.Slack, "limit-extra", defaultLimitExtra, "requests of a workspace beyond that, in each window")
 	help, err := parse(fs, args)
 	if help || err != nil {
-		return c, Parsed{help}, err
+		return c, ParseResult{help}, err
 	}
 	c.Peers = SplitList(*peers)
 	c.LimitBound.Excess = *excess / maxPercent
-	return c, Parsed{}, c.check()
+	return c, ParseResult{}, c.check()
 }
 
 const (
@@ -183,7 +183,7 @@
 
 func (c *Control) check() error {
 	err := errors.Join(c.Common.check(), checkAddresses("peers", c.Peers))
-	if c.Folder == "" {
+	if c.DataDir == "" {
 		err = errors.Join(err, &ValueError{"folder", "", "the path of a folder"})
 	}
 	if len(c.Peers) > maxControls {
@@ -206,7 +206,7 @@
 }
 
 // ReadEntry reads and checks the settings of an entry box's daemon.
-func ReadEntry(args []string, out io.Writer) (Entry, Parsed, error) {
+func ReadEntry(args []string, out io.Writer) (Entry, ParseResult, error) {
 	var c Entry
 	fs := newFlagSet("ledgesill entry", out)
 	c.register(fs)
@@ -217,10 +217,10 @@
 	fs.StringVar(&c.PlatformList, "platform-list", "", "http address of the platform's list of boxes; empty for none")
 	help, err := parse(fs, args)
 	if help || err != nil {
-		return c, Parsed{help}, err
+		return c, ParseResult{help}, err
 	}
 	c.Controls = SplitList(*controls)
-	return c, Parsed{}, errors.Join(
+	return c, ParseResult{}, errors.Join(
 		c.check(),
 		CheckAddress("caller-address", c.CallerAddress),
 		checkName("region", c.Region),
@@ -239,7 +239,7 @@
 func Parse(fs *flag.FlagSet, args []string) (help bool, err error) { return parse(fs, args) }
 
 func parse(fs *flag.FlagSet, args []string) (help bool, err error) {
-	err = ff.Parse(fs, args, ff.WithEnvVarPrefix(Prefix))
+	err = ff.Parse(fs, args, ff.WithEnvVarPrefix(EnvPrefix))
 	if errors.Is(err, flag.ErrHelp) {
 		return true, nil
 	}
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -41,7 +41,7 @@
 
 // ReadGateway reads and checks the settings of an entry box that serves by the
 // document of routes.
-func ReadGateway(args []string, out io.Writer) (Gateway, Parsed, error) {
+func ReadGateway(args []string, out io.Writer) (Gateway, ParseResult, error) {
 	var c Gateway
 	fs := newFlagSet("ledgesill gateway", out)
 	c.register(fs)
@@ -58,12 +58,12 @@
 	fs.DurationVar(&c.StopTime, "stop-time", defaultStopTime, "how long a planned stop may take, 1s or more")
 	help, err := parse(fs, args)
 	if help || err != nil {
-		return c, Parsed{help}, err
+		return c, ParseResult{help}, err
 	}
 	c.Controls = SplitList(*controls)
 	regions, err := parseZones(*zones)
 	c.RegionOf = regions
-	return c, Parsed{}, errors.Join(err, c.check())
+	return c, ParseResult{}, errors.Join(err, c.check())
 }
 
 func parseZones(text string) (map[string]string, error) {
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -52,7 +52,7 @@
 }
 
 func (d *Daemon) logJoining(r *wire.Replica) {
-	if r == nil || !d.config.Seeded && !slices.Contains(d.config.Peers, r.Address) {
+	if r == nil || !d.config.PeersAreSeeds && !slices.Contains(d.config.Peers, r.Address) {
 		return
 	}
 	d.mu.Lock()
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -76,18 +76,18 @@
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
-	if err := journal.MakeFolder(c.Folder); err != nil {
+	if err := journal.MakeFolder(c.DataDir); err != nil {
 		return nil, fmt.Errorf("making the data folder: %w", err)
 	}
-	events := c.Folder
-	if c.Seeded {
+	events := c.DataDir
+	if c.PeersAreSeeds {
 		events = "" // the replica's loop must not wait for the disk to note an event
 	}
 	p, err := process.New(c.Name, log, c.Level(), events)
 	if err != nil {
 		return nil, err
 	}
-	j, found, err := journal.Open(c.Folder, c.Name, journal.OSFiles())
+	j, found, err := journal.Open(c.DataDir, c.Name, journal.OSFiles())
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("opening the data folder: %w", err), p.Close())
 	}
@@ -146,7 +146,7 @@
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
 	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.LinkRefused}
-	listen := cmp.Or(d.config.PeerListen, d.config.PeerAddress)
+	listen := cmp.Or(d.config.PeerListenAddress, d.config.PeerAddress)
 	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, secure); err != nil {
 		return err
 	}
@@ -234,7 +234,7 @@
 // Run serves until the context ends or the disk fails, and then closes.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.process.Log.Info().Str("kind", "start").Str("incarnation", d.process.Incarnation).Str("replica", d.replica.id).
-		Strs("peers", d.config.Peers).Bool("mayForm", d.config.MayForm).Msg("control replica starts")
+		Strs("peers", d.config.Peers).Bool("mayForm", d.config.MayBootstrap).Msg("control replica starts")
 	loop, stopLoop := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() { failed <- d.replica.run(loop) }()
--- a/internal/control/forming.go
+++ b/internal/control/forming.go
@@ -35,7 +35,7 @@
 		switch {
 		case addressOf(v.membership, d.replica.id) == "":
 			d.seekMembership(ctx, v)
-		case d.config.Seeded && v.status.CutOff:
+		case d.config.PeersAreSeeds && v.status.CutOff:
 			d.askBackIn(ctx)
 		}
 		select {
@@ -75,7 +75,7 @@
 
 // mayForm reports whether this replica may take part in the first membership.
 func (d *Daemon) mayForm() bool {
-	return !d.config.Seeded || d.config.MayForm && slices.Contains(d.config.Peers, d.config.PeerAddress)
+	return !d.config.PeersAreSeeds || d.config.MayBootstrap && slices.Contains(d.config.Peers, d.config.PeerAddress)
 }
 
 // isFirstMembership reports whether another replica has just formed the first
@@ -112,7 +112,7 @@
 
 // merge notes the replicas of a membership that another replica told.
 func (d *Daemon) merge(m *wire.Membership) {
-	if !d.config.Seeded || m == nil {
+	if !d.config.PeersAreSeeds || m == nil {
 		return
 	}
 	d.mu.Lock()
@@ -191,17 +191,17 @@
 		d.changeMembership(ctx, next)
 		return
 	}
-	if !d.config.Seeded {
+	if !d.config.PeersAreSeeds {
 		return
 	}
-	if next := consensus.NextRemoval(v.membership, v.status, d.config.SpareFailures); next != nil {
+	if next := consensus.NextRemoval(v.membership, v.status, d.config.ToleratedDiskLosses); next != nil {
 		d.process.StateChange(&wire.TimelineEvent{Kind: "removal", Detail: "lets a replica go that has been silent for long"})
 		d.changeMembership(ctx, next)
 	}
 }
 
 func (d *Daemon) nextRepair(v view, joining *wire.Replica) (consensus.RepairStep, *wire.Membership) {
-	if d.config.Seeded {
+	if d.config.PeersAreSeeds {
 		return consensus.NextReplacement(v.membership, v.status, joining)
 	}
 	return consensus.NextRepair(v.membership, v.status, joining)
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -76,7 +76,7 @@
 	s := &slowReplicas{stop: cancel, ended: make(chan error, 6)}
 	first := &wire.Membership{}
 	for i := range 3 {
-		c := config.Control{Folder: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, Seeded: true}
+		c := config.Control{DataDir: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, PeersAreSeeds: true}
 		asleep := &atomic.Int64{}
 		s.asleep = append(s.asleep, asleep)
 		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
--- a/internal/gateway/owninterface_test.go
+++ b/internal/gateway/owninterface_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	c, err := control.Open(config.Control{
 		Common:          config.Common{Name: "c1", PeerAddress: loopback, OperatorAddress: loopback, LogLevel: "error"},
-		Folder:          t.TempDir(),
+		DataDir:         t.TempDir(),
 		Peers:           []string{loopback},
 		ElectionTimeout: 100 * time.Millisecond,
 		SnapshotEvery:   64,
