--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the settings of a daemon from flags and environment
-// variables and checks them before anything starts. The flag -peer-address is
-// the variable LEDGESILL_PEER_ADDRESS.
+// variables and validates them before the daemon starts. The environment variable
+// of the flag -peer-address is LEDGESILL_PEER_ADDRESS.
 package config
 
 import (
@@ -22,10 +22,10 @@
 	"ledgesill.dev/ledgesill/pkg/quota"
 )
 
-// EnvPrefix begins the names of the environment variables.
+// EnvPrefix is the prefix of the names of the environment variables.
 const EnvPrefix = "LEDGESILL"
 
-// ValueError names a setting whose value is not allowed.
+// ValueError names a setting whose value is invalid.
 type ValueError struct {
 	Flag    string
 	Value   string
@@ -34,17 +34,18 @@
 
 // Error implements error.
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("flag -%s (variable %s): value %q is not allowed; allowed is %s", e.Flag, EnvName(e.Flag), e.Value, e.Allowed)
+	return fmt.Sprintf("flag -%s (environment variable %s): value %q is not allowed; allowed is %s", e.Flag, EnvName(e.Flag), e.Value, e.Allowed)
 }
 
-// EnvName returns the environment variable of a flag.
+// EnvName returns the name of the environment variable of a flag.
 func EnvName(flag string) string {
 	return EnvPrefix + "_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// Common are the settings of every daemon.
+// Common holds the settings that all daemons have.
 type Common struct {
-	// Clock is that of the machine, nil for the one at hand; no flag sets it.
+	// Clock replaces the clock of the machine in tests; nil for the real one. No
+	// flag sets it.
 	Clock           *boottime.Clock
 	Name            string
 	PeerAddress     string
@@ -57,12 +58,12 @@
 
 func (c *Common) register(fs *flag.FlagSet) {
 	fs.StringVar(&c.Name, "name", "", "name of this process, unique in the system")
-	fs.StringVar(&c.PeerAddress, "peer-address", "", "IP number and port for the other processes")
-	fs.StringVar(&c.OperatorAddress, "operator-address", "", "IP number and port for operators and metrics")
-	fs.StringVar(&c.LogLevel, "log-level", "info", "least level that is logged: debug, info, warn or error")
-	fs.StringVar(&c.Certificate, "certificate", "", "file of this process's certificate; empty for links without TLS")
+	fs.StringVar(&c.PeerAddress, "peer-address", "", "IP address and port for the other processes")
+	fs.StringVar(&c.OperatorAddress, "operator-address", "", "IP address and port for operators and metrics")
+	fs.StringVar(&c.LogLevel, "log-level", "info", "minimum level that is logged: debug, info, warn or error")
+	fs.StringVar(&c.Certificate, "certificate", "", "file of this process's certificate; empty for connections without TLS")
 	fs.StringVar(&c.CertificateKey, "certificate-key", "", "file of the certificate's key")
-	fs.StringVar(&c.Authority, "authority", "", "file of the authority that signs all certificates")
+	fs.StringVar(&c.Authority, "authority", "", "file of the certificate authority that signs all certificates")
 }
 
 func (c *Common) check() error {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// Level returns the log level.
+// Level returns the minimum level that is logged.
 func (c *Common) Level() zerolog.Level {
 	l, err := zerolog.ParseLevel(c.LogLevel)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return l
 }
 
-// Control are the settings of a control replica.
+// Control holds the settings of a control replica.
 type Control struct {
 	Common
 	DataDir         string
@@ -106,31 +107,33 @@
 	Token           string
 	ElectionTimeout time.Duration
 	SnapshotEvery   int
-	// PeerListenAddress is where the replica listens for other processes, if that is not
-	// PeerAddress, at which the others reach it: behind a proxy.
+	// PeerListenAddress is where the replica listens for other processes if they
+	// reach it through a proxy at PeerAddress; empty if it listens there itself.
 	PeerListenAddress string
-	// PeersAreSeeds tells that Peers are only some of the control replicas, by which
-	// the others are found; the membership then grows by those that ask to join.
+	// PeersAreSeeds reports whether Peers are only some of the control replicas,
+	// through which the others are discovered; the membership then grows by the
+	// replicas that ask to join. Otherwise Peers is the whole membership.
 	PeersAreSeeds bool
-	// MayBootstrap allows a seeded replica on an empty disk to form the first
-	// membership together with the other seeds.
+	// MayBootstrap allows a replica that is one of the seeds, and whose disk is
+	// empty, to form the initial membership together with the other seeds.
 	MayBootstrap bool
-	// ToleratedDiskLosses is how many disks may be lost at once; a seeded membership
-	// does not shrink below what bears that.
+	// ToleratedDiskLosses is how many disks may be lost at once. A membership that
+	// grows from seeds does not shrink below the size that tolerates this.
 	ToleratedDiskLosses int
-	// Zones are all availability zones, for what operators order for one.
+	// Zones lists all availability zones; it validates operators' requests that
+	// name a zone.
 	Zones []string
-	// LookupTTL is the longest time for which the answer of a look-up counts.
+	// LookupTTL is the longest validity of a lookup response.
 	LookupTTL time.Duration
-	// LimitBound is by how much workspaces may exceed their limits, over all entry
+	// LimitBound is by how much a workspace may exceed its limit, over all entry
 	// boxes together.
 	LimitBound quota.Bound
-	// DecodeRoutes reads the text of a document of routes; nil for the project's
-	// own format.
+	// DecodeRoutes decodes the text of a routes document; nil for the native
+	// format.
 	DecodeRoutes func(text []byte) (catalog.Document, error)
 }
 
-// Entry are the settings of an entry box's daemon.
+// Entry holds the settings of an entry box's daemon.
 type Entry struct {
 	Common
 	CallerAddress string
@@ -140,23 +143,23 @@
 	PlatformList  string
 }
 
-// ParseResult is what reading the settings gave: an error, or a request for help
-// that has been answered.
+// ParseResult reports whether the arguments asked for help, which has then been
+// printed.
 type ParseResult struct{ Help bool }
 
-// ReadControl reads and checks the settings of a control replica.
+// ReadControl reads and validates the settings of a control replica.
 func ReadControl(args []string, out io.Writer) (Control, ParseResult, error) {
 	var c Control
 	fs := newFlagSet("ledgesill control", out)
 	c.register(fs)
-	fs.StringVar(&c.DataDir, "folder", "", "data folder on a disk")
-	peers := fs.String("peers", "", "peer addresses of all control replicas, this one included, separated by commas")
-	fs.StringVar(&c.Token, "token", "", "token that operators must send to change something; empty for none")
-	fs.DurationVar(&c.ElectionTimeout, "election-timeout", time.Second, "how long a replica waits for a leader, 100ms to 30s")
+	fs.StringVar(&c.DataDir, "folder", "", "data directory on a disk")
+	peers := fs.String("peers", "", "comma-separated peer addresses of all control replicas, this one included")
+	fs.StringVar(&c.Token, "token", "", "token that operators must send to make changes; empty for none")
+	fs.DurationVar(&c.ElectionTimeout, "election-timeout", time.Second, "how long a replica waits for a leader before it starts an election, 100ms to 30s")
 	fs.IntVar(&c.SnapshotEvery, "snapshot-every", defaultSnapshotEvery, "log entries between snapshots, 16 to 100000")
-	fs.DurationVar(&c.LimitBound.Window, "limit-window", defaultLimitWindow, "time over which a workspace's requests are counted, 1s or more")
-	excess := fs.Float64("limit-excess", defaultLimitExcess, "by how many percent a workspace may exceed its limit in a window, 0 to 100")
-	fs.Float64Var(&c.LimitBound.Slack, "limit-extra", defaultLimitExtra, "requests of a workspace beyond that, in each window")
+	fs.DurationVar(&c.LimitBound.Window, "limit-window", defaultLimitWindow, "window over which a workspace's requests are counted, 1s or more")
+	excess := fs.Float64("limit-excess", defaultLimitExcess, "percentage by which a workspace may exceed its limit in a window, 0 to 100")
+	fs.Float64Var(&c.LimitBound.Slack, "limit-extra", defaultLimitExtra, "requests that a workspace may send beyond that in each window")
 	help, err := parse(fs, args)
 	if help || err != nil {
 		return c, ParseResult{help}, err
@@ -172,9 +175,10 @@
 	maxSnapshotEvery     = 100_000
 	minElectionTimeout   = 100 * time.Millisecond
 	maxElectionTimeout   = 30 * time.Second
-	maxControls          = 8
+	maxPeers             = 8
 
-	// The bound on workspaces is that of the users' deployments.
+	// By default a workspace may exceed its limit by as much as in the users'
+	// deployments.
 	defaultLimitWindow = 5 * time.Second
 	defaultLimitExcess = 10
 	defaultLimitExtra  = 20
@@ -184,13 +188,13 @@
 func (c *Control) check() error {
 	err := errors.Join(c.Common.check(), checkAddresses("peers", c.Peers))
 	if c.DataDir == "" {
-		err = errors.Join(err, &ValueError{"folder", "", "the path of a folder"})
+		err = errors.Join(err, &ValueError{"folder", "", "the path of a directory"})
 	}
-	if len(c.Peers) > maxControls {
-		err = errors.Join(err, &ValueError{"peers", strings.Join(c.Peers, ","), fmt.Sprintf("at most %d addresses", maxControls)})
+	if len(c.Peers) > maxPeers {
+		err = errors.Join(err, &ValueError{"peers", strings.Join(c.Peers, ","), fmt.Sprintf("at most %d addresses", maxPeers)})
 	}
 	if !slices.Contains(c.Peers, c.PeerAddress) {
-		err = errors.Join(err, &ValueError{"peers", strings.Join(c.Peers, ","), "a list that has the address of -peer-address"})
+		err = errors.Join(err, &ValueError{"peers", strings.Join(c.Peers, ","), "a list that contains the address of -peer-address"})
 	}
 	if c.ElectionTimeout < minElectionTimeout || c.ElectionTimeout > maxElectionTimeout {
 		err = errors.Join(err, &ValueError{"election-timeout", c.ElectionTimeout.String(), "100ms to 30s"})
@@ -205,16 +209,16 @@
 	return err
 }
 
-// ReadEntry reads and checks the settings of an entry box's daemon.
+// ReadEntry reads and validates the settings of an entry box's daemon.
 func ReadEntry(args []string, out io.Writer) (Entry, ParseResult, error) {
 	var c Entry
 	fs := newFlagSet("ledgesill entry", out)
 	c.register(fs)
-	fs.StringVar(&c.CallerAddress, "caller-address", "", "IP number and port for callers")
+	fs.StringVar(&c.CallerAddress, "caller-address", "", "IP address and port for callers")
 	fs.StringVar(&c.Region, "region", "", "region of this entry box")
 	fs.StringVar(&c.Zone, "zone", "", "availability zone of this entry box")
-	controls := fs.String("controls", "", "peer addresses of the control replicas, separated by commas")
-	fs.StringVar(&c.PlatformList, "platform-list", "", "http address of the platform's list of boxes; empty for none")
+	controls := fs.String("controls", "", "comma-separated peer addresses of the control replicas")
+	fs.StringVar(&c.PlatformList, "platform-list", "", "HTTP address of the platform's list of boxes; empty for none")
 	help, err := parse(fs, args)
 	if help || err != nil {
 		return c, ParseResult{help}, err
@@ -235,7 +239,8 @@
 	return fs
 }
 
-// Parse reads flags and environment variables into a flag set.
+// Parse reads flags and environment variables into a flag set. It reports whether
+// the arguments asked for help, which has then been printed.
 func Parse(fs *flag.FlagSet, args []string) (help bool, err error) { return parse(fs, args) }
 
 func parse(fs *flag.FlagSet, args []string) (help bool, err error) {
@@ -249,7 +254,7 @@
 	return false, nil
 }
 
-// SplitList splits a list separated by commas.
+// SplitList splits a comma-separated list and drops empty items.
 func SplitList(text string) []string {
 	var out []string
 	for _, item := range strings.Split(text, ",") {
@@ -267,17 +272,17 @@
 	return nil
 }
 
-// CheckAddress checks that a value is an IP number and a port.
+// CheckAddress returns a ValueError unless a value is an IP address and a port.
 func CheckAddress(flag, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		return &ValueError{flag, value, "an IP number and a port, as in 127.0.0.1:7000"}
+		return &ValueError{flag, value, "an IP address and a port, such as 127.0.0.1:7000"}
 	}
 	return nil
 }
 
 func checkAddresses(flag string, values []string) error {
 	if len(values) == 0 {
-		return &ValueError{flag, "", "at least one IP number and port"}
+		return &ValueError{flag, "", "at least one IP address and port"}
 	}
 	var err error
 	for _, v := range values {
@@ -293,7 +298,7 @@
 	return &ValueError{flag, value, strings.Join(choices, ", ")}
 }
 
-// CheckFile reports a file that can't be read.
+// CheckFile returns a ValueError unless a file exists.
 func CheckFile(flag, path string) error {
 	if _, err := os.Stat(path); err != nil {
 		return &ValueError{flag, path, "a file that can be read (" + err.Error() + ")"}
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -8,25 +8,27 @@
 	"time"
 )
 
-// Gateway are the settings of an entry box that serves by the document of
-// routes.
+// Gateway holds the settings of an entry box that routes requests by the routes
+// document.
 type Gateway struct {
 	Common
 	CallerAddress string
 	ReadyAddress  string
 	Region        string
 	Zone          string
-	// RegionOf gives the region of every availability zone.
+	// RegionOf maps every availability zone to its region.
 	RegionOf map[string]string
 	Controls []string
-	// RetryShare, in percent of the requests for a service, and RetryExtra,
-	// requests more, bound the retries of all boxes in each RetryWindow.
+	// RetryShare, RetryExtra and RetryWindow bound the retries of requests to a
+	// service, over all entry boxes: in each RetryWindow at most RetryShare percent
+	// of the service's requests and RetryExtra more.
 	RetryShare  float64
 	RetryExtra  float64
 	RetryWindow time.Duration
-	// LinkBytes is how many bytes a second the box's link carries; 0 for no bound.
+	// LinkBytes is the bandwidth of the box's link in bytes per second; 0 for no
+	// bound.
 	LinkBytes float64
-	// StopTime is how long a planned stop may take.
+	// StopTime is how long a graceful shutdown may take.
 	StopTime time.Duration
 }
 
@@ -39,23 +41,23 @@
 	minStopTime         = time.Second
 )
 
-// ReadGateway reads and checks the settings of an entry box that serves by the
-// document of routes.
+// ReadGateway reads and validates the settings of an entry box that routes
+// requests by the routes document.
 func ReadGateway(args []string, out io.Writer) (Gateway, ParseResult, error) {
 	var c Gateway
 	fs := newFlagSet("ledgesill gateway", out)
 	c.register(fs)
-	fs.StringVar(&c.CallerAddress, "caller-address", "", "IP number and port for callers")
-	fs.StringVar(&c.ReadyAddress, "ready-address", "", "IP number and port where a check is told whether the box serves")
+	fs.StringVar(&c.CallerAddress, "caller-address", "", "IP address and port for callers")
+	fs.StringVar(&c.ReadyAddress, "ready-address", "", "IP address and port for readiness checks")
 	fs.StringVar(&c.Region, "region", "", "region of this entry box")
 	fs.StringVar(&c.Zone, "zone", "", "availability zone of this entry box")
-	zones := fs.String("zones", "", "all availability zones as zone=region, separated by commas")
-	controls := fs.String("controls", "", "peer addresses of some control replicas, separated by commas")
-	fs.Float64Var(&c.RetryShare, "retry-share", defaultRetryPercent, "retries of all boxes in percent of a service's requests, 0 to 100")
-	fs.Float64Var(&c.RetryExtra, "retry-extra", defaultRetryExtra, "retries of all boxes beyond that share, in each window")
-	fs.DurationVar(&c.RetryWindow, "retry-window", defaultRetryWindow, "time over which retries are counted, above 0")
-	fs.Float64Var(&c.LinkBytes, "link-bytes", 0, "bytes a second that the box's link carries; 0 for no bound")
-	fs.DurationVar(&c.StopTime, "stop-time", defaultStopTime, "how long a planned stop may take, 1s or more")
+	zones := fs.String("zones", "", "comma-separated list of all availability zones, as zone=region")
+	controls := fs.String("controls", "", "comma-separated peer addresses of some control replicas")
+	fs.Float64Var(&c.RetryShare, "retry-share", defaultRetryPercent, "retries of all boxes, as a percentage of a service's requests, 0 to 100")
+	fs.Float64Var(&c.RetryExtra, "retry-extra", defaultRetryExtra, "retries of all boxes beyond that percentage in each window")
+	fs.DurationVar(&c.RetryWindow, "retry-window", defaultRetryWindow, "window over which retries are counted, above 0")
+	fs.Float64Var(&c.LinkBytes, "link-bytes", 0, "bandwidth of the box's link in bytes per second; 0 for no bound")
+	fs.DurationVar(&c.StopTime, "stop-time", defaultStopTime, "how long a graceful shutdown may take, 1s or more")
 	help, err := parse(fs, args)
 	if help || err != nil {
 		return c, ParseResult{help}, err
@@ -66,6 +68,7 @@
 	return c, ParseResult{}, errors.Join(err, c.check())
 }
 
+// parseZones parses a comma-separated list of zone=region.
 func parseZones(text string) (map[string]string, error) {
 	out := make(map[string]string)
 	for _, item := range SplitList(text) {
@@ -91,10 +94,10 @@
 		checkRange("link-bytes", c.LinkBytes, 0),
 	)
 	if c.RegionOf[c.Zone] != c.Region {
-		err = errors.Join(err, &ValueError{"zones", c.RegionOf[c.Zone], "a list that has this box's zone with its region " + c.Region})
+		err = errors.Join(err, &ValueError{"zones", c.RegionOf[c.Zone], "a list that contains this box's zone with its region " + c.Region})
 	}
 	if c.RetryWindow <= 0 {
-		err = errors.Join(err, &ValueError{"retry-window", c.RetryWindow.String(), "a time above 0"})
+		err = errors.Join(err, &ValueError{"retry-window", c.RetryWindow.String(), "a duration above 0"})
 	}
 	if c.StopTime < minStopTime {
 		err = errors.Join(err, &ValueError{"stop-time", c.StopTime.String(), "1s or more"})
@@ -102,14 +105,15 @@
 	return err
 }
 
-// checkRange checks a number that is not below 0, nor above most unless that is 0.
-func checkRange(flag string, value, most float64) error {
-	if value >= 0 && (most == 0 || value <= most) {
+// checkRange returns a ValueError unless a value is between 0 and limit; a limit
+// of 0 means no upper bound.
+func checkRange(flag string, value, limit float64) error {
+	if value >= 0 && (limit == 0 || value <= limit) {
 		return nil
 	}
-	allowed := "a number that is not below 0"
-	if most > 0 {
-		allowed = fmt.Sprintf("0 to %g", most)
+	allowed := "a number of at least 0"
+	if limit > 0 {
+		allowed = fmt.Sprintf("0 to %g", limit)
 	}
 	return &ValueError{flag, fmt.Sprint(value), allowed}
 }
--- a/internal/config/tls.go
+++ b/internal/config/tls.go
@@ -7,9 +7,10 @@
 	"os"
 )
 
-// TLS returns a function that reads the certificate files anew for each use,
-// so that keys are renewed without a restart; nil if no TLS is configured. The
-// files are read once here, so that a bad one is found at the start.
+// TLS returns a function that reads the certificate files on each call, so that
+// renewed certificates take effect without a restart; nil if TLS is not
+// configured. The files are also read once here, so that an invalid file is
+// reported at startup.
 func (c *Common) TLS() (func() (*tls.Config, error), error) {
 	if c.Certificate == "" {
 		return nil, nil
@@ -21,20 +22,20 @@
 	return read, nil
 }
 
-// readTLS returns a configuration in which both sides must show a certificate
-// that the authority has signed.
+// readTLS returns a configuration for mutual TLS: both sides must present a
+// certificate that the authority has signed.
 func readTLS(certificate, key, authority string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
-		return nil, fmt.Errorf("reading the certificate %s: %w", certificate, err)
+		return nil, fmt.Errorf("reading the certificate %s and its key %s: %w", certificate, key, err)
 	}
 	pem, err := os.ReadFile(authority)
 	if err != nil {
-		return nil, fmt.Errorf("reading the authority: %w", err)
+		return nil, fmt.Errorf("reading the certificate authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("reading the authority: %s holds no certificate", authority)
+		return nil, fmt.Errorf("reading the certificate authority: %s contains no certificate", authority)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
