--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -15,27 +15,27 @@
 func init() {
 	register(Command{
 		Name:      "check",
-		Summary:   "check a tree file, a document of routes, or the settings of a daemon, without a running system",
+		Summary:   "validate a tree file, a routes document or the settings of a daemon, without a running system",
 		Arguments: "tree.json | routes routes.json | control [flags] | entry [flags] | gateway [flags]",
 		Example:   "ledgesill check tree.json\nledgesill check entry -name fp-1 -caller-address 127.0.0.1:8001",
-		Options:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runCheck },
+		Setup:     func(*flag.FlagSet) func(context.Context, Invocation) error { return runCheck },
 	})
 }
 
 func runCheck(_ context.Context, in Invocation) error {
 	if len(in.Arguments) == 0 {
-		return usageError("check needs a tree file, routes with a document, or control, entry or gateway with flags")
+		return usageError("check needs a tree file, routes with a routes document, or control, entry or gateway with flags")
 	}
 	switch in.Arguments[0] {
 	case "control":
 		_, _, err := config.ReadControl(in.Arguments[1:], in.Out)
-		return checked(in.Out, "the settings of the control replica", err)
+		return reportCheck(in.Out, "the settings of the control replica", err)
 	case "entry":
 		_, _, err := config.ReadEntry(in.Arguments[1:], in.Out)
-		return checked(in.Out, "the settings of the entry box", err)
+		return reportCheck(in.Out, "the settings of the entry box", err)
 	case "gateway":
 		_, _, err := config.ReadGateway(in.Arguments[1:], in.Out)
-		return checked(in.Out, "the settings of the gateway", err)
+		return reportCheck(in.Out, "the settings of the gateway", err)
 	case "routes":
 		return checkRoutes(in)
 	}
@@ -48,25 +48,26 @@
 		return &ExitError{ExitUsage, fmt.Errorf("%s: %w", in.Arguments[0], err)}
 	}
 	what := fmt.Sprintf("%s: %d settings, %d availability zones, %d services", in.Arguments[0], len(edits), len(t.Zones()), len(t.Services()))
-	return checked(in.Out, what, nil)
+	return reportCheck(in.Out, what, nil)
 }
 
-func checked(w io.Writer, what string, err error) error {
+// reportCheck prints that what was checked is valid, or returns its error.
+func reportCheck(w io.Writer, what string, err error) error {
 	if err != nil {
 		return &ExitError{ExitUsage, err}
 	}
-	fmt.Fprintln(w, what, "- no fault found")
+	fmt.Fprintln(w, what, "- valid")
 	return nil
 }
 
 func checkRoutes(in Invocation) error {
 	if len(in.Arguments) != 2 {
-		return usageError("check routes needs one document")
+		return usageError("check routes needs one routes document")
 	}
 	file := in.Arguments[1]
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return usageError("reading the document: %w", err)
+		return usageError("reading the routes document: %w", err)
 	}
 	d, err := catalog.ParseDocument(text)
 	if err == nil {
@@ -75,5 +76,5 @@
 	if err != nil {
 		return &ExitError{ExitUsage, fmt.Errorf("%s: %w", file, err)}
 	}
-	return checked(in.Out, fmt.Sprintf("%s: document %d, %d hosts, %d services", file, d.Number, len(d.Hosts), len(d.Services)), nil)
+	return reportCheck(in.Out, fmt.Sprintf("%s: document %d, %d hosts, %d services", file, d.Number, len(d.Hosts), len(d.Services)), nil)
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line: one file per command, each a small
-// struct with the command's name, options and completion.
+// Package command implements the command line of ledgesill. Each other file registers
+// one command or several related ones.
 package command
 
 import (
@@ -20,31 +20,32 @@
 
 // Exit codes.
 const (
-	// ExitOK: done.
+	// ExitOK: the command succeeded.
 	ExitOK = 0
-	// ExitFailed: it could not be done, or its outcome is not known.
+	// ExitFailed: the command failed, or its outcome is unknown.
 	ExitFailed = 1
-	// ExitUsage: a flag, variable or argument is wrong; nothing was done.
+	// ExitUsage: a flag, environment variable or argument is invalid; nothing was
+	// done.
 	ExitUsage = 2
-	// ExitRefused: the system refused, and nothing was changed.
-	ExitRefused = 3
-	// ExitAttention: status found something that a person should look at.
+	// ExitRejected: the system rejected the request, and nothing was changed.
+	ExitRejected = 3
+	// ExitAttention: the status shows a problem that needs an operator.
 	ExitAttention = 4
 )
 
-// Command is one subcommand.
+// Command is a subcommand.
 type Command struct {
 	Name      string
 	Summary   string
 	Arguments string
 	Example   string
-	// Options registers the flags and returns what runs the command.
-	Options func(fs *flag.FlagSet) func(ctx context.Context, in Invocation) error
-	// Complete returns words that may follow.
-	Complete func() []string
+	// Setup registers the flags and returns the function that runs the command.
+	Setup func(fs *flag.FlagSet) func(ctx context.Context, in Invocation) error
+	// Completions returns the arguments to suggest in shell completion.
+	Completions func() []string
 }
 
-// Invocation is one call of a command.
+// Invocation holds the arguments and streams of a run of a command.
 type Invocation struct {
 	Arguments []string
 	In        io.Reader
@@ -56,7 +57,8 @@
 
 func register(c Command) { commands = append(commands, c) }
 
-// ExitError carries an exit code.
+// ExitError is an error with the exit code for it. Without a cause, nothing is
+// printed.
 type ExitError struct {
 	Code int
 	Err  error
@@ -70,7 +72,7 @@
 	return e.Err.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap implements the interface of errors.Unwrap.
 func (e *ExitError) Unwrap() error { return e.Err }
 
 func usageError(format string, args ...any) error {
@@ -88,12 +90,12 @@
 		printCommands(out)
 		return ExitOK
 	}
-	c, ok := find(args[0])
+	c, ok := findCommand(args[0])
 	if !ok {
-		fmt.Fprintf(errOut, "ledgesill: there is no command %q; see ledgesill help\n", args[0])
+		fmt.Fprintf(errOut, "ledgesill: unknown command %q; see ledgesill help\n", args[0])
 		return ExitUsage
 	}
-	err := run(ctx, c, args[1:], Invocation{In: in, Out: out, Err: errOut})
+	err := runCommand(ctx, c, args[1:], Invocation{In: in, Out: out, Err: errOut})
 	return exitCode(err, errOut)
 }
 
@@ -114,12 +116,12 @@
 	}
 	var failure *operator.FailureError
 	if errors.As(err, &failure) {
-		return ExitRefused
+		return ExitRejected
 	}
 	return ExitFailed
 }
 
-func find(name string) (Command, bool) {
+func findCommand(name string) (Command, bool) {
 	i := slices.IndexFunc(commands, func(c Command) bool { return c.Name == name })
 	if i < 0 {
 		return Command{}, false
@@ -127,14 +129,14 @@
 	return commands[i], true
 }
 
-func run(ctx context.Context, c Command, args []string, in Invocation) error {
+func runCommand(ctx context.Context, c Command, args []string, in Invocation) error {
 	fs := flag.NewFlagSet("ledgesill "+c.Name, flag.ContinueOnError)
 	fs.SetOutput(in.Err)
 	fs.Usage = func() { printHelp(in.Out, fs, c) }
-	body := c.Options(fs)
+	execute := c.Setup(fs)
 	if isDaemon(c) {
 		in.Arguments = args
-		return body(ctx, in)
+		return execute(ctx, in)
 	}
 	help, err := config.Parse(fs, args)
 	if help {
@@ -144,10 +146,10 @@
 		return &ExitError{ExitUsage, err}
 	}
 	in.Arguments = fs.Args()
-	return body(ctx, in)
+	return execute(ctx, in)
 }
 
-// isDaemon tells the commands that read their settings by themselves.
+// isDaemon reports whether a command parses its flags itself, with package config.
 func isDaemon(c Command) bool {
 	return c.Name == "control" || c.Name == "entry" || c.Name == "gateway"
 }
@@ -157,7 +159,7 @@
 	if c.Example != "" {
 		fmt.Fprintf(w, "\nexample:\n  %s\n", strings.ReplaceAll(c.Example, "\n", "\n  "))
 	}
-	fmt.Fprintf(w, "\nflags (each also as a variable, -name as %s):\n", config.EnvName("name"))
+	fmt.Fprintf(w, "\nflags (each also as an environment variable, -name as %s):\n", config.EnvName("name"))
 	fs.SetOutput(w)
 	fs.PrintDefaults()
 }
@@ -165,19 +167,20 @@
 func printCommands(w io.Writer) {
 	fmt.Fprintln(w, "ledgesill steers traffic between regions within the capacity of their targets.")
 	fmt.Fprintln(w, "\nusage: ledgesill command [flags] [arguments]")
-	fmt.Fprintln(w, "\ncommands (ledgesill command -help tells more):")
+	fmt.Fprintln(w, "\ncommands (see ledgesill command -help for details):")
 	sorted := slices.Clone(commands)
 	slices.SortFunc(sorted, func(a, b Command) int { return strings.Compare(a.Name, b.Name) })
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, c := range sorted {
 		fmt.Fprintf(t, "  %s\t%s\n", c.Name, c.Summary)
 	}
-	_ = t.Flush() // the terminal is gone
-	fmt.Fprintln(w, "\nexit codes: 0 done, 1 failed or not known, 2 wrong use, 3 refused, 4 needs attention")
+	_ = t.Flush() // nothing to do if the output is closed
+	fmt.Fprintln(w, "\nexit codes: 0 success, 1 failed or outcome unknown, 2 usage error, 3 rejected, 4 needs attention")
 }
 
-// connection are the flags of commands that ask the control replicas.
-type connection struct {
+// clientFlags are the flags of the commands that send requests to the control
+// replicas.
+type clientFlags struct {
 	Servers   string
 	Token     string
 	JSON      bool
@@ -186,19 +189,19 @@
 	Authority string
 }
 
-func (c *connection) register(fs *flag.FlagSet) {
-	fs.StringVar(&c.Servers, "servers", "127.0.0.1:7200,127.0.0.1:7201,127.0.0.1:7202", "operator addresses of the control replicas, separated by commas")
-	fs.StringVar(&c.Token, "token", "", "operators' token")
+func (c *clientFlags) register(fs *flag.FlagSet) {
+	fs.StringVar(&c.Servers, "servers", "127.0.0.1:7200,127.0.0.1:7201,127.0.0.1:7202", "comma-separated operator addresses of the control replicas")
+	fs.StringVar(&c.Token, "token", "", "token of the operators")
 	fs.BoolVar(&c.JSON, "json", false, "print JSON")
 	fs.StringVar(&c.Cert, "certificate", "", "file of the operator's certificate")
 	fs.StringVar(&c.Key, "certificate-key", "", "file of the certificate's key")
-	fs.StringVar(&c.Authority, "authority", "", "file of the authority that signs all certificates")
+	fs.StringVar(&c.Authority, "authority", "", "file of the certificate authority that signs all certificates")
 }
 
-func (c *connection) client() (*operator.Client, error) {
+func (c *clientFlags) client() (*operator.Client, error) {
 	addresses := config.SplitList(c.Servers)
 	if len(addresses) == 0 {
-		return nil, &config.ValueError{Flag: "servers", Value: c.Servers, Allowed: "at least one IP number and port"}
+		return nil, &config.ValueError{Flag: "servers", Value: c.Servers, Allowed: "at least one IP address and port"}
 	}
 	for _, a := range addresses {
 		if err := config.CheckAddress("servers", a); err != nil {
@@ -206,13 +209,13 @@
 		}
 	}
 	common := config.Common{Certificate: c.Cert, CertificateKey: c.Key, Authority: c.Authority}
-	secure, err := common.TLS()
+	tlsConfig, err := common.TLS()
 	if err != nil {
 		return nil, &ExitError{ExitUsage, err}
 	}
 	transport := &http.Transport{}
-	if secure != nil {
-		if transport.TLSClientConfig, err = secure(); err != nil {
+	if tlsConfig != nil {
+		if transport.TLSClientConfig, err = tlsConfig(); err != nil {
 			return nil, err
 		}
 	}
@@ -223,12 +226,13 @@
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	if err := e.Encode(v); err != nil {
-		return fmt.Errorf("printing: %w", err)
+		return fmt.Errorf("encoding the output as JSON: %w", err)
 	}
 	return nil
 }
 
-func table(w io.Writer, fill func(t *tabwriter.Writer)) error {
+// printTable aligns the tab-separated columns that fill writes.
+func printTable(w io.Writer, fill func(t *tabwriter.Writer)) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fill(t)
 	return t.Flush()
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -32,7 +32,7 @@
 		args []string
 		want string
 	}{
-		{[]string{"nosuch"}, `no command "nosuch"`},
+		{[]string{"nosuch"}, `unknown command "nosuch"`},
 		{with("-zone", "a b"), `flag -zone (environment variable LEDGESILL_ZONE): value "a b" is not allowed`},
 		{with("-controls", ""), "flag -controls"},
 		{with("-caller-address", "localhost:1"), "an IP address and a port"},
@@ -48,7 +48,7 @@
 		{[]string{"check", "gateway", "-retry-share", "101"}, "0 to 100"},
 		{[]string{"check", "gateway", "-retry-window", "0s"}, "a duration above 0"},
 		{[]string{"check", "gateway", "-stop-time", "1ms"}, "1s or more"},
-		{[]string{"check", "routes"}, "one document"},
+		{[]string{"check", "routes"}, "one routes document"},
 		{[]string{"check", "routes", bad}, `unknown field "/"`},
 		{[]string{"routes", "-file", "nosuch.json"}, "nosuch.json"},
 		{[]string{"evacuate", "-withdraw"}, "the name of a zone"},
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestVariablesAreRead(t *testing.T) {
+func TestEnvironmentVariablesAreRead(t *testing.T) {
 	t.Setenv("LEDGESILL_LOG_LEVEL", "loud")
 	code, _, errOut := runMain(t, "check", "entry")
 	if code != ExitUsage || !strings.Contains(errOut, "LEDGESILL_LOG_LEVEL") {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestManualsAreComplete keeps the manual page and the page of keys in step
-// with the code.
+// TestManualsAreComplete checks that the manual page lists every command and that
+// docs/SETTINGS.md contains the current table of keys.
 func TestManualsAreComplete(t *testing.T) {
 	manual, err := os.ReadFile("ledgesill.1")
 	if err != nil {
@@ -112,11 +112,11 @@
 	}
 	_, table, _ := runMain(t, "keys", "-markdown")
 	if !strings.Contains(string(page), table) {
-		t.Error("docs/SETTINGS.md lacks the present table of ledgesill keys -markdown")
+		t.Error("docs/SETTINGS.md lacks the current table of ledgesill keys -markdown")
 	}
 }
 
-func TestRollbackJoinsInverses(t *testing.T) {
+func TestRollbackCombinesInverseEdits(t *testing.T) {
 	list := []operator.HistoryEntry{
 		{Version: 5, BaseVersion: 4, Inverse: []operator.Edit{{Path: "/", Key: "slots", Value: "1"}}},
 		{Version: 6, BaseVersion: 5, Inverse: []operator.Edit{{Path: "/", Key: "slots", Value: "2"}}},
@@ -126,14 +126,14 @@
 		t.Errorf("got %+v, %v", c, err)
 	}
 	if _, err := rollbackChange(list, 3); err == nil {
-		t.Error("went back to before the history")
+		t.Error("a rollback to a version before the history was accepted")
 	}
 	if _, err := rollbackChange(list, 6); err == nil {
-		t.Error("went back to the present")
+		t.Error("a rollback to the current version was accepted")
 	}
 }
 
-func TestUnreachableServersAreNamed(t *testing.T) {
+func TestErrorNamesUnreachableServers(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	var o, e bytes.Buffer
--- a/internal/command/control.go
+++ b/internal/command/control.go
@@ -13,7 +13,7 @@
 	register(Command{
 		Name:    "control",
 		Summary: "run a control replica",
-		Options: func(*flag.FlagSet) func(context.Context, Invocation) error { return runControl },
+		Setup:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runControl },
 	})
 }
 
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -13,7 +13,7 @@
 	register(Command{
 		Name:    "entry",
 		Summary: "run the daemon of an entry box",
-		Options: func(*flag.FlagSet) func(context.Context, Invocation) error { return runEntry },
+		Setup:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runEntry },
 	})
 }
 
--- a/internal/command/evacuate.go
+++ b/internal/command/evacuate.go
@@ -14,17 +14,17 @@
 func init() {
 	register(Command{
 		Name:      "evacuate",
-		Summary:   "send nothing more to the targets of availability zones; without a zone, list those that are evacuated",
+		Summary:   "stop sending requests to the targets of availability zones; without arguments, list the evacuated zones",
 		Arguments: "[zone]...",
 		Example:   "ledgesill evacuate us-east-a\nledgesill evacuate -withdraw us-east-a",
-		Options:   evacuateOptions,
+		Setup:     evacuateOptions,
 	})
 }
 
 func evacuateOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	withdraw := fs.Bool("withdraw", false, "end the evacuation of the zones; their targets count as cold for a while")
+	withdraw := fs.Bool("withdraw", false, "end the evacuation of the zones; their targets warm up first")
 	return func(ctx context.Context, in Invocation) error {
 		if *withdraw && len(in.Arguments) == 0 {
 			return usageError("evacuate -withdraw needs the name of a zone")
@@ -47,7 +47,7 @@
 	}
 }
 
-func printEvacuations(ctx context.Context, in Invocation, c *connection, client *operator.Client) error {
+func printEvacuations(ctx context.Context, in Invocation, c *clientFlags, client *operator.Client) error {
 	var got operator.Evacuations
 	if err := client.Do(ctx, http.MethodGet, "/v1/evacuations", nil, &got); err != nil {
 		return err
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -12,8 +12,8 @@
 func init() {
 	register(Command{
 		Name:    "gateway",
-		Summary: "run an entry box that sends requests to registered targets by the document of routes",
-		Options: func(*flag.FlagSet) func(context.Context, Invocation) error { return runGateway },
+		Summary: "run an entry box that routes requests to registered targets by the routes document",
+		Setup:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runGateway },
 	})
 }
 
@@ -40,7 +40,7 @@
 		RetryShare:   c.RetryShare / 100,
 		RetryExtra:   c.RetryExtra,
 		RetryWindow:  c.RetryWindow,
-		Restarted:    true, // nothing tells the first start of a system from a later one
+		Restarted:    true, // the first start of a system can't be told from a later one
 		LinkBytes:    c.LinkBytes,
 		StopTime:     c.StopTime,
 		LogLevel:     c.Level(),
--- a/internal/command/get.go
+++ b/internal/command/get.go
@@ -15,16 +15,16 @@
 
 func init() {
 	register(Command{
-		Name:      "get",
-		Summary:   "show settings, or with -effective what is in force at a path",
-		Arguments: "[path [key]]",
-		Example:   "ledgesill get /us-east\nledgesill get -effective /us-east/us-east-a:resolver slots",
-		Options:   getOptions,
-		Complete:  keyNames,
+		Name:        "get",
+		Summary:     "show settings, or with -effective the values in effect at a path",
+		Arguments:   "[path [key]]",
+		Example:     "ledgesill get /us-east\nledgesill get -effective /us-east/us-east-a:resolver slots",
+		Setup:       getOptions,
+		Completions: settingKeyNames,
 	})
 }
 
-func keyNames() []string {
+func settingKeyNames() []string {
 	var out []string
 	for _, k := range settings.Keys() {
 		out = append(out, k.Name)
@@ -33,10 +33,10 @@
 }
 
 func getOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	effective := fs.Bool("effective", false, "show the values in force at the path, inherited ones included")
-	stale := fs.Bool("stale", false, "accept what a replica has that can't reach a quorum")
+	effective := fs.Bool("effective", false, "show the values in effect at the path, including inherited ones")
+	stale := fs.Bool("stale", false, "accept possibly stale settings from a replica that can't reach a quorum")
 	file := fs.Bool("file", false, "print the whole tree as a tree file")
 	return func(ctx context.Context, in Invocation) error {
 		got, err := fetchSettings(ctx, &c, *stale)
@@ -44,7 +44,7 @@
 			return err
 		}
 		if !got.Fresh {
-			fmt.Fprintf(in.Err, "not confirmed by a quorum; last word of a leader %d ms ago\n", got.AgeMillis)
+			fmt.Fprintf(in.Err, "not confirmed by a quorum; last contact with a leader %d ms ago\n", got.AgeMillis)
 		}
 		if *file {
 			return printTree(in, got)
@@ -56,7 +56,7 @@
 	}
 }
 
-func fetchSettings(ctx context.Context, c *connection, stale bool) (operator.Settings, error) {
+func fetchSettings(ctx context.Context, c *clientFlags, stale bool) (operator.Settings, error) {
 	var got operator.Settings
 	client, err := c.client()
 	if err != nil {
@@ -90,10 +90,10 @@
 	return err
 }
 
-func printSettings(in Invocation, c *connection, got operator.Settings) error {
+func printSettings(in Invocation, c *clientFlags, got operator.Settings) error {
 	shown := operator.Settings{Version: got.Version, Fresh: got.Fresh, AgeMillis: got.AgeMillis, Settings: []operator.Setting{}}
 	for _, s := range got.Settings {
-		if matchesArguments(in.Arguments, s) {
+		if matchesPathAndKey(in.Arguments, s) {
 			shown.Settings = append(shown.Settings, s)
 		}
 	}
@@ -101,21 +101,23 @@
 		return printJSON(in.Out, shown)
 	}
 	fmt.Fprintf(in.Out, "version %d\n", shown.Version)
-	return table(in.Out, func(t *tabwriter.Writer) {
+	return printTable(in.Out, func(t *tabwriter.Writer) {
 		for _, s := range shown.Settings {
 			fmt.Fprintf(t, "%s\t%s\t%s\n", s.Path, s.Key, s.Value)
 		}
 	})
 }
 
-func matchesArguments(args []string, s operator.Setting) bool {
+// matchesPathAndKey reports whether a setting matches the arguments: a prefix of
+// its path and its key, both optional.
+func matchesPathAndKey(args []string, s operator.Setting) bool {
 	if len(args) > 0 && !strings.HasPrefix(s.Path, args[0]) {
 		return false
 	}
 	return len(args) < 2 || s.Key == args[1]
 }
 
-func printEffective(in Invocation, c *connection, got operator.Settings) error {
+func printEffective(in Invocation, c *clientFlags, got operator.Settings) error {
 	if len(in.Arguments) == 0 {
 		return usageError("get -effective needs a path")
 	}
@@ -135,12 +137,12 @@
 		}
 	}
 	if len(out) == 0 {
-		return usageError("there is no key %q; ledgesill keys lists them", in.Arguments[1])
+		return usageError("unknown key %q; ledgesill keys lists all keys", in.Arguments[1])
 	}
 	if c.JSON {
 		return printJSON(in.Out, out)
 	}
-	return table(in.Out, func(w *tabwriter.Writer) {
+	return printTable(in.Out, func(w *tabwriter.Writer) {
 		for _, s := range out {
 			fmt.Fprintf(w, "%s\t%s\n", s.Key, s.Value)
 		}
--- a/internal/command/history.go
+++ b/internal/command/history.go
@@ -17,24 +17,24 @@
 func init() {
 	register(Command{
 		Name:    "history",
-		Summary: "show the latest accepted changes",
-		Options: historyOptions,
+		Summary: "show the most recent accepted changes",
+		Setup:   historyOptions,
 	})
 	register(Command{
 		Name:    "rollback",
-		Summary: "undo all changes after a settings version, by a new change",
+		Summary: "undo all changes after a settings version with a new change",
 		Example: "ledgesill rollback -to 41",
-		Options: rollbackOptions,
+		Setup:   rollbackOptions,
 	})
 	register(Command{
 		Name:      "diff",
-		Summary:   "show how a tree file differs from the settings in force",
+		Summary:   "show how a tree file differs from the current settings",
 		Arguments: "tree.json",
-		Options:   diffOptions,
+		Setup:     diffOptions,
 	})
 }
 
-func fetchHistory(ctx context.Context, c *connection) ([]operator.HistoryEntry, error) {
+func fetchHistory(ctx context.Context, c *clientFlags) ([]operator.HistoryEntry, error) {
 	client, err := c.client()
 	if err != nil {
 		return nil, err
@@ -44,7 +44,7 @@
 }
 
 func historyOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	return func(ctx context.Context, in Invocation) error {
 		list, err := fetchHistory(ctx, &c)
@@ -54,24 +54,24 @@
 		if c.JSON {
 			return printJSON(in.Out, list)
 		}
-		return table(in.Out, func(t *tabwriter.Writer) {
+		return printTable(in.Out, func(t *tabwriter.Writer) {
 			for _, h := range list {
 				at := time.UnixMilli(h.TimeUnixMilli).UTC().Format(time.RFC3339)
-				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", h.Version, at, h.Author, h.ID, editList(h.Edits))
+				fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", h.Version, at, h.Author, h.ID, formatEdits(h.Edits))
 			}
 		})
 	}
 }
 
-func editList(edits []operator.Edit) string {
+func formatEdits(edits []operator.Edit) string {
 	var out []string
 	for _, e := range edits {
-		out = append(out, editText(e))
+		out = append(out, formatEdit(e))
 	}
 	return strings.Join(out, ", ")
 }
 
-func editText(e operator.Edit) string {
+func formatEdit(e operator.Edit) string {
 	if e.Unset {
 		return e.Path + " " + e.Key + "-"
 	}
@@ -79,10 +79,10 @@
 }
 
 func rollbackOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	to := fs.Int64("to", -1, "settings version to go back to")
-	id := fs.String("id", "", "id of the new change (default: a new one)")
+	to := fs.Int64("to", -1, "settings version to return to")
+	id := fs.String("id", "", "id of the new change (default: a random one)")
 	return func(ctx context.Context, in Invocation) error {
 		if *to < 0 {
 			return usageError("rollback needs -to with a settings version")
@@ -96,14 +96,14 @@
 			return err
 		}
 		change.ID = *id
-		change.Author = author()
+		change.Author = currentUser()
 		return submitChange(ctx, in, &c, change, false)
 	}
 }
 
-// rollbackChange joins the inverse edits of all changes after a version, the
-// newest first. It is made against the newest version, so that a change that
-// comes in between makes it clash.
+// rollbackChange combines the inverse edits of all changes after a version, from
+// the newest to the oldest. Its base is the newest version, so that it conflicts
+// with a change that is accepted in between.
 func rollbackChange(list []operator.HistoryEntry, to uint64) (operator.Change, error) {
 	var out operator.Change
 	for _, h := range slices.Backward(list) {
@@ -114,16 +114,16 @@
 		out.Edits = append(out.Edits, h.Inverse...)
 	}
 	if len(out.Edits) == 0 {
-		return out, usageError("no change after version %d is in the history", to)
+		return out, usageError("the history contains no change after version %d", to)
 	}
 	if oldest := list[0]; oldest.BaseVersion > to {
-		return out, usageError("the history begins after version %d; the oldest that can be gone back to is %d", to, oldest.BaseVersion)
+		return out, usageError("the history begins after version %d; the oldest version to return to is %d", to, oldest.BaseVersion)
 	}
 	return out, nil
 }
 
 func diffOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	return func(ctx context.Context, in Invocation) error {
 		if len(in.Arguments) != 1 {
@@ -141,12 +141,12 @@
 		if err != nil {
 			return err
 		}
-		present, err := toTree(got)
+		current, err := toTree(got)
 		if err != nil {
 			return err
 		}
-		for _, e := range present.Diff(wanted) {
-			fmt.Fprintln(in.Out, editText(operator.Edit{Path: e.Path, Key: e.Key, Value: e.Value, Unset: e.Unset}))
+		for _, e := range current.Diff(wanted) {
+			fmt.Fprintln(in.Out, formatEdit(operator.Edit{Path: e.Path, Key: e.Key, Value: e.Value, Unset: e.Unset}))
 		}
 		return nil
 	}
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -13,21 +13,21 @@
 func init() {
 	register(Command{
 		Name:    "keys",
-		Summary: "list the keys of the settings tree with units, ranges and defaults",
-		Options: keysOptions,
+		Summary: "list the keys of the settings tree with their units, ranges and defaults",
+		Setup:   keysOptions,
 	})
 	register(Command{
 		Name:      "complete",
-		Summary:   "print the words that may follow, for a shell's completion",
+		Summary:   "print words for shell completion",
 		Arguments: "[command]",
 		Example:   `complete -W "$(ledgesill complete)" ledgesill`,
-		Options:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runComplete },
+		Setup:     func(*flag.FlagSet) func(context.Context, Invocation) error { return runComplete },
 	})
 }
 
 func keysOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
 	asJSON := fs.Bool("json", false, "print JSON")
-	markdown := fs.Bool("markdown", false, "print a table for the manual")
+	markdown := fs.Bool("markdown", false, "print a Markdown table for the manual")
 	return func(_ context.Context, in Invocation) error {
 		if *asJSON {
 			return printJSON(in.Out, settings.Keys())
@@ -36,9 +36,9 @@
 			printMarkdown(in)
 			return nil
 		}
-		return table(in.Out, func(t *tabwriter.Writer) {
+		return printTable(in.Out, func(t *tabwriter.Writer) {
 			for _, k := range settings.Keys() {
-				fmt.Fprintf(t, "%s\t%s\tdefault %q\t%s\t%s\n", k.Name, k.AllowedValues(), k.Default, place(k), k.Doc)
+				fmt.Fprintf(t, "%s\t%s\tdefault %q\t%s\t%s\n", k.Name, k.AllowedValues(), k.Default, keyScope(k), k.Doc)
 			}
 		})
 	}
@@ -47,11 +47,12 @@
 func printMarkdown(in Invocation) {
 	fmt.Fprintln(in.Out, "| key | allowed | default | where | meaning |\n| --- | --- | --- | --- | --- |")
 	for _, k := range settings.Keys() {
-		fmt.Fprintf(in.Out, "| `%s` | %s | %s | %s | %s |\n", k.Name, k.AllowedValues(), k.Default, place(k), k.Doc)
+		fmt.Fprintf(in.Out, "| `%s` | %s | %s | %s | %s |\n", k.Name, k.AllowedValues(), k.Default, keyScope(k), k.Doc)
 	}
 }
 
-func place(k settings.Key) string {
+// keyScope describes the paths at which a key may be set.
+func keyScope(k settings.Key) string {
 	switch {
 	case k.ZoneOnly:
 		return "availability zone"
@@ -70,10 +71,10 @@
 		fmt.Fprintln(in.Out, strings.Join(names, " "))
 		return nil
 	}
-	c, ok := find(in.Arguments[0])
-	if !ok || c.Complete == nil {
+	c, ok := findCommand(in.Arguments[0])
+	if !ok || c.Completions == nil {
 		return nil
 	}
-	fmt.Fprintln(in.Out, strings.Join(c.Complete(), " "))
+	fmt.Fprintln(in.Out, strings.Join(c.Completions(), " "))
 	return nil
 }
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -24,77 +24,80 @@
 func init() {
 	register(Command{
 		Name:    "platform-control",
-		Summary: "run a control replica with the users' platform's settings file",
-		Options: func(*flag.FlagSet) func(context.Context, Invocation) error { return runPlatformControl },
+		Summary: "run a control replica with the settings file of the users' platform",
+		Setup:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runPlatformControl },
 	})
 	register(Command{
 		Name:    "platform-entry",
-		Summary: "run an entry box with the users' platform's settings file",
-		Options: func(*flag.FlagSet) func(context.Context, Invocation) error { return runPlatformEntry },
+		Summary: "run an entry box with the settings file of the users' platform",
+		Setup:   func(*flag.FlagSet) func(context.Context, Invocation) error { return runPlatformEntry },
 	})
 }
 
 const (
-	// collectorPercent keeps the heap small: memory is dear on the users'
-	// boxes and the heap of a box is a few megabytes.
-	collectorPercent = 25
-	// memoryShare is the part of the memory limit at which the collector works
-	// harder.
-	memoryShare = 0.7
-	// peerListenVariable names where a control replica listens for the others,
-	// if they reach it through a proxy.
-	peerListenVariable = config.EnvPrefix + "_PEER_LISTEN"
-	// metricsPort is where an entry box tells its metrics.
-	metricsPort = ":9464"
-	// electionTimeout of control replicas: several round trips of 70 ms and
-	// syncs; a new leader is there well within the 4 s that orders may take.
+	// gcPercent keeps the heap small: the users' boxes have little memory, and as
+	// the heap is only a few megabytes, frequent collections are cheap.
+	gcPercent = 25
+	// softMemoryShare is the share of the memory limit that is set as the soft
+	// limit of the garbage collector, above which it runs more often.
+	softMemoryShare = 0.7
+	// peerListenEnv is the environment variable with the address on which a
+	// control replica listens for the others if they reach it through a proxy.
+	peerListenEnv = config.EnvPrefix + "_PEER_LISTEN"
+	// entryMetricsPort is the port on which an entry box exposes its metrics.
+	entryMetricsPort = ":9464"
+	// electionTimeout of control replicas allows for several round trips of 70 ms
+	// and disk syncs, and lets a new leader be elected well within the 4 s in which
+	// operators' requests must take effect.
 	electionTimeout = 800 * time.Millisecond
-	// snapshotEvery bounds the log: registrations are short, a document of
-	// routes is up to some hundred kilobytes.
+	// snapshotEvery bounds the size of the log: registrations are short, but a
+	// routes document takes up to a few hundred kilobytes.
 	snapshotEvery = 256
 )
 
-// readPlatform reads the settings file of the platform.
-func readPlatform() (path string, s platform.Settings, err error) {
+// readPlatformSettings reads the settings file of the platform and configures the
+// garbage collector for its memory limit.
+func readPlatformSettings() (path string, s platform.Settings, err error) {
 	path = os.Getenv(platform.SettingsEnv)
 	if path == "" {
-		return "", s, usageError("variable %s is empty; it names the settings file", platform.SettingsEnv)
+		return "", s, usageError("environment variable %s is empty; it must contain the path of the settings file", platform.SettingsEnv)
 	}
 	s, err = platform.ReadSettings(path)
 	if err != nil {
 		return path, s, &ExitError{ExitUsage, err}
 	}
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(softMemoryShare * float64(s.MemoryBytes)))
 	}
 	return path, s, nil
 }
 
-// watchPlatform follows changes of the settings file until the context ends.
-func watchPlatform(ctx context.Context, path string, log zerolog.Logger, changed func(platform.Settings)) (stop func()) {
+// watchPlatformSettings calls changed when the settings file has changed or on
+// SIGHUP, until the context ends or stop is called.
+func watchPlatformSettings(ctx context.Context, path string, log zerolog.Logger, changed func(platform.Settings)) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		platform.Watch(ctx, path, signals, func(s platform.Settings) {
-			log.Info().Str("kind", "reload").Strs("seeds", s.Seeds).Msg("took the settings file anew")
+			log.Info().Str("kind", "reload").Strs("seeds", s.Seeds).Msg("settings file reloaded")
 			changed(s)
 		}, func(err error) {
-			log.Error().Str("kind", "reload").Err(err).Msg("can't take the settings file; the settings before stay in force")
+			log.Error().Str("kind", "reload").Err(err).Msg("failed to reload the settings file; the previous settings stay in effect")
 		})
 	}()
 	return func() {
 		cancel()
-		<-ended
+		<-done
 		signal.Stop(signals)
 	}
 }
 
 func runPlatformEntry(ctx context.Context, in Invocation) error {
-	path, s, err := readPlatform()
+	path, s, err := readPlatformSettings()
 	if err != nil {
 		return err
 	}
@@ -109,7 +112,7 @@
 		RegionOf:     s.RegionOf,
 		Callers:      s.CallerAddress,
 		Ready:        s.ReadyAddress,
-		Metrics:      host + metricsPort,
+		Metrics:      host + entryMetricsPort,
 		Peers:        s.PeerAddress,
 		Seeds:        s.Seeds,
 		Protocol:     platform.Protocol(),
@@ -126,13 +129,13 @@
 	if err != nil {
 		return err
 	}
-	stop := watchPlatform(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
+	stop := watchPlatformSettings(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
 	defer stop()
 	return ignoreCanceled(d.Run(ctx))
 }
 
 func runPlatformControl(ctx context.Context, in Invocation) error {
-	path, s, err := readPlatform()
+	path, s, err := readPlatformSettings()
 	if err != nil {
 		return err
 	}
@@ -148,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	stop := watchPlatform(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
+	stop := watchPlatformSettings(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
 	defer stop()
 	return ignoreCanceled(d.Run(ctx))
 }
@@ -160,7 +163,7 @@
 	}
 	d, err := control.Open(config.Control{
 		Common:              config.Common{Name: s.Name, PeerAddress: s.PeerAddress, OperatorAddress: s.OperatorAddress, LogLevel: "info"},
-		PeerListenAddress:   os.Getenv(peerListenVariable),
+		PeerListenAddress:   os.Getenv(peerListenEnv),
 		DataDir:             s.DataDir,
 		Peers:               s.Seeds,
 		ElectionTimeout:     electionTimeout,
@@ -176,9 +179,9 @@
 	if err != nil {
 		return nil, err
 	}
-	calls := platform.ControlAPI{Register: d.Register, Deregister: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, OnInvalidHeartbeat: d.NoteUnread}
+	api := platform.ControlAPI{Register: d.Register, Deregister: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, OnInvalidHeartbeat: d.NoteUnread}
 	if s.ControlAddress != "" {
-		if err := d.AddHandler("calls", s.ControlAddress, calls.Handler()); err != nil {
+		if err := d.AddHandler("calls", s.ControlAddress, api.Handler()); err != nil {
 			return nil, err
 		}
 	}
@@ -192,5 +195,5 @@
 
 func splitHost(address string) (host, port string, err error) {
 	host, port, err = net.SplitHostPort(address)
-	return host, port, errors.Wrap(err, "the peer address")
+	return host, port, errors.Wrapf(err, "splitting the peer address %q", address)
 }
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -17,16 +17,16 @@
 func init() {
 	register(Command{
 		Name:    "quarantine",
-		Summary: "list the requests that are kept from targets as targets ended under them, or let some go",
+		Summary: "list the requests that are quarantined or on probation because targets crashed while running them, or release one",
 		Example: "ledgesill quarantine\nledgesill quarantine -release 0123456789abcdef0123456789abcdef",
-		Options: quarantineOptions,
+		Setup:   quarantineOptions,
 	})
 }
 
 func quarantineOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	release := fs.String("release", "", "digest of a request to let go; it needs three more ended targets to be held again")
+	release := fs.String("release", "", "digest of a request to release; it is quarantined again after three more targets crashed")
 	return func(ctx context.Context, in Invocation) error {
 		if *release != "" {
 			if _, err := quarantine.ParseDigest(*release); err != nil {
@@ -56,11 +56,11 @@
 
 func printQuarantine(in Invocation, got []operator.Quarantined) error {
 	if len(got) == 0 {
-		_, err := fmt.Fprintln(in.Out, "no request is watched or held")
+		_, err := fmt.Fprintln(in.Out, "no request is quarantined or on probation")
 		return err
 	}
-	return table(in.Out, func(t *tabwriter.Writer) {
-		fmt.Fprintln(t, "DIGEST\tSTATE\tCALLERS\tROUTE\tSERVICE\tUNTIL\tENDED TARGETS")
+	return printTable(in.Out, func(t *tabwriter.Writer) {
+		fmt.Fprintln(t, "DIGEST\tSTATE\tCALLERS\tROUTE\tSERVICE\tUNTIL\tCRASHED TARGETS")
 		for _, q := range got {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", q.Digest, choose(q.Held, "held", "watched"), choose(q.AllCallers, "all", "one"),
 				q.Route, q.Service, time.UnixMilli(q.UntilUnixMilli).UTC().Format(time.RFC3339), strings.Join(q.EndedTargets, ", "))
--- a/internal/command/routes.go
+++ b/internal/command/routes.go
@@ -17,17 +17,17 @@
 func init() {
 	register(Command{
 		Name:    "routes",
-		Summary: "show the document of routes in force, or put another one in force",
+		Summary: "show the active routes document, or replace it",
 		Example: "ledgesill routes\nledgesill routes -json > routes.json\nledgesill routes -file routes.json",
-		Options: routesOptions,
+		Setup:   routesOptions,
 	})
 }
 
 func routesOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	file := fs.String("file", "", "document that is to be in force; its base must be the number of the one that is")
-	text := fs.Bool("text", false, "print the document as its author wrote it")
+	file := fs.String("file", "", "routes document to activate; its base must be the number of the active one")
+	text := fs.Bool("text", false, "print the document in its original text")
 	return func(ctx context.Context, in Invocation) error {
 		client, err := c.client()
 		if err != nil {
@@ -59,31 +59,31 @@
 func putRoutes(ctx context.Context, in Invocation, client *operator.Client, file string) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return usageError("reading the document: %w", err)
+		return usageError("reading the routes document: %w", err)
 	}
 	if !json.Valid(text) {
-		return usageError("%s: it is not JSON", file)
+		return usageError("%s: not valid JSON", file)
 	}
 	var v operator.RoutesVerdict
 	if err := client.Do(ctx, http.MethodPut, "/v1/routes", json.RawMessage(text), &v); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(in.Out, "document %d is in force\n", v.Number)
+	_, err = fmt.Fprintf(in.Out, "document %d is active\n", v.Number)
 	return err
 }
 
 func printRoutes(in Invocation, d catalog.Document) error {
-	fmt.Fprintf(in.Out, "document %d, made against %d\n\n", d.Number, d.Base)
-	return table(in.Out, func(t *tabwriter.Writer) {
-		fmt.Fprintln(t, "HOST\tPREFIX\tROUTE\tKIND\tOBJECTIVE\tTIME-OUT\tTO (WEIGHT)\tREGIONS")
+	fmt.Fprintf(in.Out, "document %d, based on %d\n\n", d.Number, d.Base)
+	return printTable(in.Out, func(t *tabwriter.Writer) {
+		fmt.Fprintln(t, "HOST\tPREFIX\tROUTE\tKIND\tOBJECTIVE\tTIMEOUT\tTO (WEIGHT)\tREGIONS")
 		for _, h := range d.Hosts {
 			for _, r := range h.Routes {
-				var to []string
-				for _, service := range r.Destinations {
-					to = append(to, fmt.Sprintf("%s (%g)", service.Service, service.Weight))
+				var destinations []string
+				for _, to := range r.Destinations {
+					destinations = append(destinations, fmt.Sprintf("%s (%g)", to.Service, to.Weight))
 				}
 				fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", h.Name, r.Prefix, r.Name, r.Repeat,
-					r.Objective, r.Timeout, strings.Join(to, ", "), strings.Join(r.Regions, ", "))
+					r.Objective, r.Timeout, strings.Join(destinations, ", "), strings.Join(r.Regions, ", "))
 			}
 		}
 	})
--- a/internal/command/set.go
+++ b/internal/command/set.go
@@ -18,28 +18,28 @@
 func init() {
 	register(Command{
 		Name:      "set",
-		Summary:   "change settings: several edits at once, all or none",
+		Summary:   "change settings with one or several edits, all or none of which take effect",
 		Arguments: "path key=value|key- [path key=value|key-]...",
 		Example: "ledgesill set / answerTtlMillis=500 /us-east:resolver reserveShare=20\n" +
 			"ledgesill set -id rollout-7 -base 41 /us-east/us-east-a drainBoxes=fp-1\n" +
 			"ledgesill set -file tree.json",
-		Options:  setOptions,
-		Complete: keyNames,
+		Setup:       setOptions,
+		Completions: settingKeyNames,
 	})
 }
 
 func setOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	id := fs.String("id", "", "id of the change; a resend with the same id gets the first answer (default: a new one)")
-	base := fs.Int64("base", -1, "settings version that the change is made against (default: the present one)")
-	file := fs.String("file", "", "tree file whose settings are set")
+	id := fs.String("id", "", "id of the change; sending it again with the same id returns the first verdict (default: a random one)")
+	base := fs.Int64("base", -1, "settings version that the change is based on (default: the current one)")
+	file := fs.String("file", "", "tree file with settings to set")
 	return func(ctx context.Context, in Invocation) error {
 		edits, err := readEdits(in.Arguments, *file)
 		if err != nil {
 			return err
 		}
-		change := operator.Change{ID: *id, Edits: edits, Author: author()}
+		change := operator.Change{ID: *id, Edits: edits, Author: currentUser()}
 		if *base >= 0 {
 			change.BaseVersion = uint64(*base)
 		}
@@ -69,7 +69,7 @@
 		edits = append(edits, e)
 	}
 	if len(edits) == 0 {
-		return nil, usageError("there is nothing to set")
+		return nil, usageError("there is nothing to set; give edits or -file")
 	}
 	return edits, nil
 }
@@ -86,16 +86,18 @@
 	return edits, nil
 }
 
-func author() string {
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
 	return ""
 }
 
-// submitChange sends a change and prints its verdict. If its answer is lost,
-// the same change may be sent again with the printed id.
-func submitChange(ctx context.Context, in Invocation, c *connection, change operator.Change, presentBase bool) error {
+// submitChange sends a change and prints its verdict. With currentBase, the
+// change is based on the current settings version. If the request fails, its
+// outcome may be unknown; the id and base that are printed allow sending the same
+// change again.
+func submitChange(ctx context.Context, in Invocation, c *clientFlags, change operator.Change, currentBase bool) error {
 	if change.ID == "" {
 		change.ID = rand.Text()
 	}
@@ -103,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if presentBase {
+	if currentBase {
 		got, err := fetchSettings(ctx, c, false)
 		if err != nil {
 			return err
@@ -118,7 +120,7 @@
 	return printVerdict(in, c, v)
 }
 
-func printVerdict(in Invocation, c *connection, v operator.Verdict) error {
+func printVerdict(in Invocation, c *clientFlags, v operator.Verdict) error {
 	if c.JSON {
 		if err := printJSON(in.Out, v); err != nil {
 			return err
@@ -133,5 +135,5 @@
 	if len(v.Clashes) > 0 {
 		text += "; also changed since: " + strings.Join(v.Clashes, ", ")
 	}
-	return &ExitError{ExitRefused, fmt.Errorf("change %s is not accepted (%s): %s", v.ID, v.Verdict, text)}
+	return &ExitError{ExitRejected, fmt.Errorf("change %s was not accepted (%s): %s", v.ID, v.Verdict, text)}
 }
--- a/internal/command/shift.go
+++ b/internal/command/shift.go
@@ -18,34 +18,35 @@
 		Name:    "shift",
 		Summary: "move a share of a home region's callers to another region in steps",
 		Example: "ledgesill shift -service resolver -home us-east -from us-east -to eu-west -percent 30 -wait",
-		Options: shiftOptions,
+		Setup:   shiftOptions,
 	})
 	register(Command{
 		Name:    "shifts",
-		Summary: "show the shifts that run and the latest that have ended",
-		Options: shiftsOptions,
+		Summary: "show the running shifts and those that ended last",
+		Setup:   shiftsOptions,
 	})
 	register(Command{
 		Name:      "abort",
-		Summary:   "end a running shift where it stands",
+		Summary:   "stop a running shift; callers that have moved stay where they are",
 		Arguments: "id",
-		Options:   abortOptions,
+		Setup:     abortOptions,
 	})
 }
 
-const progressInterval = 500 * time.Millisecond
+// shiftPollInterval is how often -wait asks for the progress of a shift.
+const shiftPollInterval = 500 * time.Millisecond
 
 func shiftOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	var s operator.Shift
-	fs.StringVar(&s.ID, "id", "", "id of the shift; a resend with the same id starts nothing anew (default: a new one)")
-	fs.StringVar(&s.Service, "service", "", "service whose callers move")
+	fs.StringVar(&s.ID, "id", "", "id of the shift; sending it again with the same id does not start another shift (default: a random one)")
+	fs.StringVar(&s.Service, "service", "", "service whose callers are moved")
 	fs.StringVar(&s.Home, "home", "", "home region of the callers")
-	fs.StringVar(&s.From, "from", "", "region that they leave (default: the home region)")
-	fs.StringVar(&s.To, "to", "", "region that they move to")
-	percent := fs.Float64("percent", 0, "share of the home region's callers, above 0 to 100")
-	wait := fs.Bool("wait", false, "show the progress until the shift has ended")
+	fs.StringVar(&s.From, "from", "", "region to move callers from (default: the home region)")
+	fs.StringVar(&s.To, "to", "", "region to move callers to")
+	percent := fs.Float64("percent", 0, "percentage of the home region's callers, above 0 to 100")
+	wait := fs.Bool("wait", false, "show the progress and wait until the shift has ended")
 	return func(ctx context.Context, in Invocation) error {
 		if s.Service == "" || s.Home == "" || s.To == "" || *percent <= 0 || *percent > 100 {
 			return usageError("shift needs -service, -home, -to and -percent above 0 to 100")
@@ -61,7 +62,7 @@
 	}
 }
 
-func startShift(ctx context.Context, in Invocation, c *connection, s operator.Shift, wait bool) error {
+func startShift(ctx context.Context, in Invocation, c *clientFlags, s operator.Shift, wait bool) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -73,11 +74,11 @@
 	if !wait {
 		return printShifts(in, c, []operator.Shift{got})
 	}
-	return followShift(ctx, in, c, client, s.ID)
+	return waitForShift(ctx, in, c, client, s.ID)
 }
 
-// followShift prints each change of a shift until it has ended.
-func followShift(ctx context.Context, in Invocation, c *connection, client *operator.Client, id string) error {
+// waitForShift waits until a shift has ended and prints each change of its state.
+func waitForShift(ctx context.Context, in Invocation, c *clientFlags, client *operator.Client, id string) error {
 	var last operator.Shift
 	for {
 		var list []operator.Shift
@@ -97,21 +98,21 @@
 		case "finished":
 			return nil
 		case "aborted":
-			return &ExitError{ExitRefused, fmt.Errorf("shift %s was aborted: %s", id, last.Reason)}
+			return &ExitError{ExitRejected, fmt.Errorf("shift %s was aborted: %s", id, last.Reason)}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(progressInterval):
+		case <-time.After(shiftPollInterval):
 		}
 	}
 }
 
-func printShifts(in Invocation, c *connection, list []operator.Shift) error {
+func printShifts(in Invocation, c *clientFlags, list []operator.Shift) error {
 	if c.JSON {
 		return printJSON(in.Out, list)
 	}
-	return table(in.Out, func(t *tabwriter.Writer) {
+	return printTable(in.Out, func(t *tabwriter.Writer) {
 		for _, s := range list {
 			fmt.Fprintf(t, "%s\t%s\t%s of %s: %s to %s\t%d of %d points in %d steps\t%s\n",
 				s.ID, s.Phase, s.Service, s.Home, s.From, s.To, s.Moved, s.Points, s.Steps, s.Reason)
@@ -120,7 +121,7 @@
 }
 
 func shiftsOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	return func(ctx context.Context, in Invocation) error {
 		client, err := c.client()
@@ -136,7 +137,7 @@
 }
 
 func abortOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	return func(ctx context.Context, in Invocation) error {
 		if len(in.Arguments) != 1 {
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -15,16 +15,16 @@
 func init() {
 	register(Command{
 		Name:    "status",
-		Summary: "show the state of the system; the first line says whether a person is needed",
+		Summary: "show the state of the system; the first line says whether an operator is needed",
 		Example: "ledgesill status -json",
-		Options: statusOptions,
+		Setup:   statusOptions,
 	})
 }
 
 func statusOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
-	local := fs.Bool("local", false, "show what the first replica of -servers knows, even if it is cut off")
+	local := fs.Bool("local", false, "show the state known to the first replica of -servers, even if it has no quorum")
 	return func(ctx context.Context, in Invocation) error {
 		client, err := c.client()
 		if err != nil {
@@ -52,31 +52,31 @@
 
 func printStatus(in Invocation, s operator.Status) error {
 	if len(s.NeedsAttention) == 0 {
-		fmt.Fprintln(in.Out, "all well, nobody is needed")
+		fmt.Fprintln(in.Out, "healthy, no attention needed")
 	} else {
 		fmt.Fprintf(in.Out, "needs attention: %s\n", strings.Join(s.NeedsAttention, "; "))
 	}
 	fmt.Fprintf(in.Out, "%s is %s in term %d, commit %d, version %d, settings version %d\n\n", s.Process, s.Role, s.Term, s.Commit, s.Version, s.SettingsAt)
-	return table(in.Out, func(t *tabwriter.Writer) {
-		fmt.Fprintln(t, "REPLICA\tADDRESS\tVOTES\tHOLDS\tSILENT")
+	return printTable(in.Out, func(t *tabwriter.Writer) {
+		fmt.Fprintln(t, "REPLICA\tADDRESS\tVOTER\tMATCH INDEX\tSILENT FOR")
 		for _, r := range s.Replicas {
-			fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%s\n", r.ID, r.Address, r.Voter, r.Match, millis(r.SilenceMillis))
+			fmt.Fprintf(t, "%s\t%s\t%t\t%d\t%s\n", r.ID, r.Address, r.Voter, r.Match, formatMillis(r.SilenceMillis))
 		}
 		for _, r := range s.Repairs {
 			fmt.Fprintf(t, "repair of %s\t\t\t%s\t\n", r.ID, r.Step)
 		}
-		fmt.Fprintln(t, "\nBOX\tZONE\tVERSION\tBEHIND\tFOR\tSILENT\tPOOLS (BUSY/SLOTS)")
+		fmt.Fprintln(t, "\nBOX\tZONE\tVERSION\tVERSIONS BEHIND\tLAG\tSILENT FOR\tPOOLS (BUSY/SLOTS)")
 		for _, b := range s.Boxes {
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", b.Name, b.Zone, b.Version, b.Behind, millis(b.LagMillis), millis(b.SilentMillis), pools(b))
+			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%s\t%s\t%s\n", b.Name, b.Zone, b.Version, b.Behind, formatMillis(b.LagMillis), formatMillis(b.SilentMillis), formatPools(b))
 		}
 	})
 }
 
-func millis(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
+func formatMillis(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
 
-func pools(b operator.Box) string {
+func formatPools(b operator.Box) string {
 	if !b.Seen {
-		return "not seen"
+		return "no report"
 	}
 	var out []string
 	for _, p := range b.Pools {
--- a/internal/command/targets.go
+++ b/internal/command/targets.go
@@ -14,14 +14,14 @@
 func init() {
 	register(Command{
 		Name:    "targets",
-		Summary: "show the targets that have registered",
+		Summary: "show the registered targets",
 		Example: "ledgesill targets -service resolver",
-		Options: targetsOptions,
+		Setup:   targetsOptions,
 	})
 }
 
 func targetsOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	service := fs.String("service", "", "only the targets of this service")
 	return func(ctx context.Context, in Invocation) error {
@@ -42,29 +42,29 @@
 		if c.JSON {
 			return printJSON(in.Out, list)
 		}
-		return table(in.Out, func(t *tabwriter.Writer) {
+		return printTable(in.Out, func(t *tabwriter.Writer) {
 			printTargets(t, list)
 		})
 	}
 }
 
-// printTargets writes a line for each target. What was issued of limits is that of the
-// replica that answered.
+// printTargets writes a line for each target. The permits issued and the permit
+// requests denied are those of the replica that answered.
 func printTargets(t io.Writer, list []operator.Target) {
 	fmt.Fprintln(t, "TARGET\tSERVICE\tZONE\tADDRESS\tSLOTS\tSTATE\tSOFTWARE\tLIMIT/S\tSAID\tISSUED\tREFUSED ASKS")
 	for _, r := range list {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", r.ID, r.Service, r.Zone, r.Address, r.Slots, targetState(r), r.Software, limitCells(r.Limit))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", r.ID, r.Service, r.Zone, r.Address, r.Slots, formatTargetState(r), r.Software, formatTargetLimit(r.Limit))
 	}
 }
 
-func limitCells(l *operator.TargetLimit) string {
+func formatTargetLimit(l *operator.TargetLimit) string {
 	if l == nil {
 		return "none\t\t\t"
 	}
-	return fmt.Sprintf("%g\t%s ago\t%d\t%d", l.PerSecond, millis(l.SaidAgoMillis), l.Issued, l.RefusedAsks)
+	return fmt.Sprintf("%g\t%s ago\t%d\t%d", l.PerSecond, formatMillis(l.SaidAgoMillis), l.Issued, l.RefusedAsks)
 }
 
-func targetState(t operator.Target) string {
+func formatTargetState(t operator.Target) string {
 	switch {
 	case t.Draining:
 		return "draining"
--- a/internal/command/targets_test.go
+++ b/internal/command/targets_test.go
@@ -11,8 +11,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// targetsAnswer is what a replica answers of two targets, one of which is rate-limited.
-const targetsAnswer = `[
+// targetsResponse is the response of a replica with two targets, one of which is
+// rate-limited.
+const targetsResponse = `[
 {"id":"i-1","service":"resolver","address":"10.1.0.1:80","zone":"a","software":"v1","slots":9,"sequence":3,
  "limit":{"perSecond":5.6,"saidAgoMillis":2100,"issued":41,"refusedAsks":12}},
 {"id":"i-2","service":"resolver","address":"10.1.0.2:80","zone":"b","software":"v1","slots":9,"sequence":3,"draining":true}]`
@@ -20,7 +21,7 @@
 func TestTargetsAreShown(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write([]byte(targetsAnswer))
+		_, _ = w.Write([]byte(targetsResponse))
 	}))
 	defer s.Close()
 	code, out, errOut := runMain(t, "targets", "-servers", strings.TrimPrefix(s.URL, "http://"))
--- a/internal/command/timeline.go
+++ b/internal/command/timeline.go
@@ -16,14 +16,14 @@
 func init() {
 	register(Command{
 		Name:    "timeline",
-		Summary: "show the events of all processes in one order",
+		Summary: "show the events of all processes in timestamp order",
 		Example: "ledgesill timeline -change rollout-7\nledgesill timeline -box fp-1",
-		Options: timelineOptions,
+		Setup:   timelineOptions,
 	})
 }
 
 func timelineOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	request := fs.String("request", "", "only events of this request id")
 	change := fs.String("change", "", "only events of this change id")
@@ -48,17 +48,17 @@
 
 func printTimeline(in Invocation, got operator.Timeline) error {
 	if len(got.Missing) > 0 {
-		fmt.Fprintf(in.Err, "no answer from %s; their events are missing\n", strings.Join(got.Missing, ", "))
+		fmt.Fprintf(in.Err, "no response from %s; their events are missing\n", strings.Join(got.Missing, ", "))
 	}
-	return table(in.Out, func(t *tabwriter.Writer) {
+	return printTable(in.Out, func(t *tabwriter.Writer) {
 		for _, e := range got.Events {
 			at := time.UnixMilli(e.TimeUnixMilli).UTC().Format("2006-01-02T15:04:05.000Z")
-			fmt.Fprintf(t, "%s.%d\t%s\t%s\t%s\n", at, e.Logical, e.Process, e.Kind, about(e))
+			fmt.Fprintf(t, "%s.%d\t%s\t%s\t%s\n", at, e.Logical, e.Process, e.Kind, formatEventDetails(e))
 		}
 	})
 }
 
-func about(e operator.Event) string {
+func formatEventDetails(e operator.Event) string {
 	var out []string
 	add := func(name, value string) {
 		if value != "" {
--- a/internal/command/workspaces.go
+++ b/internal/command/workspaces.go
@@ -14,17 +14,17 @@
 func init() {
 	register(Command{
 		Name:    "workspaces",
-		Summary: "show the limits of workspaces and what is used of them",
+		Summary: "show the rate limits of workspaces and their usage",
 		Example: "ledgesill workspaces -workspace shop -parts",
-		Options: workspacesOptions,
+		Setup:   workspacesOptions,
 	})
 }
 
 func workspacesOptions(fs *flag.FlagSet) func(context.Context, Invocation) error {
-	var c connection
+	var c clientFlags
 	c.register(fs)
 	name := fs.String("workspace", "", "only this workspace")
-	parts := fs.Bool("parts", false, "show what each control replica holds of a limit")
+	parts := fs.Bool("parts", false, "show the share of each limit that each control replica holds")
 	return func(ctx context.Context, in Invocation) error {
 		client, err := c.client()
 		if err != nil {
@@ -35,7 +35,7 @@
 			return err
 		}
 		if *name != "" {
-			got.Workspaces = only(got.Workspaces, *name)
+			got.Workspaces = filterWorkspaces(got.Workspaces, *name)
 		}
 		if c.JSON {
 			return printJSON(in.Out, got)
@@ -44,7 +44,7 @@
 	}
 }
 
-func only(list []operator.WorkspaceUsage, name string) []operator.WorkspaceUsage {
+func filterWorkspaces(list []operator.WorkspaceUsage, name string) []operator.WorkspaceUsage {
 	out := []operator.WorkspaceUsage{}
 	for _, w := range list {
 		if w.Name == name {
@@ -58,10 +58,10 @@
 	if len(got.Missing) > 0 {
 		fmt.Fprintf(in.Out, "not counted, as they do not answer: %s\n\n", strings.Join(got.Missing, ", "))
 	}
-	return table(in.Out, func(t *tabwriter.Writer) {
+	return printTable(in.Out, func(t *tabwriter.Writer) {
 		fmt.Fprintln(t, "WORKSPACE\tLIMIT/S\tBURST\tISSUED/S\tREFUSED ASKS/S\tISSUED\tREFUSED ASKS")
 		for _, w := range got.Workspaces {
-			fmt.Fprintf(t, "%s\t%s\t%g\t%.1f\t%.1f\t%d\t%d\n", w.Name, limitText(w.PerSecond), w.Burst, w.IssuedPerSecond, w.RefusedPerSecond, w.Issued, w.Refused)
+			fmt.Fprintf(t, "%s\t%s\t%g\t%.1f\t%.1f\t%d\t%d\n", w.Name, formatWorkspaceLimit(w.PerSecond), w.Burst, w.IssuedPerSecond, w.RefusedPerSecond, w.Issued, w.Refused)
 		}
 		if !parts {
 			return
@@ -69,13 +69,13 @@
 		fmt.Fprintln(t, "\nWORKSPACE\tREPLICA\tPART/S\tROOM\tISSUED/S\tREFUSED ASKS/S\tDOCUMENT\tHEARD OF CONTROL")
 		for _, w := range got.Workspaces {
 			for _, p := range w.Parts {
-				fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s ago\n", w.Name, p.Replica, p.PerSecond, p.Room, p.IssuedPerSecond, p.RefusedPerSecond, p.Number, millis(p.AgeMillis))
+				fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s ago\n", w.Name, p.Replica, p.PerSecond, p.Room, p.IssuedPerSecond, p.RefusedPerSecond, p.Number, formatMillis(p.AgeMillis))
 			}
 		}
 	})
 }
 
-func limitText(perSecond float64) string {
+func formatWorkspaceLimit(perSecond float64) string {
 	if perSecond <= 0 {
 		return "none"
 	}
--- a/internal/command/workspaces_test.go
+++ b/internal/command/workspaces_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// workspacesAnswer is what a replica answers of two workspaces, one of whose parts is
-// not counted.
-const workspacesAnswer = `{"workspaces":[
+// workspacesResponse is the response of a replica with two workspaces; another
+// replica did not answer, so that its shares are missing.
+const workspacesResponse = `{"workspaces":[
 {"name":"north","perSecond":50,"burst":3,"issuedPerSecond":12.4,"refusedPerSecond":0.2,"issued":310,"refused":5,"parts":[
  {"replica":"127.0.0.1:7001","number":4,"ageMillis":120,"perSecond":25,"room":3.5,"issuedPerSecond":12.4,"refusedPerSecond":0.2}]},
 {"name":"south","perSecond":0,"burst":0,"issuedPerSecond":0,"refusedPerSecond":0,"issued":0,"refused":0,"parts":[]}],
@@ -23,10 +23,10 @@
 func TestWorkspacesAreShown(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/workspaces" {
-			t.Errorf("asked for %s", r.URL.Path)
+			t.Errorf("got a request for %s", r.URL.Path)
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write([]byte(workspacesAnswer))
+		_, _ = w.Write([]byte(workspacesResponse))
 	}))
 	defer s.Close()
 	code, out, errOut := runMain(t, "workspaces", "-servers", strings.TrimPrefix(s.URL, "http://"), "-parts")
--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
-// Command ledgesill is the traffic steering system: the daemons of control
-// replicas and entry boxes and the commands of operators.
+// Command ledgesill steers traffic between regions. It contains the daemons of the
+// control replicas and entry boxes and the commands for operators.
 package main
 
 import (
