--- a/contrib/measure/figures.go
+++ b/contrib/measure/figures.go
@@ -69,12 +69,12 @@
 func (s *sim) planShifts() {
 	s.after(shiftInterval, s.planShifts)
 	for _, region := range s.layout.Regions {
-		r := shift.Reading{Service: s.service.Name, Region: region, At: s.now.Add(-reportLag)}
+		r := shift.Measurement{Service: s.service.Name, Region: region, At: s.now.Add(-reportLag)}
 		for _, p := range s.order {
 			if p.region == region && !p.dead {
 				load := p.machine.Load(s.now)
 				r.Capacity += float64(load.Capacity)
-				r.Carried += float64(load.Busy + load.Waiting)
+				r.InUse += float64(load.Busy + load.Waiting)
 			}
 		}
 		if !s.mute {
@@ -92,7 +92,7 @@
 func (s *sim) logOverCap() {
 	for _, home := range s.layout.Regions {
 		limit := s.values(s.order[0]).ShiftCapShare * lookup.Points / 100
-		moving := int(shift.Outstanding(s.now, s.state, s.service.Name, home))
+		moving := int(shift.UnsettledPoints(s.now, s.state, s.service.Name, home))
 		s.figures.overCap = max(s.figures.overCap, moving-limit)
 	}
 }
--- a/contrib/measure/limits.go
+++ b/contrib/measure/limits.go
@@ -182,9 +182,9 @@
 			list[i].SetLimits(start, 1, []catalog.Workspace{{Name: "w", Limit: l}})
 			names = append(names, fmt.Sprint(i))
 		}
-		boxes := make([]*quota.Stock, limitBoxes)
+		boxes := make([]*quota.PermitCache, limitBoxes)
 		for i := range boxes {
-			boxes[i] = quota.NewStock()
+			boxes[i] = quota.NewPermitCache()
 			boxes[i].SetIssuers(names)
 		}
 		reaches := func(now time.Duration, box, issuer int) bool {
@@ -199,7 +199,7 @@
 		return func(at time.Duration, box int) (allowed bool, asks int) {
 			now := start.Add(at)
 			b := boxes[box]
-			b.Count(now, "w")
+			b.RecordRequest(now, "w")
 			for range issuers + 1 {
 				if _, ok := b.Take(now, "w"); ok {
 					return true, asks
@@ -207,19 +207,19 @@
 				if b.Refusal(now, "w") != nil {
 					return false, asks
 				}
-				b.Wait("w")
-				for _, a := range b.Asks(now) {
+				b.AddWaiter("w")
+				for _, a := range b.StartCalls(now) {
 					asks++
 					var i int
 					_, _ = fmt.Sscan(a.Address, &i) // a number that was printed above
-					grants, err := list[i].Issue(now, 1, a.Asks)
+					grants, err := list[i].Issue(now, 1, a.Requests)
 					if err != nil || !reaches(at, box, i) {
-						b.Unanswered(now, a)
+						b.HandleFailure(now, a)
 						continue
 					}
-					b.Answered(now, a, grants)
+					b.HandleGrants(now, a, grants)
 				}
-				b.Unwait("w")
+				b.RemoveWaiter("w")
 			}
 			return false, asks
 		}
--- a/contrib/measure/objects.go
+++ b/contrib/measure/objects.go
@@ -196,9 +196,9 @@
 
 func (b *objectBox) ask(r *objectRequest) {
 	s := b.sim
-	q := balance.Request{Service: "s", Route: objectKind, Objective: s.layout.objective, Left: s.layout.objective}
+	q := balance.Request{Service: "s", Route: objectKind, Objective: s.layout.objective, Remaining: s.layout.objective}
 	if s.affinity {
-		q.Key = r.key
+		q.AffinityKey = r.key
 	}
 	choice, err := b.choose(q)
 	var none *balance.NoTargetError
@@ -227,7 +227,7 @@
 // choose chooses a target and passes over rate-limited ones that have no permit now.
 func (b *objectBox) choose(q balance.Request) (balance.Choice, error) {
 	for passed := 0; ; passed++ {
-		q.Unlimited = passed >= maxSkippedLimitedObject
+		q.ExcludeLimited = passed >= maxSkippedLimitedObject
 		choice, err := b.balancer.Choose(b.sim.now, q)
 		if err != nil || !choice.Limited {
 			return choice, err
--- a/contrib/measure/objectscenarios.go
+++ b/contrib/measure/objectscenarios.go
@@ -152,7 +152,7 @@
 	s := newObjectSim(c.layout, c.affinity, seed)
 	s.load = loadOf(c.scenario.load, len(c.layout.regions))
 	for _, b := range s.boxes {
-		b.balancer.SetCold("s", balance.ColdLimit{Time: newTargetTime, Rate: float64(c.layout.slots)})
+		b.balancer.SetColdLimit("s", balance.ColdLimit{Time: newTargetTime, Rate: float64(c.layout.slots)})
 	}
 	c.scenario.plan(s)
 	s.run(objectTime)
--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -73,7 +73,7 @@
 	if s.baseline {
 		places = 1
 	}
-	r.config = routing.Config{Places: places, Origin: true, Repeatable: r.repeatable, Deadline: r.deadline}
+	r.config = routing.Config{Pools: places, AtOrigin: true, Repeatable: r.repeatable, Deadline: r.deadline}
 	r.failover = routing.NewFailover(r.config, s.budget)
 	r.path = s.layout.CallerDelay + s.delay(region, r.choices[0])
 	s.after(r.path, r.visit)
@@ -85,7 +85,7 @@
 	if c, ok := s.caches[r.block]; ok && s.now.Before(c.until) {
 		return c.choices
 	}
-	choices := s.table.Choose(s.service.Name, r.home, r.block, routing.MaxPlaces, func(b settings.Box) bool { return !s.pools[b.Zone].dead })
+	choices := s.table.Choose(s.service.Name, r.home, r.block, routing.MaxPools, func(b settings.Box) bool { return !s.pools[b.Zone].dead })
 	ttl := s.state.Tree().Values(settings.Path{Service: s.service.Name}).AnswerTTL
 	s.caches[r.block] = cached{choices, s.now.Add(ttl)}
 	return choices
@@ -137,8 +137,8 @@
 		v.request.placeEnded(out.Final, v.after)
 		return
 	}
-	if !out.Wake.IsZero() {
-		s.at(out.Wake, func() { v.carryOut(v.plan.Tick(s.now)) })
+	if !out.NextTick.IsZero() {
+		s.at(out.NextTick, func() { v.carryOut(v.plan.Tick(s.now)) })
 	}
 }
 
@@ -152,7 +152,7 @@
 	if r.repeatable {
 		class = admission.Repeatable
 	}
-	foreign := s.table.Assigned(s.service.Name, r.home, r.block) != v.pool.region
+	foreign := s.table.AssignedRegion(s.service.Name, r.home, r.block) != v.pool.region
 	s.handle(v.pool, admission.Arrive{ID: a.id, Class: class, Deadline: r.deadline, Foreign: foreign, Exclude: v.exclude, NoWait: r.noWait()})
 }
 
@@ -197,28 +197,28 @@
 	})
 }
 
-func (s *sim) finished(p *pool, a *attempt, result admission.Result, end retry.End) {
+func (s *sim) finished(p *pool, a *attempt, result admission.Result, end retry.AttemptResult) {
 	s.handle(p, admission.Finish{ID: a.id, Result: result, Latency: s.now.Sub(a.began)})
 	a.end(end, 0)
 }
 
-func (a *attempt) end(end retry.End, retryAfter time.Duration) {
+func (a *attempt) end(end retry.AttemptResult, retryAfter time.Duration) {
 	if a.over {
 		return
 	}
 	a.over = true
 	a.visit.after = retryAfter
-	a.visit.carryOut(a.visit.plan.Ended(a.visit.request.sim.now, a.number, end))
+	a.visit.carryOut(a.visit.plan.HandleResult(a.visit.request.sim.now, a.number, end))
 }
 
 // placeEnded takes the answer of a place and goes on as the failover decides.
 func (r *request) placeEnded(v retry.Verdict, retryAfter time.Duration) {
 	s := r.sim
-	d := r.failover.Ended(s.now, routing.Result{Verdict: v, RetryAfter: retryAfter})
-	if d.Keep {
+	d := r.failover.HandleResult(s.now, routing.Result{Verdict: v, RetryAfter: retryAfter})
+	if d.KeepResult {
 		r.kept = v
 	}
-	if d.Next {
+	if d.TryNext {
 		r.place++
 		hop := s.layout.ZoneDelay
 		if r.choices[r.place].Region != r.choices[0].Region {
--- a/contrib/measure/sim.go
+++ b/contrib/measure/sim.go
@@ -140,7 +140,7 @@
 	s.pools[z.Name] = p
 	s.order = append(s.order, p)
 	s.configure(p)
-	s.handle(p, admission.Hold{Until: s.now.Add(time.Hour)})
+	s.handle(p, admission.SetLease{Until: s.now.Add(time.Hour)})
 	s.after(s.jitter(s.values(p).ReportInterval), func() { s.measure(p) })
 }
 
@@ -225,11 +225,11 @@
 		delete(p.waiting, r.ID)
 		a.end(retry.Refused, r.RetryAfter)
 	}
-	if out.Wake.IsZero() || (!p.wakeAt.IsZero() && p.wakeAt.After(s.now) && !out.Wake.Before(p.wakeAt)) {
+	if out.NextTick.IsZero() || (!p.wakeAt.IsZero() && p.wakeAt.After(s.now) && !out.NextTick.Before(p.wakeAt)) {
 		return
 	}
-	p.wakeAt = out.Wake
-	s.at(out.Wake, func() { s.handle(p, admission.Tick{}) })
+	p.wakeAt = out.NextTick
+	s.at(out.NextTick, func() { s.handle(p, admission.Tick{}) })
 }
 
 // measure reads the targets' reports; what they say arrives late.
@@ -240,7 +240,7 @@
 		return
 	}
 	for _, t := range p.order {
-		m := admission.Measure{Target: t.name, Ready: !t.dead, Draining: t.draining, Busy: t.busy, Cold: s.now.Before(t.coldTo)}
+		m := admission.HealthReport{Target: t.name, Ready: !t.dead, Draining: t.draining, Busy: t.busy, Cold: s.now.Before(t.coldTo)}
 		s.after(reportLag, func() { s.handle(p, m) })
 	}
 }
--- a/internal/command/gateway.go
+++ b/internal/command/gateway.go
@@ -26,25 +26,25 @@
 		return &ExitError{ExitUsage, err}
 	}
 	d, err := gateway.Open(gateway.Config{
-		Name:         c.Name,
-		Zone:         c.Zone,
-		Region:       c.Region,
-		RegionOf:     c.RegionOf,
-		Callers:      c.CallerAddress,
-		Ready:        c.ReadyAddress,
-		Metrics:      c.OperatorAddress,
-		Peers:        c.PeerAddress,
-		Seeds:        c.Controls,
-		Protocol:     gateway.OwnProtocol(),
-		DecodeRoutes: catalog.ParseDocument,
-		RetryShare:   c.RetryShare / 100,
-		RetryExtra:   c.RetryExtra,
-		RetryWindow:  c.RetryWindow,
-		Restarted:    true, // the first start of a system can't be told from a later one
-		LinkBytes:    c.LinkBytes,
-		StopTime:     c.StopTime,
-		LogLevel:     c.Level(),
-		ReadyHandler: gateway.ReadyHandler,
+		Name:           c.Name,
+		Zone:           c.Zone,
+		Region:         c.Region,
+		RegionOf:       c.RegionOf,
+		CallerAddress:  c.CallerAddress,
+		ReadyAddress:   c.ReadyAddress,
+		MetricsAddress: c.OperatorAddress,
+		PeerAddress:    c.PeerAddress,
+		Seeds:          c.Controls,
+		Protocol:       gateway.NativeProtocol(),
+		DecodeRoutes:   catalog.ParseDocument,
+		RetryShare:     c.RetryShare / 100,
+		RetryExtra:     c.RetryExtra,
+		RetryWindow:    c.RetryWindow,
+		Restarted:      true, // the first start of a system can't be told from a later one
+		LinkBytes:      c.LinkBytes,
+		StopTime:       c.StopTime,
+		LogLevel:       c.Level(),
+		ReadyHandler:   gateway.ReadyHandler,
 	}, in.Out)
 	if err != nil {
 		return err
--- a/internal/command/quarantine.go
+++ b/internal/command/quarantine.go
@@ -63,7 +63,7 @@
 		fmt.Fprintln(t, "DIGEST\tSTATE\tCALLERS\tROUTE\tSERVICE\tUNTIL\tCRASHED TARGETS")
 		for _, q := range got {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", q.Digest, choose(q.Held, "held", "watched"), choose(q.AllCallers, "all", "one"),
-				q.Route, q.Service, time.UnixMilli(q.UntilUnixMilli).UTC().Format(time.RFC3339), strings.Join(q.EndedTargets, ", "))
+				q.Route, q.Service, time.UnixMilli(q.UntilUnixMilli).UTC().Format(time.RFC3339), strings.Join(q.CrashedTargets, ", "))
 		}
 	})
 }
--- a/internal/command/set.go
+++ b/internal/command/set.go
@@ -132,8 +132,8 @@
 		return nil
 	}
 	text := v.Detail
-	if len(v.Clashes) > 0 {
-		text += "; also changed since: " + strings.Join(v.Clashes, ", ")
+	if len(v.Conflicts) > 0 {
+		text += "; also changed since: " + strings.Join(v.Conflicts, ", ")
 	}
 	return &ExitError{ExitRejected, fmt.Errorf("change %s was not accepted (%s): %s", v.ID, v.Verdict, text)}
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -56,7 +56,7 @@
 	} else {
 		fmt.Fprintf(in.Out, "needs attention: %s\n", strings.Join(s.NeedsAttention, "; "))
 	}
-	fmt.Fprintf(in.Out, "%s is %s in term %d, commit %d, version %d, settings version %d\n\n", s.Process, s.Role, s.Term, s.Commit, s.Version, s.SettingsAt)
+	fmt.Fprintf(in.Out, "%s is %s in term %d, commit %d, version %d, settings version %d\n\n", s.Process, s.Role, s.Term, s.Commit, s.Version, s.SettingsVersion)
 	return printTable(in.Out, func(t *tabwriter.Writer) {
 		fmt.Fprintln(t, "REPLICA\tADDRESS\tVOTER\tMATCH INDEX\tSILENT FOR")
 		for _, r := range s.Replicas {
@@ -75,7 +75,7 @@
 func formatMillis(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
 
 func formatPools(b operator.Box) string {
-	if !b.Seen {
+	if !b.Reported {
 		return "no report"
 	}
 	var out []string
--- a/internal/command/targets.go
+++ b/internal/command/targets.go
@@ -61,7 +61,7 @@
 	if l == nil {
 		return "none\t\t\t"
 	}
-	return fmt.Sprintf("%g\t%s ago\t%d\t%d", l.PerSecond, formatMillis(l.SaidAgoMillis), l.Issued, l.RefusedAsks)
+	return fmt.Sprintf("%g\t%s ago\t%d\t%d", l.PerSecond, formatMillis(l.ReportedAgoMillis), l.Issued, l.DeniedRequests)
 }
 
 func formatTargetState(t operator.Target) string {
@@ -70,7 +70,7 @@
 		return "draining"
 	case t.Leaving:
 		return "leaving"
-	case t.ColdMillis > 0:
+	case t.WarmupMillis > 0:
 		return "cold"
 	}
 	return "serving"
--- a/internal/command/workspaces.go
+++ b/internal/command/workspaces.go
@@ -61,15 +61,15 @@
 	return printTable(in.Out, func(t *tabwriter.Writer) {
 		fmt.Fprintln(t, "WORKSPACE\tLIMIT/S\tBURST\tISSUED/S\tREFUSED ASKS/S\tISSUED\tREFUSED ASKS")
 		for _, w := range got.Workspaces {
-			fmt.Fprintf(t, "%s\t%s\t%g\t%.1f\t%.1f\t%d\t%d\n", w.Name, formatWorkspaceLimit(w.PerSecond), w.Burst, w.IssuedPerSecond, w.RefusedPerSecond, w.Issued, w.Refused)
+			fmt.Fprintf(t, "%s\t%s\t%g\t%.1f\t%.1f\t%d\t%d\n", w.Name, formatWorkspaceLimit(w.PerSecond), w.Burst, w.IssuedPerSecond, w.DeniedPerSecond, w.Issued, w.Denied)
 		}
 		if !parts {
 			return
 		}
 		fmt.Fprintln(t, "\nWORKSPACE\tREPLICA\tPART/S\tROOM\tISSUED/S\tREFUSED ASKS/S\tDOCUMENT\tHEARD OF CONTROL")
 		for _, w := range got.Workspaces {
-			for _, p := range w.Parts {
-				fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s ago\n", w.Name, p.Replica, p.PerSecond, p.Room, p.IssuedPerSecond, p.RefusedPerSecond, p.Number, formatMillis(p.AgeMillis))
+			for _, p := range w.Shares {
+				fmt.Fprintf(t, "%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s ago\n", w.Name, p.Replica, p.PerSecond, p.Available, p.IssuedPerSecond, p.DeniedPerSecond, p.Number, formatMillis(p.AgeMillis))
 			}
 		}
 	})
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -108,7 +108,7 @@
 
 // answerReads answers the reads whose state is applied.
 func (r *replica) answerReads() {
-	r.readsDue = slices.DeleteFunc(r.readsDue, func(a consensus.ReadReady) bool {
+	r.readsDue = slices.DeleteFunc(r.readsDue, func(a consensus.ReadResult) bool {
 		if a.Err == nil && a.Index > r.applied && len(r.committed) > 0 {
 			return false
 		}
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -58,7 +58,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.joining[r.Address].GetId() != r.Id {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "replicaJoining", Box: r.Id, Detail: "a replica on a new disk asks to be taken in at " + r.Address})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "replicaJoining", Box: r.Id, Detail: "a replica on a new disk asks to be taken in at " + r.Address})
 	}
 	d.joining[r.Address] = r
 }
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -106,7 +106,7 @@
 // some have a line in the log.
 func (d *Daemon) NoteUnread(id string, cause error) {
 	d.unreadUpdates.Inc()
-	if !d.unreadLines.Take(d.clock.Now()) {
+	if !d.unreadLines.Allow(d.clock.Now()) {
 		return
 	}
 	d.process.Log.Warn().Str("kind", "registration").Str("target", id).Err(cause).Msg("registration update rejected")
@@ -187,12 +187,12 @@
 }
 
 // servingNow returns the boxes that serve callers by their latest reports.
-func (d *Daemon) servingNow() []lookup.Nearby {
-	var out []lookup.Nearby
-	fresh := lookup.ReportFresh(len(d.Boxes(recentReports)))
+func (d *Daemon) servingNow() []lookup.BoxLocation {
+	var out []lookup.BoxLocation
+	fresh := lookup.ReportValidity(len(d.Boxes(recentReports)))
 	for _, b := range d.Boxes(fresh) {
 		if b.CallerAddress != "" && !b.Stopping {
-			out = append(out, lookup.Nearby{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
+			out = append(out, lookup.BoxLocation{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
 		}
 	}
 	return out
@@ -203,12 +203,12 @@
 func (d *Daemon) hasLearned() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.learning.Done(d.clock.Now())
+	return d.learning.Ready(d.clock.Now())
 }
 
 // collect takes the reports of boxes.
 func (d *Daemon) collect(r *wire.Report) {
-	d.publishing.Collect(r)
+	d.publishing.AddReports(r)
 	d.takeUpdates(r.Limits)
 	for _, b := range r.Boxes {
 		d.serving.heard(b)
@@ -218,7 +218,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learning.Heard(d.clock.Now())
+	d.learning.BoxReported(d.clock.Now())
 }
 
 // forPublishing returns a command that led to a state as publishers take it: the
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -36,7 +36,7 @@
 	replica    *replica
 	node       *link.Node
 	transport  *transport
-	publishing *relay.Publishing
+	publishing *relay.Publisher
 	permits    *permits
 	// targetLimits are about targets that name limits.
 	targetLimits  *targetLimits
@@ -49,7 +49,7 @@
 	// unreadUpdates counts registration updates that can't be used, and unreadLines
 	// bounds their log lines.
 	unreadUpdates prometheus.Counter
-	unreadLines   *process.LineLimit
+	unreadLines   *process.LineLimiter
 	operators     net.Listener
 	extra         []process.Service
 
@@ -69,14 +69,14 @@
 	repairs   map[string]consensus.RepairStep
 	lagging   map[string]time.Time
 	shifts    map[string]string // why a shift waits
-	learning  *lookup.Learning
+	learning  *lookup.StartupGate
 }
 
 // Open recovers the replica and listens. Run must follow.
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
-	if err := journal.MakeFolder(c.DataDir); err != nil {
+	if err := journal.MakeDir(c.DataDir); err != nil {
 		return nil, fmt.Errorf("making the data folder: %w", err)
 	}
 	events := c.DataDir
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("opening the data folder: %w", err), p.Close())
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d := &Daemon{
 		config:    c,
 		clock:     c.Clock,
@@ -121,12 +121,12 @@
 	}
 	r.clock, r.inbox.clock = d.clock, d.clock
 	d.replica = r
-	d.learning = lookup.NewLearning(len(r.machine.Membership().GetVoters()) > 0)
-	if found.CutBytes > 0 {
-		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.CutBytes)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
+	d.learning = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
+	if found.TruncatedBytes > 0 {
+		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
-	d.publishing = relay.NewPublishing(r.state, d.age, d.process.Clock.Stamp)
+	d.publishing = relay.NewPublisher(r.state, d.age, d.process.Clock.Stamp)
 	d.targetLimits = newTargetLimits(d.config.PeerAddress)
 	d.publishing.SetLimits(d.targetLimits.since)
 	d.publishing.SetClock(d.clock)
@@ -145,7 +145,7 @@
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.LinkRefused}
+	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.RecordRefusedLink}
 	listen := cmp.Or(d.config.PeerListenAddress, d.config.PeerAddress)
 	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, secure); err != nil {
 		return err
@@ -163,7 +163,7 @@
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
 	d.unreadUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
-	d.unreadLines = process.NewLineLimit(unreadLinesPerSecond)
+	d.unreadLines = process.NewLineLimiter(unreadLinesPerSecond)
 	settled := d.process.Counter("changes_settled_total", "Changes that got a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
@@ -171,7 +171,7 @@
 	}
 	d.replica.publish = func(s steering.State, commands []*wire.Command) {
 		d.permits.put(s)
-		d.publishing.Put(s, commands)
+		d.publishing.SetState(s, commands)
 	}
 	d.replica.synced = func(took time.Duration) {
 		syncs.Inc()
@@ -185,7 +185,7 @@
 			d.recordContact(0) // what subscribers are told would else lag by viewInterval
 		}
 		detail := fmt.Sprintf("%s in term %d: %s", n.Role, n.Term, n.Reason)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
 	}
 	d.replica.settled = func(c *wire.Command, result steering.Result) {
 		d.recordSettled(c, result)
@@ -243,7 +243,7 @@
 	root.Add(process.Service{Name: "publishing", Run: d.publishing.Run})
 	root.Add(process.Service{Name: "words", Run: d.registrations.run})
 	root.Add(process.Service{Name: "quarantine", Run: d.keepQuarantine})
-	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
+	root.Add(process.Service{Name: "suspensions", Run: d.process.LogSuspensions})
 	root.Add(process.Service{Name: "forming", Run: d.form})
 	root.Add(process.Service{Name: "repair", Run: d.every(repairInterval, d.repair)})
 	root.Add(process.Service{Name: "shifts", Run: d.planShifts})
@@ -389,7 +389,7 @@
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publishing.Reports(), v.state.Shifting())}
+	report := &wire.Report{Boxes: d.filter.Filter(d.clock.Now(), d.publishing.Reports(), v.state.HasRunningShift())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -64,7 +64,7 @@
 			delete(d.names, name)
 			return nil
 		},
-		SyncFolder: func(string) error {
+		SyncDir: func(string) error {
 			if err := d.before("syncFolder", ""); err != nil {
 				return err
 			}
--- a/internal/control/forming.go
+++ b/internal/control/forming.go
@@ -69,7 +69,7 @@
 		}
 	}
 	slices.SortFunc(first.Voters, func(a, b *wire.Replica) int { return strings.Compare(a.Id, b.Id) })
-	d.process.StateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
+	d.process.RecordStateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
 	_ = d.replica.inbox.put(ctx, bootstrap{first}) // sought again if the context ends
 }
 
@@ -195,7 +195,7 @@
 		return
 	}
 	if next := consensus.NextRemoval(v.membership, v.status, d.config.ToleratedDiskLosses); next != nil {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "removal", Detail: "lets a replica go that has been silent for long"})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "removal", Detail: "lets a replica go that has been silent for long"})
 		d.changeMembership(ctx, next)
 	}
 }
@@ -228,7 +228,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.repairs[j.Id] != step {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "repair", Box: j.Id, Detail: string(step)})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "repair", Box: j.Id, Detail: string(step)})
 	}
 	d.repairs[j.Id] = step
 	if step == consensus.RepairFinished {
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -36,7 +36,7 @@
 	if p.issuer == nil {
 		p.issuer = quota.NewIssuer(p.bound, parts)
 	}
-	p.issuer.SetParts(now, parts)
+	p.issuer.SetReplicaCount(now, parts)
 	p.refresh(now)
 }
 
@@ -47,7 +47,7 @@
 		return
 	}
 	text := s.Catalog().Document()
-	if text.GetNumber() == p.issuer.Number() {
+	if text.GetNumber() == p.issuer.DocumentNumber() {
 		return
 	}
 	d, err := p.document.read(text)
@@ -59,9 +59,9 @@
 
 // issue answers a box.
 func (p *permits) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
-	asks := make([]quota.Ask, 0, len(r.Asks))
+	asks := make([]quota.SubjectRequest, 0, len(r.Asks))
 	for _, a := range r.Asks {
-		asks = append(asks, quota.Ask{Of: a.Workspace, Count: int(a.Count)})
+		asks = append(asks, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -80,7 +80,7 @@
 	out := make([]*wire.PermitGrant, 0, len(grants))
 	for _, g := range grants {
 		out = append(out, &wire.PermitGrant{
-			Workspace: g.Of, Count: uint32(g.Count), LifeMilli: g.Life.Milliseconds(), WaitMilli: g.Wait.Milliseconds(),
+			Workspace: g.Subject, Count: uint32(g.Count), LifeMilli: g.TTL.Milliseconds(), WaitMilli: g.RetryAfter.Milliseconds(),
 		})
 	}
 	return out
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -36,12 +36,12 @@
 	knownAt, refusedAt time.Time
 
 	mu     sync.Mutex
-	ledger *quarantine.Ledger
+	ledger *quarantine.EvidenceStore
 	due    chan struct{}
 }
 
 func newSuspicions() *suspicions {
-	return &suspicions{ledger: quarantine.NewLedger(), due: make(chan struct{}, 1)}
+	return &suspicions{ledger: quarantine.NewEvidenceStore(), due: make(chan struct{}, 1)}
 }
 
 func (s *suspicions) wake() {
@@ -57,29 +57,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range e.Ends {
-		end := quarantine.End{
-			Caller: quarantine.Caller(r.Caller), Life: r.Life, Route: r.Route, Service: r.Service,
+		end := quarantine.Crash{
+			Caller: quarantine.Caller(r.Caller), Incarnation: r.Life, Route: r.Route, Service: r.Service,
 			Began: ago(r.BeganAgoMilli), Ended: ago(r.EndedAgoMilli),
 		}
 		copy(end.Request[:], r.Digest)
-		s.ledger.Ended(now, end)
+		s.ledger.RecordCrash(now, end)
 	}
 	for _, a := range e.Answers {
 		var d quarantine.Digest
 		copy(d[:], a.Digest)
-		s.ledger.Answered(now, d, quarantine.Caller(a.Caller), ago(a.EndedAgoMilli))
+		s.ledger.RecordAnswer(now, d, quarantine.Caller(a.Caller), ago(a.EndedAgoMilli))
 	}
 	s.wake()
 }
 
 // orders returns what is due, given the list in force; wall is the time of day.
-func (s *suspicions) orders(now, wall time.Time, list []*wire.Quarantined) []quarantine.Order {
+func (s *suspicions) orders(now, wall time.Time, list []*wire.Quarantined) []quarantine.ListChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Len() == 0 && len(list) == 0 {
 		return nil
 	}
-	return s.ledger.Due(now, wall, quarantine.EntriesOf(list))
+	return s.ledger.PendingChanges(now, wall, quarantine.EntriesOf(list))
 }
 
 func (s *suspicions) len() int {
@@ -190,7 +190,7 @@
 }
 
 // settleOrder has an order settled and reports whether that is known.
-func (d *Daemon) settleOrder(ctx context.Context, o quarantine.Order) bool {
+func (d *Daemon) settleOrder(ctx context.Context, o quarantine.ListChange) bool {
 	command := &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}
 	_, err := d.replica.submit(ctx, &wire.Command{Quarantine: command})
 	line := d.process.Log.Warn()
@@ -199,11 +199,11 @@
 	}
 	line.Str("kind", "quarantine").Str("digest", o.Entry.Request.String()).Str("action", actionName(o)).Str("reason", o.Reason).
 		Str("route", o.Entry.Route).Str("service", o.Entry.Service).Bool("allCallers", o.Entry.Caller == quarantine.AnyCaller).
-		Strs("endedTargets", o.Entry.Lives).Time("until", o.Entry.Until).Msg("a request under which targets ended")
+		Strs("endedTargets", o.Entry.CrashedTargets).Time("until", o.Entry.Until).Msg("a request under which targets ended")
 	return err == nil
 }
 
-func actionName(o quarantine.Order) string {
+func actionName(o quarantine.ListChange) string {
 	switch {
 	case o.Release:
 		return "release"
@@ -223,7 +223,7 @@
 	for _, e := range quarantine.EntriesOf(state.Quarantined()) {
 		out = append(out, operator.Quarantined{
 			Digest: e.Request.String(), AllCallers: e.Caller == quarantine.AnyCaller, Held: e.Held, Route: e.Route, Service: e.Service,
-			EndedTargets: e.Lives, UntilUnixMilli: e.Until.UnixMilli(),
+			CrashedTargets: e.CrashedTargets, UntilUnixMilli: e.Until.UnixMilli(),
 		})
 	}
 	_ = c.JSON(out) // the client sees a broken answer
--- a/internal/control/repeatedupdates_test.go
+++ b/internal/control/repeatedupdates_test.go
@@ -65,10 +65,10 @@
 
 // BenchmarkServingBoxes makes the list of boxes for look-ups of 270 reports.
 func BenchmarkServingBoxes(b *testing.B) {
-	d := &Daemon{publishing: relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
+	d := &Daemon{publishing: relay.NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
 	for i := range 270 {
 		name := fmt.Sprint("box", i)
-		d.publishing.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
+		d.publishing.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
 	}
 	for b.Loop() {
 		d.servingNow()
@@ -80,9 +80,9 @@
 func TestServingBoxesAreKeptForAMoment(t *testing.T) {
 	var s servingBoxes
 	made := 0
-	fill := func() []lookup.Nearby {
+	fill := func() []lookup.BoxLocation {
 		made++
-		return []lookup.Nearby{{Address: "a"}}
+		return []lookup.BoxLocation{{Address: "a"}}
 	}
 	now := time.Now()
 	check := func(want int, after time.Duration, why string) {
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -39,7 +39,7 @@
 	// committed are entries that are not applied yet, and readsDue the reads that
 	// wait for some of them.
 	committed []*wire.Entry
-	readsDue  []consensus.ReadReady
+	readsDue  []consensus.ReadResult
 	// proposed are commands that are handed to the machine together.
 	proposed []consensus.Propose
 
@@ -261,7 +261,7 @@
 	}
 	proposals := r.proposed
 	r.proposed = nil
-	return r.machine.Handle(r.now(), consensus.ProposeAll{Proposals: proposals})
+	return r.machine.Handle(r.now(), consensus.ProposeBatch{Proposals: proposals})
 }
 
 // bootstrap gives a replica on an empty disk its first membership.
@@ -297,7 +297,7 @@
 // carryOutStored stores what must be durable, then does all else. Messages go out
 // before anything is applied, so that the others hear of it while this one does.
 func (r *replica) carryOutStored(out consensus.Output) error {
-	if out.Durable() {
+	if out.NeedsSync() {
 		if err := r.store(out); err != nil {
 			return &DiskError{err}
 		}
--- a/internal/control/servingboxes.go
+++ b/internal/control/servingboxes.go
@@ -17,12 +17,12 @@
 type servingBoxes struct {
 	mu        sync.Mutex
 	at        time.Time
-	list      []lookup.Nearby
+	list      []lookup.BoxLocation
 	addresses map[string]bool
 }
 
 // get returns the list, made anew by a function if it is old.
-func (s *servingBoxes) get(now time.Time, fill func() []lookup.Nearby) []lookup.Nearby {
+func (s *servingBoxes) get(now time.Time, fill func() []lookup.BoxLocation) []lookup.BoxLocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.addresses != nil && now.Sub(s.at) < servingFor {
--- a/internal/control/shifts.go
+++ b/internal/control/shifts.go
@@ -53,7 +53,7 @@
 	for _, z := range t.Zones() {
 		regionOf[z.Name] = z.Region
 	}
-	readings := make(map[place]*shift.Reading)
+	readings := make(map[place]*shift.Measurement)
 	now := d.clock.Now()
 	for _, b := range d.publishing.Reports() {
 		at := now.Add(-time.Duration(b.AgeMilli) * time.Millisecond)
@@ -61,11 +61,11 @@
 			k := place{pool.Service, regionOf[b.Zone]}
 			r := readings[k]
 			if r == nil {
-				r = &shift.Reading{Service: k.service, Region: k.region, At: at}
+				r = &shift.Measurement{Service: k.service, Region: k.region, At: at}
 				readings[k] = r
 			}
 			r.Capacity += float64(pool.Capacity)
-			r.Carried += float64(pool.Busy)
+			r.InUse += float64(pool.Busy)
 			if at.Before(r.At) {
 				r.At = at
 			}
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -71,7 +71,7 @@
 
 func openSlowReplicas(t *testing.T, bytesPerSecond int, state steering.State) *slowReplicas {
 	t.Helper()
-	n := &linktest.Network{BytesPerSecond: bytesPerSecond, SentPerSecond: bytesPerSecond, SocketBuffer: 1 << 16}
+	n := &linktest.Network{DownBytesPerSecond: bytesPerSecond, UpBytesPerSecond: bytesPerSecond, SocketBuffer: 1 << 16}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &slowReplicas{stop: cancel, ended: make(chan error, 6)}
 	first := &wire.Membership{}
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -205,7 +205,7 @@
 
 // Boxes returns the entry boxes that reported within a time, with their age.
 func (d *Daemon) Boxes(within time.Duration) []*wire.BoxReport {
-	return d.publishing.Fresh(within)
+	return d.publishing.RecentReports(within)
 }
 
 // Log returns the log of the process.
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -27,13 +27,13 @@
 	clock  *boottime.Clock
 	mu     sync.Mutex
 	issuer *quota.TargetIssuer
-	lines  *process.LineLimit
+	lines  *process.LineLimiter
 	// kept is when lives that are over were forgotten last.
 	kept time.Time
 }
 
 func newTargetLimits(ownAddress string) *targetLimits {
-	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimit(limitLinesPerSecond)}
+	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimiter(limitLinesPerSecond)}
 }
 
 // setReplicas takes the membership.
@@ -54,7 +54,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range updates {
-		if c, changed := t.issuer.Take(now, targetstatus.UpdateOf(now, w)); changed {
+		if c, changed := t.issuer.Apply(now, targetstatus.UpdateOf(now, w)); changed {
 			changes = append(changes, c)
 		}
 	}
@@ -63,9 +63,9 @@
 
 // issue answers what a box asks for targets.
 func (t *targetLimits) issue(now time.Time, asks []*wire.TargetPermitAsk) []quota.Grant {
-	list := make([]quota.Ask, 0, len(asks))
+	list := make([]quota.SubjectRequest, 0, len(asks))
 	for _, a := range asks {
-		list = append(list, quota.Ask{Of: a.GetLimit().GetLife(), Count: int(a.Count)})
+		list = append(list, quota.SubjectRequest{Subject: a.GetLimit().GetLife(), Count: int(a.Count)})
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,7 +77,7 @@
 	now := t.clock.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	updates, last := t.issuer.Known().Since(change)
+	updates, last := t.issuer.Targets().ChangedSince(change)
 	return targetstatus.Messages(now, updates), last
 }
 
@@ -93,15 +93,15 @@
 	for _, r := range s.Catalog().Targets() {
 		lives[catalog.IncarnationOf(r).String()] = true
 	}
-	t.issuer.Keep(now, func(life string) bool { return lives[life] })
+	t.issuer.Prune(now, func(life string) bool { return lives[life] })
 }
 
 // of returns what is known of one target.
 func (t *targetLimits) of(target string) (known targetView) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.issuer.Known()
-	return targetView{r.Limit(target), r.ReceivedAt(target), r.IsLeaving(target), t.issuer.Tally(target)}
+	r := t.issuer.Targets()
+	return targetView{r.Limit(target), r.ReceivedAt(target), r.IsLeaving(target), t.issuer.Counters(target)}
 }
 
 // targetView is what a replica knows of one target from its answers.
@@ -109,13 +109,13 @@
 	limit      float64
 	receivedAt time.Time
 	isLeaving  bool
-	tally      quota.TargetTally
+	tally      quota.TargetCounters
 }
 
 func (t *targetLimits) named() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.issuer.Known().Limited()
+	return t.issuer.Targets().LimitedCount()
 }
 
 // takeUpdates takes what targets told boxes and has the subscribers told.
@@ -134,7 +134,7 @@
 }
 
 func (d *Daemon) logChange(c targetstatus.Change) {
-	if !d.targetLimits.lines.Take(d.clock.Now()) {
+	if !d.targetLimits.lines.Allow(d.clock.Now()) {
 		return
 	}
 	if c.Leaving {
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -140,7 +140,7 @@
 		n.downTo = w.now.Add(time.Hour)
 		return
 	}
-	c := consensus.Config{ElectionTimeout: 500 * time.Millisecond, Seed: w.random.Uint64(), Trailing: 8}
+	c := consensus.Config{ElectionTimeout: 500 * time.Millisecond, Seed: w.random.Uint64(), TrailingEntries: 8}
 	r, err := openReplica(func() time.Time { return w.now }, c, j, found, snapshotEvery)
 	if err != nil {
 		w.problem("%s does not start: %v", n.name, err)
@@ -425,7 +425,7 @@
 			continue
 		}
 		if next != nil {
-			if step != consensus.RepairLearn {
+			if step != consensus.RepairAddLearner {
 				w.at("addReplica", n)
 				if !n.alive {
 					return
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -20,7 +20,7 @@
 // attemptEnd is how one attempt of a request has ended.
 type attemptEnd struct {
 	number int
-	end    retry.End
+	end    retry.AttemptResult
 	answer *answer
 	target string
 }
@@ -62,7 +62,7 @@
 // run hosts the plan until it is final.
 func (e *execution) run(ctx context.Context) *answer {
 	out := e.begin()
-	timer := time.NewTimer(e.box.clock.Until(out.Wake))
+	timer := time.NewTimer(e.box.clock.Until(out.NextTick))
 	defer timer.Stop()
 	for {
 		if out.Launch > 0 {
@@ -71,8 +71,8 @@
 		if out.Final != 0 {
 			return e.final(ctx, out)
 		}
-		if !out.Wake.IsZero() {
-			timer.Reset(e.box.clock.Until(out.Wake))
+		if !out.NextTick.IsZero() {
+			timer.Reset(e.box.clock.Until(out.NextTick))
 		}
 		out = e.next(ctx, timer)
 	}
@@ -100,7 +100,7 @@
 		}
 		e.box.budgets.Lock()
 		defer e.box.budgets.Unlock()
-		return e.plan.Ended(e.box.clock.Now(), end.number, end.end)
+		return e.plan.HandleResult(e.box.clock.Now(), end.number, end.end)
 	}
 }
 
@@ -261,7 +261,7 @@
 
 // askTarget sends the request to a target. What it returns besides the answer
 // are the attempt's end for the plan and the result for admission.
-func (d *Daemon) askTarget(ctx context.Context, r *request, address string, s *slot) (*answer, retry.End, admission.Result) {
+func (d *Daemon) askTarget(ctx context.Context, r *request, address string, s *slot) (*answer, retry.AttemptResult, admission.Result) {
 	h, err := r.toTarget(d.clock.Now(), address)
 	if err != nil {
 		return invalid(err), retry.Refused, admission.Canceled
@@ -283,7 +283,7 @@
 
 // failedAttempt classifies an attempt without an answer. Only one that never
 // had a connection surely did not run.
-func failedAttempt(ctx context.Context, err error, connected bool) (*answer, retry.End, admission.Result) {
+func failedAttempt(ctx context.Context, err error, connected bool) (*answer, retry.AttemptResult, admission.Result) {
 	result := admission.Failed
 	var backedOff *BackedOffError
 	if errors.Is(ctx.Err(), context.Canceled) || errors.As(err, &backedOff) {
@@ -305,7 +305,7 @@
 }
 
 // readAnswer reads a small answer whole, and the beginning of a large one.
-func readAnswer(response *http.Response, s *slot, repeatable bool) (*answer, retry.End, admission.Result) {
+func readAnswer(response *http.Response, s *slot, repeatable bool) (*answer, retry.AttemptResult, admission.Result) {
 	a := &answer{outcome: caller.Ran, status: response.StatusCode, header: response.Header}
 	var buffer bytes.Buffer
 	_, err := io.CopyN(&buffer, response.Body, smallAnswer+1)
@@ -329,7 +329,7 @@
 // serverError lets a repeatable request that met a server error be tried
 // elsewhere; if it is not, the error is the answer. Of one that may not be
 // repeated nobody knows what it has done.
-func serverError(a *answer, repeatable bool) (*answer, retry.End, admission.Result) {
+func serverError(a *answer, repeatable bool) (*answer, retry.AttemptResult, admission.Result) {
 	if repeatable {
 		return a, retry.Failed, admission.Failed
 	}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -29,7 +29,7 @@
 	f := d.current.Load()
 	query := h.URL.Query()
 	service := query.Get("service")
-	if !f.table.Knows(service) {
+	if !f.table.HasService(service) {
 		a := &answer{outcome: caller.NotRun, status: http.StatusNotFound, reason: fmt.Sprintf("there is no service %q", service)}
 		a.writeHead(w)
 		return
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -24,7 +24,7 @@
 // A place that surely did not run it lets the next one have it.
 func (d *Daemon) dispatch(ctx context.Context, r *request) *answer {
 	f := d.current.Load()
-	if !f.table.Knows(r.service) {
+	if !f.table.HasService(r.service) {
 		return &answer{outcome: caller.NotRun, status: http.StatusNotFound, reason: "there is no service " + r.service}
 	}
 	d.markForeign(f, r)
@@ -36,8 +36,8 @@
 	budget := d.budgets.byService[r.service]
 	d.budgets.Unlock()
 	config := routing.Config{
-		Places:     len(places),
-		Origin:     r.hops == 0,
+		Pools:      len(places),
+		AtOrigin:   r.hops == 0,
 		Repeatable: r.repeatable,
 		Deadline:   r.deadline,
 	}
@@ -48,11 +48,11 @@
 		visit.noWait = r.noWait || config.NoWait(i, len(places) > 1 && places[1].region == d.config.Region)
 		a := place.run(ctx, &visit)
 		decision := d.placeEnded(failover, a.result())
-		if decision.Keep {
+		if decision.KeepResult {
 			kept.discard()
 			kept = a
 		}
-		if !decision.Next {
+		if !decision.TryNext {
 			break
 		}
 	}
@@ -63,7 +63,7 @@
 func (d *Daemon) placeEnded(f *routing.Failover, r routing.Result) routing.Decision {
 	d.budgets.Lock()
 	defer d.budgets.Unlock()
-	return f.Ended(d.clock.Now(), r)
+	return f.HandleResult(d.clock.Now(), r)
 }
 
 const retryWithoutPool = 500 * time.Millisecond
@@ -97,7 +97,7 @@
 	if r.hops >= maxHops-1 || (r.hops > 0 && len(out) > 0) {
 		return out
 	}
-	for _, c := range f.table.Choose(r.service, d.homeOf(r), r.block, routing.MaxPlaces+1, d.usable) {
+	for _, c := range f.table.Choose(r.service, d.homeOf(r), r.block, routing.MaxPools+1, d.usable) {
 		if c.Zone == d.config.Zone {
 			continue
 		}
@@ -142,14 +142,14 @@
 		return
 	}
 	r.foreignSet = true
-	r.foreign = f.table.Assigned(r.service, d.homeOf(r), r.block) != d.config.Region
+	r.foreign = f.table.AssignedRegion(r.service, d.homeOf(r), r.block) != d.config.Region
 }
 
 // forward passes a request to another entry box and returns its answer.
 func (d *Daemon) forward(ctx context.Context, b settings.Box, r *request) *answer {
 	next := *r
 	if b.Region != d.config.Region {
-		next.foreign = d.current.Load().table.Assigned(r.service, d.homeOf(r), r.block) != b.Region
+		next.foreign = d.current.Load().table.AssignedRegion(r.service, d.homeOf(r), r.block) != b.Region
 	}
 	h, err := next.toPeer(d.clock.Now())
 	if err != nil {
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -57,7 +57,7 @@
 // not delay the others.
 func (d *Daemon) probePool(ctx context.Context, p *pool, targets map[string]string, failures map[string]int) {
 	type result struct {
-		measure admission.Measure
+		measure admission.HealthReport
 		failed  bool
 	}
 	results := make(chan result, len(targets))
@@ -84,8 +84,8 @@
 	}
 }
 
-func (d *Daemon) probe(ctx context.Context, p *pool, name, address string) (admission.Measure, error) {
-	m := admission.Measure{Target: name, Busy: -1}
+func (d *Daemon) probe(ctx context.Context, p *pool, name, address string) (admission.HealthReport, error) {
+	m := admission.HealthReport{Target: name, Busy: -1}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
 	if err != nil {
 		return m, err
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -44,7 +44,7 @@
 		owner: requestkey.NewOwner[*request](requestkey.OwnerConfig{
 			Name:        d.config.Name,
 			Incarnation: d.process.Incarnation,
-			Keep:        keep,
+			Retention:   keep,
 			MaxKeys:     maxKeys,
 		}),
 		witness: requestkey.NewWitness(d.config.Name, d.process.Incarnation, keep, maxKeys),
@@ -126,7 +126,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.waiting, token)
-	k.handle(requestkey.Leave{Key: key, Token: token})
+	k.handle(requestkey.CallerLeft{Key: key, Token: token})
 }
 
 func (k *keys) answer(r requestkey.Reply) *answer {
@@ -148,7 +148,7 @@
 // The lock is held.
 func (k *keys) handle(e requestkey.Event) {
 	out := k.owner.Handle(time.Now(), e) // time of day: keys tell by it when they were issued
-	for _, r := range out.Reply {
+	for _, r := range out.Replies {
 		if reply, ok := k.waiting[r.Token]; ok {
 			delete(k.waiting, r.Token)
 			reply <- r
@@ -239,7 +239,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.handle(requestkey.Witnessed{Key: key, Failed: err != nil, Refused: err == nil && a.Refused})
+	k.handle(requestkey.WitnessResult{Key: key, Failed: err != nil, Refused: err == nil && a.Refused})
 }
 
 // reportLoss tells that the witness was not told the end of a key: if this box ends, a resend
--- a/internal/entry/pool.go
+++ b/internal/entry/pool.go
@@ -140,7 +140,7 @@
 		}
 		out := p.admission.Handle(now, m.event)
 		if _, ok := m.event.(admission.TargetUpdate); ok {
-			p.limited.Store(p.admission.AnyLimited())
+			p.limited.Store(p.admission.HasLimitedTarget())
 		}
 		return p.carryOut(now, out)
 	case poolArrival:
@@ -149,7 +149,7 @@
 	case poolSettings:
 		return p.carryOut(now, p.configure(now, m))
 	case poolLeaseAnswer:
-		p.lease.Answer(now, m.answer)
+		p.lease.HandleAnswer(now, m.answer)
 		return p.carryOut(now, p.admission.Handle(now, p.hold()))
 	case poolRelease:
 		p.release(m.done)
@@ -163,7 +163,7 @@
 
 func (p *pool) checks(now time.Time) map[string]string {
 	out := make(map[string]string)
-	for _, name := range p.admission.Checks(now) {
+	for _, name := range p.admission.DueHealthChecks(now) {
 		if address, ok := p.targets[name]; ok {
 			out[name] = address
 		}
@@ -171,18 +171,18 @@
 	return out
 }
 
-func (p *pool) hold() admission.Hold {
+func (p *pool) hold() admission.SetLease {
 	if p.lease == nil || p.resting {
-		return admission.Hold{}
+		return admission.SetLease{}
 	}
-	return admission.Hold{Until: p.lease.Until()}
+	return admission.SetLease{Until: p.lease.Until()}
 }
 
 // release stops granting and, when nothing runs any more, gives the lease up.
 func (p *pool) release(done chan<- struct{}) {
 	p.resting = true
 	now := p.clock.Now()
-	p.carryOut(now, p.admission.Handle(now, admission.Hold{}))
+	p.carryOut(now, p.admission.Handle(now, admission.SetLease{}))
 	if p.admission.Load(now).Busy > 0 {
 		return
 	}
@@ -205,16 +205,16 @@
 		if requests := p.lease.Tick(now); len(requests) > 0 {
 			p.ask(requests)
 		}
-		wake = p.lease.Wake()
-		name, _ := p.lease.Other(now)
+		wake = p.lease.NextTick()
+		name, _ := p.lease.KnownHolder(now)
 		p.other.Store(&name)
 	}
 	if held := p.lease != nil && !p.resting && p.lease.Held(now); held != p.held {
 		p.held = held
 		p.changed(held)
 	}
-	if !out.Wake.IsZero() && out.Wake.Before(wake) {
-		wake = out.Wake
+	if !out.NextTick.IsZero() && out.NextTick.Before(wake) {
+		wake = out.NextTick
 	}
 	return wake
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -78,18 +78,18 @@
 // keepQuarantine has the control take evidence and put what is due on the list.
 func (s *system) keepQuarantine() (stop func()) {
 	var mu sync.Mutex
-	ledger := quarantine.NewLedger()
+	ledger := quarantine.NewEvidenceStore()
 	s.onEvidence = func(e *wire.Evidence) {
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
 		for _, r := range e.Ends {
-			end := quarantine.End{
-				Caller: quarantine.Caller(r.Caller), Life: r.Life, Began: now.Add(-time.Duration(r.BeganAgoMilli) * time.Millisecond),
+			end := quarantine.Crash{
+				Caller: quarantine.Caller(r.Caller), Incarnation: r.Life, Began: now.Add(-time.Duration(r.BeganAgoMilli) * time.Millisecond),
 				Ended: now.Add(-time.Duration(r.EndedAgoMilli) * time.Millisecond),
 			}
 			copy(end.Request[:], r.Digest)
-			ledger.Ended(now, end)
+			ledger.RecordCrash(now, end)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -98,12 +98,12 @@
 		defer close(ended)
 		for ctx.Err() == nil {
 			mu.Lock()
-			orders := ledger.Due(time.Now(), time.Now(), quarantine.EntriesOf(s.state.Catalog().Quarantined()))
+			orders := ledger.PendingChanges(time.Now(), time.Now(), quarantine.EntriesOf(s.state.Catalog().Quarantined()))
 			mu.Unlock()
 			for _, o := range orders {
 				c := &wire.Command{Quarantine: &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}}
 				s.state, _ = s.state.Apply(c)
-				s.publish.Put(s.state, []*wire.Command{c})
+				s.publish.SetState(s.state, []*wire.Command{c})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/internal/entry/targetstatus.go
+++ b/internal/entry/targetstatus.go
@@ -33,8 +33,8 @@
 }
 
 func (p *pool) report(target string, status targetstatus.Status, began time.Time) {
-	if len(status.Unread) > 0 && p.unread != nil {
-		p.unread(target, status.Unread)
+	if len(status.Unparsed) > 0 && p.unread != nil {
+		p.unread(target, status.Unparsed)
 	}
 	if status.BackOff > 0 {
 		if now := p.clock.Now(); p.backOffs.add(now, target, now.Add(status.BackOff)) && p.backedOff != nil {
