--- a/pkg/consensus/batch_test.go
+++ b/pkg/consensus/batch_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestCommandsProposedTogetherTravelTogether checks that a batch of commands costs one
-// message per replica and full batch, not one per command, and keeps its order.
-func TestCommandsProposedTogetherTravelTogether(t *testing.T) {
+// TestProposeBatchLimitsMessageCount checks that commands proposed together cost one
+// message per replica and MaxBatch commands, not one per command, and keep their order.
+func TestProposeBatchLimitsMessageCount(t *testing.T) {
 	const commands = 150
 	c := newCluster(9, 1)
 	leader := c.awaitLeader(t)
--- a/pkg/consensus/cluster_test.go
+++ b/pkg/consensus/cluster_test.go
@@ -161,9 +161,10 @@
 	return nil
 }
 
-// TestProperties runs random crashes, partitions, proposals, snapshots and leadership
-// transfers.
-func TestProperties(t *testing.T) {
+// TestRandomFaultsKeepLogsConsistent runs random crashes, partitions, proposals, snapshots
+// and leadership transfers. A term must have at most one leader, all replicas must apply
+// the same entries, and a leader must be elected once all faults are over.
+func TestRandomFaultsKeepLogsConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(rapid.SampledFrom([]int{3, 5}).Draw(t, "members"), rapid.Uint64Range(1, 1<<40).Draw(t, "seed"))
 		acked := make(map[uint64]uint64) // index to term of committed entries
@@ -247,7 +248,7 @@
 	}
 }
 
-func TestCutOffLeaderAnswersNoRead(t *testing.T) {
+func TestIsolatedLeaderAnswersNoRead(t *testing.T) {
 	c := newCluster(3, 1)
 	old := c.awaitLeader(t)
 	c.isolated[old.id] = true
@@ -266,7 +267,7 @@
 	}
 }
 
-func TestTransferPicksTheMostUpToDateVoter(t *testing.T) {
+func TestTransferChangesLeader(t *testing.T) {
 	c := newCluster(3, 2)
 	old := c.awaitLeader(t)
 	for range 5 {
--- a/pkg/consensus/delayedack_test.go
+++ b/pkg/consensus/delayedack_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestSnapshotLeavesAcknowledgedEntries guards against a late snapshot that truncates
+// TestLateSnapshotKeepsAcknowledgedEntries guards against a late snapshot that truncates
 // entries which the follower has acknowledged.
-func TestSnapshotLeavesAcknowledgedEntries(t *testing.T) {
+func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	s := newDelayedAck(t)
 	r := s.leader.replica
 	if got, told := s.slow.replica.log.lastIndex(), r.progress[s.slow.id].match; got < told {
@@ -115,7 +115,7 @@
 }
 
 // TestRejectedHeartbeatsResendLostAppendOnce guards against a lost append that is sent
-// again for each rejected message after it.
+// again for each rejected heartbeat sent after it.
 func TestRejectedHeartbeatsResendLostAppendOnce(t *testing.T) {
 	c := newCluster(3, 1)
 	leader := c.awaitLeader(t)
--- a/pkg/consensus/election.go
+++ b/pkg/consensus/election.go
@@ -58,8 +58,9 @@
 }
 
 // hasLeaderContact reports whether a leader sent a message within the election
-// timeout. Such a replica grants no votes, so that a replica that returns from a
-// network partition can't depose a working leader.
+// timeout. Such a replica refuses pre-votes and ignores vote requests of a higher term,
+// except in a leadership transfer, so that a replica that returns from a network
+// partition can't depose a working leader.
 func (r *Replica) hasLeaderContact() bool {
 	if r.role == Leader {
 		return true
--- a/pkg/consensus/election_test.go
+++ b/pkg/consensus/election_test.go
@@ -31,12 +31,12 @@
 	for i, m := range c.members {
 		startAt[m.id] = began.Add(time.Duration(i*20/n) * time.Millisecond)
 		config := Config{ID: m.id, ElectionTimeout: timeout, Seed: seed*100 + uint64(i)}
-		m.replica, _ = New(startAt[m.id], config, m.stored) // newCluster has created one from the same state without an error
+		m.replica, _ = New(startAt[m.id], config, m.stored) // can't fail: newCluster has created one from the same state
 	}
-	var way []delivery
+	var inTransit []delivery
 	for now := began; now.Before(began.Add(10 * timeout)); now = now.Add(time.Millisecond) {
-		due := way
-		way = nil
+		due := inTransit
+		inTransit = nil
 		for _, m := range c.members {
 			if now.Before(startAt[m.id]) {
 				continue
@@ -55,21 +55,21 @@
 				at = at.Add(syncDuration)
 			}
 			for _, message := range out.Messages {
-				way = append(way, delivery{at, message})
+				inTransit = append(inTransit, delivery{at, message})
 			}
 		}
 		for _, d := range due {
 			if now.Before(d.at) {
-				way = append(way, d)
+				inTransit = append(inTransit, d)
 			}
 		}
 	}
 	return 10 * timeout
 }
 
-// TestFirstElectionIsQuick bounds the time to the first leader after all replicas start
+// TestTimeToFirstLeader bounds the time to the first leader after all replicas start
 // at once, since nothing is served until there is one.
-func TestFirstElectionIsQuick(t *testing.T) {
+func TestTimeToFirstLeader(t *testing.T) {
 	for _, n := range []int{3, 5, 6} {
 		var took []time.Duration
 		sum := time.Duration(0)
--- a/pkg/consensus/event.go
+++ b/pkg/consensus/event.go
@@ -140,7 +140,7 @@
 	return fmt.Sprintf("not the leader; the leader is %s", e.Leader)
 }
 
-// MembershipError is returned for a membership change that was not proposed.
+// MembershipError is returned for a membership change that is refused.
 type MembershipError struct{ Reason string }
 
 // Error implements error.
--- a/pkg/consensus/faulttolerance_test.go
+++ b/pkg/consensus/faulttolerance_test.go
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestNineReplicasBearTwoDisksAndAllPower: two replicas that stored an entry, one of
-// them the leader, lose their disks right after the entry is acknowledged, while all
-// others lose power.
-func TestNineReplicasBearTwoDisksAndAllPower(t *testing.T) {
+// TestNineReplicasSurviveTwoDiskLossesAndPowerLoss checks that an acknowledged entry is
+// kept if two replicas that stored it, one of them the leader, lose their disks right
+// after the acknowledgement, while all others lose power.
+func TestNineReplicasSurviveTwoDiskLossesAndPowerLoss(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, c *cluster) {
 		for i, first := 0, c.awaitLeader(t); i < lossVoters && len(c.isolated) < lossVoters/2; i++ {
 			if c.members[i] != first {
@@ -128,9 +128,10 @@
 	})
 }
 
-// TestNineReplicasBearARegionAndThenADisk: an entry acknowledged while a region is down
-// survives the loss of a disk in the remaining regions and the return of the region.
-func TestNineReplicasBearARegionAndThenADisk(t *testing.T) {
+// TestNineReplicasSurviveRegionThenDiskLoss checks that an entry acknowledged while a
+// region is down is kept when a replica of another region then loses its disk, and when
+// the region returns.
+func TestNineReplicasSurviveRegionThenDiskLoss(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, c *cluster) {
 		c.awaitLeader(t)
 		for _, m := range c.members[:3] {
@@ -148,9 +149,9 @@
 	})
 }
 
-// TestNineReplicasBearAZoneAndTwoDisks: with a zone down, entries are still
-// acknowledged and survive the loss of two disks.
-func TestNineReplicasBearAZoneAndTwoDisks(t *testing.T) {
+// TestNineReplicasSurviveZoneAndTwoDiskLosses checks that entries are still acknowledged
+// while a zone is down, and are kept when two replicas that stored them lose their disks.
+func TestNineReplicasSurviveZoneAndTwoDiskLosses(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, c *cluster) {
 		c.awaitLeader(t)
 		c.isolated[c.members[4].id] = true
--- a/pkg/consensus/largeappend_test.go
+++ b/pkg/consensus/largeappend_test.go
@@ -58,9 +58,9 @@
 	return appends
 }
 
-// TestLongAppendIsQueuedOnce guards against a large append that is queued again with
+// TestLargeAppendIsQueuedOnce guards against a large append that is queued again with
 // each heartbeat while the first copy is still in flight.
-func TestLongAppendIsQueuedOnce(t *testing.T) {
+func TestLargeAppendIsQueuedOnce(t *testing.T) {
 	if n := len(queueLargeAppends(t, 1, 900*time.Millisecond)); n != 1 {
 		t.Errorf("an entry in flight was queued %d times within 0.9 s, want once", n)
 	}
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestLostLongAppendIsRepaired drops an append and checks that the rejected heartbeat
+// TestLostLargeAppendIsResent drops an append and checks that the rejected heartbeat
 // after it triggers the resend, long before the resend timeout.
-func TestLostLongAppendIsRepaired(t *testing.T) {
+func TestLostLargeAppendIsResent(t *testing.T) {
 	c := newCluster(3, 1)
 	leader := c.awaitLeader(t)
 	for range 10 {
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestManyLongEntriesArrive lets a replica that was isolated catch up with a mix of
-// short entries and entries that each exceed maxInFlightBytes.
-func TestManyLongEntriesArrive(t *testing.T) {
+// TestIsolatedReplicaCatchesUpWithLargeEntries lets a replica that was isolated catch up
+// with a mix of short entries and entries that each exceed maxInFlightBytes.
+func TestIsolatedReplicaCatchesUpWithLargeEntries(t *testing.T) {
 	c := newCluster(3, 1)
 	leader := c.awaitLeader(t)
 	behind := c.members[(slices.Index(c.members, leader)+1)%len(c.members)]
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestNewLeaderSendsBehindALongLog checks that a new leader does not count the entries
+// TestNewLeaderCountsNoOldEntriesInFlight checks that a new leader does not count the entries
 // already in its log as in flight.
-func TestNewLeaderSendsBehindALongLog(t *testing.T) {
+func TestNewLeaderCountsNoOldEntriesInFlight(t *testing.T) {
 	c := newCluster(3, 1)
 	old := c.awaitLeader(t)
 	for range 4 {
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestAcknowledgedPartsKeepTheRestUnderWay acknowledges entries one by one at the rate
+// TestPartialAcknowledgementsCauseNoResend acknowledges entries one by one at the rate
 // of the slowest link and checks that none is sent twice.
-func TestAcknowledgedPartsKeepTheRestUnderWay(t *testing.T) {
+func TestPartialAcknowledgementsCauseNoResend(t *testing.T) {
 	const (
 		parts = 8
 		part  = minLinkRate * 3 / 50 // bytes that the slowest link carries in 60 ms
--- a/pkg/consensus/repair_test.go
+++ b/pkg/consensus/repair_test.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-func TestReplacementTakesTheLostVotersPlace(t *testing.T) {
+func TestNextReplacementReplacesLostVoter(t *testing.T) {
 	m := membershipOf([]string{"a", "b", "c"}, []string{"n"})
 	joining := m.Learners[0]
 	step, next := NextReplacement(m, statusWithSilent(m, 2*time.Second, "b"), joining)
--- a/pkg/consensus/replica.go
+++ b/pkg/consensus/replica.go
@@ -61,7 +61,7 @@
 	// one is elected. With round trips of 24 ms and syncs of 5 ms, five replicas have a
 	// leader after 0.13 s on average and 0.4 s at most in 400 starts; with a first
 	// timeout of 0.2 s plus up to 0.8 s it was 0.40 s and 0.86 s
-	// (TestFirstElectionIsQuick).
+	// (TestTimeToFirstLeader).
 	startupTimeoutDivisor = 20
 	startupRetryDivisor   = 10
 	startupJitterDivisor  = 5
@@ -241,10 +241,10 @@
 }
 
 // startupTimeout returns the election timeout of a replica that has not seen a leader
-// since its start.
-func (r *Replica) startupTimeout(part time.Duration) time.Duration {
+// since its start: the given part of ElectionTimeout plus a random time.
+func (r *Replica) startupTimeout(divisor time.Duration) time.Duration {
 	spread := max(int64(r.config.ElectionTimeout/startupJitterDivisor), 1)
-	return r.config.ElectionTimeout/part + time.Duration(r.random.Int64N(spread))
+	return r.config.ElectionTimeout/divisor + time.Duration(r.random.Int64N(spread))
 }
 
 // becomeFollower switches to the follower role in term. A new term clears the vote.
--- a/pkg/consensus/start_test.go
+++ b/pkg/consensus/start_test.go
@@ -7,10 +7,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// TestStartedReplicaStandsSooner checks that a replica that has just started requests
+// TestStartupElectionTimeoutIsShorter checks that a replica that has just started requests
 // votes sooner than one that has lost its leader: if all replicas start at once,
 // nothing is served until one is elected.
-func TestStartedReplicaStandsSooner(t *testing.T) {
+func TestStartupElectionTimeoutIsShorter(t *testing.T) {
 	const timeout = time.Second
 	m := &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}, {Id: "c"}}}
 	for seed := range uint64(50) {
--- a/pkg/consensus/vote_test.go
+++ b/pkg/consensus/vote_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestNewDiskDoesNotVote(t *testing.T) {
+func TestReplicaWithoutMembershipDoesNotVote(t *testing.T) {
 	c := newCluster(3, 1)
 	fresh := &member{id: "new"}
 	c.start(fresh)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestCutOffReplicaDoesNotDepose(t *testing.T) {
+func TestVoteRequestDoesNotDeposeActiveLeader(t *testing.T) {
 	c := newCluster(3, 1)
 	leader := c.awaitLeader(t)
 	for range 5 {
@@ -94,10 +94,10 @@
 	}
 }
 
-// TestEarlierTermIsNotCommittedByCount is the case of figure 8 in the paper by Ongaro
+// TestEntryOfEarlierTermIsNotCommittedByCounting is the case of figure 8 in the paper by Ongaro
 // and Ousterhout: an entry of an earlier term on a majority of replicas is not
 // committed.
-func TestEarlierTermIsNotCommittedByCount(t *testing.T) {
+func TestEntryOfEarlierTermIsNotCommittedByCounting(t *testing.T) {
 	c := newCluster(3, 1)
 	m := c.members[0]
 	m.stored.HardState = &wire.HardState{Term: 4}
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestConflictingEntriesAreCutOff lets an isolated leader append entries that no other
+// TestConflictingEntriesAreReplaced lets an isolated leader append entries that no other
 // replica has, and checks that the next leader's entries replace them.
-func TestConflictingEntriesAreCutOff(t *testing.T) {
+func TestConflictingEntriesAreReplaced(t *testing.T) {
 	c := newCluster(3, 5)
 	old := c.awaitLeader(t)
 	c.isolated[old.id] = true
