--- a/pkg/journal/journal_test.go
+++ b/pkg/journal/journal_test.go
@@ -96,7 +96,9 @@
 	}
 }
 
-func TestDamageStops(t *testing.T) {
+// TestOpenRefusesDamagedJournal damages each byte of a journal before its last batch. Open
+// must return a DamageError and leave the file as it is.
+func TestOpenRefusesDamagedJournal(t *testing.T) {
 	dir, sizes := newTestJournal(t)
 	path := filepath.Join(dir, journalName)
 	whole, err := os.ReadFile(path)
@@ -159,7 +161,7 @@
 	}
 }
 
-func TestFailedSyncBreaksForGood(t *testing.T) {
+func TestAppendFailsAfterFailedSync(t *testing.T) {
 	dir := t.TempDir()
 	files := OSFiles()
 	failing := false
