--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -20,10 +20,10 @@
 	answer  *wire.LeaseAnswer
 }
 
-// TestOneHolder lets three boxes compete for a pool and checks that no two hold it at
+// TestAtMostOneHolder lets three boxes compete for a pool and checks that no two hold it at
 // once. The network delays, duplicates and loses messages, clocks run up to 4 % fast or
 // slow, and boxes restart.
-func TestOneHolder(t *testing.T) {
+func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		names := []string{"b0", "b1", "b2"}
@@ -108,7 +108,9 @@
 	})
 }
 
-func TestAloneHoldsAfterTheQuietTime(t *testing.T) {
+// TestSingleVoterHoldsAfterStartupDelay checks that the only box of a zone acquires the
+// lease, but not before its own voter grants any.
+func TestSingleVoterHoldsAfterStartupDelay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewVoter(now, "b", duration)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "1", Voters: []string{"b"}, Duration: duration})
@@ -158,9 +160,9 @@
 	}
 }
 
-// TestAnswerToAnEarlierIncarnationDoesNotCount delivers a grant that was made to the
+// TestAnswerToEarlierIncarnationIsIgnored delivers a grant that was made to the
 // box before it restarted.
-func TestAnswerToAnEarlierIncarnationDoesNotCount(t *testing.T) {
+func TestAnswerToEarlierIncarnationIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "2", Voters: []string{"b"}, Duration: duration})
 	r := h.Tick(now)[0].Message
@@ -170,9 +172,9 @@
 	}
 }
 
-// TestLateGrantAfterGivingBackDoesNotCount delivers grants of a round after the holder
-// has released that round's grants.
-func TestLateGrantAfterGivingBackDoesNotCount(t *testing.T) {
+// TestLateGrantAfterReleaseIsIgnored delivers further grants of a round after the holder,
+// without a majority so far, has released that round's grants.
+func TestLateGrantAfterReleaseIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := NewHolder(now, Config{Pool: "p", Name: "b", Incarnation: "2", Voters: []string{"x", "y", "z"}, Duration: duration})
 	r := h.Tick(now)[0].Message
