--- a/pkg/requestkey/witness.go
+++ b/pkg/requestkey/witness.go
@@ -31,8 +31,8 @@
 }
 
 // Handle answers a request received at now. A query for a key whose start was not
-// recorded closes the key: from then on the witness refuses to record its start, so
-// that the answer "absent" stays true.
+// recorded, or whose attempt ended as not run, closes the key: from then on the witness
+// refuses to record a start, so that its answer stays true.
 func (w *Witness) Handle(now time.Time, m *wire.WitnessRequest) *wire.WitnessAnswer {
 	w.expire(now)
 	k, err := Parse(m.Key)
