--- a/pkg/lookup/lookup_test.go
+++ b/pkg/lookup/lookup_test.go
@@ -9,9 +9,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// TestMoveMovesExactlyItsShare moves random numbers of points between regions and
+// TestWithMoveChangesOnlyMovedPoints moves random numbers of points between regions and
 // checks that no other point changes its region.
-func TestMoveMovesExactlyItsShare(t *testing.T) {
+func TestWithMoveChangesOnlyMovedPoints(t *testing.T) {
 	regions := []string{"east", "west", "south"}
 	rapid.Check(t, func(t *rapid.T) {
 		a := SingleRegion("east")
--- a/pkg/lookup/schedule_test.go
+++ b/pkg/lookup/schedule_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneSilentReplicaDelaysNoOther checks that a report to an unresponsive replica is
+// TestUnresponsiveReplicaDelaysNoOther checks that a report to an unresponsive replica is
 // retried soon and delays no report to another.
-func TestOneSilentReplicaDelaysNoOther(t *testing.T) {
+func TestUnresponsiveReplicaDelaysNoOther(t *testing.T) {
 	now := time.Unix(0, 0)
 	s := NewReportSchedule()
 	s.SetReplicas(now, []string{"a", "b", "c"})
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestEveryReplicaIsTold checks that, in any sequence of events, each replica gets its
+// TestEveryReplicaGetsReportsInTime checks that, in any sequence of events, each replica gets its
 // next report within an interval of the end of the last one, and never two at once.
-func TestEveryReplicaIsTold(t *testing.T) {
+func TestEveryReplicaGetsReportsInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewReportSchedule()
 		now := time.Unix(0, 0)
--- a/pkg/lookup/startupgate_test.go
+++ b/pkg/lookup/startupgate_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLearningWaitsForTheOtherBoxes checks that a replica that starts answers lookups
+// TestStartupGateWaitsForOtherBoxes checks that a replica that starts answers lookups
 // only once the other boxes have had time to report.
-func TestLearningWaitsForTheOtherBoxes(t *testing.T) {
+func TestStartupGateWaitsForOtherBoxes(t *testing.T) {
 	for _, c := range []struct {
 		member bool
 		wait   time.Duration
