--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -111,8 +111,8 @@
 	return LookupAnswer{}, &NoBoxError{last}
 }
 
-// lookupAddresses returns the addresses to query: those of the last answer, then the
-// configured ones, starting from another of these each time.
+// lookupAddresses returns the addresses to query: the pinned one if any, those of the last
+// answer, then the configured ones, starting from another of these each time.
 func (c *Client) lookupAddresses() []string {
 	var out []string
 	if c.pinned != "" {
@@ -290,8 +290,8 @@
 	return a, nil
 }
 
-// Pin makes the client use a single entry box, for lookups and requests, until a lookup
-// at that box fails.
+// Pin makes the client use a single entry box for lookups and requests. If a lookup there
+// fails, the client uses the answer of another box until that answer expires.
 func (c *Client) Pin(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
