--- a/pkg/catalog/bench_test.go
+++ b/pkg/catalog/bench_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// BenchmarkRegistrations applies a batch of twenty updates: ten targets join and ten
-// leave.
-func BenchmarkRegistrations(b *testing.B) {
+// BenchmarkRegistrationBatch applies a batch of twenty updates: ten targets join and
+// ten leave.
+func BenchmarkRegistrationBatch(b *testing.B) {
 	for _, n := range benchTargets {
 		s := stateWithTargets(n)
 		var updates []*wire.RegistrationCommand
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -96,7 +96,7 @@
 
 // After any sequence of commands, documents form a chain, departed targets stay
 // removed, no two targets share an address, and the state survives encoding.
-func TestStateProperties(t *testing.T) {
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{}
 		departed := make(map[string]bool)
--- a/pkg/catalog/pack_test.go
+++ b/pkg/catalog/pack_test.go
@@ -66,7 +66,7 @@
 // its start and as many removed from its end, so neither text is longer than that
 // power, but matching parts are further apart than that. A window of that size would
 // not reach them.
-func TestWindowCoversShiftedRoutes(t *testing.T) {
+func TestPackIsSmallForShiftedText(t *testing.T) {
 	text := routesDocument(1, 3000, 50).Text[:1<<19-10]
 	before := &wire.RoutesDocument{Number: 1, Text: text}
 	next := &wire.RoutesDocument{Number: 2, Text: append(bytes.Repeat([]byte("new "), 1000), text[:len(text)-4000]...)}
@@ -270,8 +270,9 @@
 	}
 }
 
-// Guards against deltas that can't be unpacked: at some lengths around powers of two, a
-// frame declared a window longer than its text.
+// TestPackRoundTripAroundPowersOfTwo guards against deltas that can't be unpacked:
+// at some lengths around powers of two, a frame declared a window longer than its
+// text.
 func TestPackRoundTripAroundPowersOfTwo(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 8<<10)
 	for _, before := range []int{0, 1, 50, 2000, 100_000} {
--- a/pkg/catalog/registration.go
+++ b/pkg/catalog/registration.go
@@ -76,7 +76,8 @@
 }
 
 // IsRedundant reports whether an update of the same incarnation adds nothing to the
-// known registration: it is older or has the same content.
+// known registration: it is older, has the same content, or takes back that the target is
+// draining, which a target does not do.
 func IsRedundant(known, r *wire.Registration) bool {
 	if r.BornUnixMilli != known.BornUnixMilli {
 		return false
--- a/pkg/catalog/registration_test.go
+++ b/pkg/catalog/registration_test.go
@@ -114,7 +114,7 @@
 
 // A state stored before incarnations were distinguished lists departures by id only;
 // they still count.
-func TestDeparturesOfAnEarlierFormat(t *testing.T) {
+func TestDeparturesWithoutIncarnationStillCount(t *testing.T) {
 	s, err := Decode(&wire.Catalog{Departed: []string{"i"}})
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/catalog/table_test.go
+++ b/pkg/catalog/table_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a scan of all routes for each request, which at 5,000 routes took 35 us
-// on a full core and 0.22 ms on a box with 0.16 cores. The cost of a match must depend on
-// the number of prefix lengths, not on the number of routes.
+// TestMatchCostIsIndependentOfRouteCount guards against a scan of all routes for
+// each request, which at 5,000 routes took 35 us on a full core and 0.22 ms on a box
+// with 0.16 cores. The cost of a match must depend on the number of prefix lengths,
+// not on the number of routes.
 func TestMatchCostIsIndependentOfRouteCount(t *testing.T) {
 	const maxLookups = 8 // prefixes of four lengths, plus some margin
 	for _, n := range []int{10, 100, 5000} {
--- a/pkg/catalog/workspace.go
+++ b/pkg/catalog/workspace.go
@@ -29,6 +29,7 @@
 	Burst     float64
 }
 
+// IsUnlimited reports whether there is no limit.
 func (l RateLimit) IsUnlimited() bool { return l.PerSecond <= 0 }
 
 // RedactedKey replaces each key in text that is shown to people. No workspace may use
