--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -27,9 +27,9 @@
 	return list, commands
 }
 
-// TestVersionNeverDecreases sends a follower late, duplicate and partial updates from
-// several sources, and checks that its version never decreases and its state is always
-// that of its version.
+// TestVersionNeverDecreases sends a follower late, duplicate and partial updates
+// from several sources, and checks that its version never decreases and its state is
+// always that of its version.
 func TestVersionNeverDecreases(t *testing.T) {
 	list, commands := testStates(20)
 	rapid.Check(t, func(t *rapid.T) {
@@ -82,9 +82,9 @@
 	})
 }
 
-// TestRestartInPartitionedZone restarts a box while no source is in contact with
-// control: it activates the latest state that any reachable source has.
-func TestRestartInPartitionedZone(t *testing.T) {
+// TestRestartInPartitionedZoneTakesLatestState restarts a box while no source is in
+// contact with control: it activates the latest state that any reachable source has.
+func TestRestartInPartitionedZoneTakesLatestState(t *testing.T) {
 	list, _ := testStates(9)
 	now := time.Unix(1000, 0)
 	f := NewFollower(now, 1)
--- a/pkg/distribution/follower.go
+++ b/pkg/distribution/follower.go
@@ -32,7 +32,7 @@
 	// regains its shape soon after an outage.
 	minReturnDelay = 5 * time.Second
 	maxReturnDelay = 2 * time.Minute
-	// minBackOff and maxBackOff bound the pause after all sources have failed.
+	// minBackOff and maxBackOff bound the average pause after all sources have failed.
 	minBackOff = 100 * time.Millisecond
 	maxBackOff = 2 * time.Second
 	// connectTimeout bounds the time until the first bytes of a source's first update.
@@ -130,7 +130,8 @@
 	// returnDelay is how long the follower stays with an upstream other than its first
 	// choice.
 	returnDelay time.Duration
-	// lastContact is when the state was last known to be in contact with control.
+	// lastContact is the time of the last contact with control, directly or through
+	// relays.
 	lastContact time.Time
 	// sourceIsStale reports that the current source is itself out of contact with
 	// control.
--- a/pkg/distribution/joining_test.go
+++ b/pkg/distribution/joining_test.go
@@ -45,9 +45,9 @@
 	return s
 }
 
-// Guards against a starting box that receives the full state from every source it
-// tries, as after an outage of all processes, when no source may be in contact with
-// control.
+// TestFullStateIsSentOnceAfterOutage guards against a starting box that receives the
+// full state from every source it tries, as after an outage of all processes, when
+// no source may be in contact with control.
 func TestFullStateIsSentOnceAfterOutage(t *testing.T) {
 	full := stateWithTargets(t, joinTargets)
 	earlier := stateWithTargets(t, joinTargets-10)
--- a/pkg/distribution/packing_test.go
+++ b/pkg/distribution/packing_test.go
@@ -152,8 +152,8 @@
 }
 
 // TestFollowersConverge publishes documents and targets while relays and boxes join,
-// disconnect, restart and receive corrupted updates. The text at a node must always be
-// that of its version, and all nodes must end at the latest version.
+// disconnect, restart and receive corrupted updates. The text at a node must always
+// be that of its version, and all nodes must end at the latest version.
 func TestFollowersConverge(t *testing.T) {
 	names := []string{"another base", "another digest", "broken data", "another length"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -305,7 +305,7 @@
 
 // One batch has a packed document followed by a plain one, as a relay may get from
 // publishers of different versions.
-func TestPlainAfterPackedDocument(t *testing.T) {
+func TestPlainDocumentAfterPackedIsAccepted(t *testing.T) {
 	first, one := applyRoutes(t, steering.State{}, []byte("one"))
 	second, two := applyRoutes(t, first, []byte("two"))
 	p := NewPublisher(steering.State{})
@@ -318,7 +318,7 @@
 
 // Several documents in one update lead to one new state, so that a box decodes only the
 // last document.
-func TestUpdateIsAppliedAtOnce(t *testing.T) {
+func TestDocumentsOfOneUpdateGiveOneState(t *testing.T) {
 	s := steering.State{}
 	p := NewPublisher(s)
 	for i := range 5 {
--- a/pkg/distribution/publisher.go
+++ b/pkg/distribution/publisher.go
@@ -32,7 +32,7 @@
 	commands     []*wire.Command
 	commandBytes int
 	// packedDocument caches the active document packed without a base. It is made for
-	// the first subscriber that needs it.
+	// the first subscriber that needs it, and replaced after the document has changed.
 	packedDocument *wire.PackedDocument
 }
 
@@ -122,8 +122,8 @@
 }
 
 // FirstUpdate returns the first update of a subscription. Unlike Update it returns the
-// full state for version 0 even if all commands are kept, since subscribers ask for
-// version 0 when they could not apply the commands.
+// full state for version 0 even if all commands are kept, since a subscriber that could
+// not apply the commands asks for version 0.
 func (p *Publisher) FirstUpdate(version uint64, age time.Duration) *wire.Update {
 	u := p.Update(version, age)
 	if version == 0 && u.Commands != nil {
--- a/pkg/distribution/sources_test.go
+++ b/pkg/distribution/sources_test.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// Guards against a follower that keeps leaving a working upstream for a dead first
-// choice: the dead one is retried, but at growing intervals.
+// TestRetriesOfDeadFirstChoiceBackOff guards against a follower that keeps leaving a
+// working upstream for a dead first choice: the dead one is retried, but at growing
+// intervals.
 func TestRetriesOfDeadFirstChoiceBackOff(t *testing.T) {
 	c := &failoverTest{testFollower: newTestFollower(), firstIsDead: true}
 	c.run(10 * time.Minute)
@@ -86,8 +87,9 @@
 	}
 }
 
-// Guards against a panic on events of a subscription whose source is no longer listed:
-// they are ignored, whether other sources are listed or none.
+// TestEventsOfDroppedSourceAreIgnored guards against a panic on events of a
+// subscription whose source is no longer listed: they are ignored, whether other
+// sources are listed or none.
 func TestEventsOfDroppedSourceAreIgnored(t *testing.T) {
 	list, commands := testStates(1)
 	p := NewPublisher(list[0])
--- a/pkg/distribution/transfer_test.go
+++ b/pkg/distribution/transfer_test.go
@@ -69,8 +69,9 @@
 	return after, false
 }
 
-// Guards against a follower that leaves its upstream in the middle of a long update.
-func TestSendingUpstreamIsKept(t *testing.T) {
+// TestUpstreamIsKeptDuringTransfer guards against a follower that leaves its
+// upstream in the middle of a long update.
+func TestUpstreamIsKeptDuringTransfer(t *testing.T) {
 	f := newTestFollower()
 	f.openSubscription()
 	if after, left := f.receiveBytes(10*time.Second, 50_000); left {
@@ -104,7 +105,7 @@
 
 // A follower does not return from its second choice to the first in the middle of an
 // update.
-func TestSendingSecondChoiceIsKept(t *testing.T) {
+func TestSecondChoiceIsKeptDuringTransfer(t *testing.T) {
 	f := newTestFollower()
 	f.handle(Lost{Attempt: f.attempt})
 	f.openSubscription()
@@ -160,7 +161,7 @@
 // The control age of an update counts from its arrival, or from the start of its
 // transfer if that was seen, however long it was queued. A queued update is no reason
 // to judge the upstream silent, because more updates may be queued behind it.
-func TestQueuedUpdateCountsFromArrival(t *testing.T) {
+func TestControlAgeCountsFromArrival(t *testing.T) {
 	f := newTestFollower()
 	f.openSubscription()
 	arrivedAt := f.now.Add(testStep)
--- a/pkg/distribution/updatecost_test.go
+++ b/pkg/distribution/updatecost_test.go
@@ -12,9 +12,9 @@
 // number of registrations in it.
 const maxListCopies = 3
 
-// Guards against updates that copy the list of targets for each registration, so that
-// their cost is the product of both numbers.
-func TestUpdateAllocations(t *testing.T) {
+// TestUpdateAllocationsAreBounded guards against updates that copy the list of
+// targets for each registration, so that their cost is the product of both numbers.
+func TestUpdateAllocationsAreBounded(t *testing.T) {
 	const targets, updates, pointerSize = 3000, 20, 8
 	s := steering.State{}
 	for i := range targets {
--- a/pkg/distribution/updatesize_test.go
+++ b/pkg/distribution/updatesize_test.go
@@ -83,10 +83,10 @@
 	return out, len(data)
 }
 
-// TestUpdateSizeFollowsTheChange applies documents of 1,400 to 5,600 routes in turn,
-// each followed by one that changes a single weight, and checks that the size of the
-// updates depends on the change and not on the document.
-func TestUpdateSizeFollowsTheChange(t *testing.T) {
+// TestUpdateSizeDependsOnChangeOnly applies documents of 1,400 to 5,600 routes in
+// turn, each followed by one that changes a single weight, and checks that the size
+// of the updates depends on the change and not on the document.
+func TestUpdateSizeDependsOnChangeOnly(t *testing.T) {
 	state, box := steering.State{}, steering.State{}
 	p := NewPublisher(state)
 	receive := func(what string, limit int) {
