--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -140,10 +140,10 @@
 	return nil
 }
 
-// CheckVoterChange refuses a change from t to next that replaces more than one voter of
-// a zone's leases. Majorities of two voter sets that differ by one voter always
-// intersect; with a larger difference they may not. A zone without boxes may start with
-// any set.
+// CheckVoterChange refuses a change from t to next that adds or removes more than one
+// voter of a zone's leases; replacing a voter is such a change. Majorities of two voter
+// sets that differ by one voter always intersect; with a larger difference they may not.
+// A zone without boxes may start with any set.
 func (t Tree) CheckVoterChange(next Tree) error {
 	for _, z := range next.Zones() {
 		before, _ := t.Zone(z.Name)
--- a/pkg/settings/tree.go
+++ b/pkg/settings/tree.go
@@ -177,7 +177,7 @@
 	return out
 }
 
-// paths returns the paths that set a key, sorted.
+// paths returns the paths at which any key is set, sorted.
 func (t Tree) paths() []Path {
 	return slices.SortedFunc(maps.Keys(t.nodes), func(a, b Path) int {
 		return strings.Compare(a.String(), b.String())
