--- a/pkg/batch/batcher.go
+++ b/pkg/batch/batcher.go
@@ -67,8 +67,8 @@
 // New returns a batcher without items.
 func New[T any](c Config) *Batcher[T] { return &Batcher[T]{config: c} }
 
-// averageWeight is the weight of a batch in the moving average, most of which is thus
-// due to the last five. No other weights were tried.
+// averageWeight is the weight of the latest batch in the moving average. The last five
+// batches together have a weight of 0.83.
 const averageWeight = 0.3
 
 // Add queues an item that has to complete by the deadline, or returns a BusyError.
