--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -42,8 +42,9 @@
 	})
 }
 
-// Guards against one process with a wrong clock advancing the clocks of all others.
-func TestStampFarAheadIsIgnored(t *testing.T) {
+// TestTimestampFarAheadIsIgnored guards against one process with a wrong clock advancing
+// the clocks of all others.
+func TestTimestampFarAheadIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewClock(func() time.Time { return now })
 	c.Observe(&wire.Clock{WallUnixMilli: now.Add(time.Hour).UnixMilli()})
@@ -52,7 +53,7 @@
 	}
 }
 
-func TestRingShowsGaps(t *testing.T) {
+func TestDroppedEventsAreShownAsGap(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRing("p", NewClock(func() time.Time { return now }), 3, nil)
 	for i := range 5 {
