--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	stop := watchPlatform(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
+	stop := watchPlatform(ctx, path, d.Log(), func(s platform.Settings) { d.AddSeeds(s.Seeds) })
 	defer stop()
 	return ignoreCanceled(d.Run(ctx))
 }
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, err
 	}
-	calls := platform.Control{Register: d.Register, Leave: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, Unread: d.NoteUnread}
+	calls := platform.Control{Register: d.Register, Leave: d.Deregister, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, Unread: d.RecordRejectedUpdate}
 	if s.Operators != "" {
 		if err := d.AddHandler("calls", s.Operators, calls.Handler()); err != nil {
 			return nil, err
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -76,7 +76,7 @@
 // failWith answers an error of the replica.
 func (d *Daemon) failWith(c iris.Context, err error) {
 	var notLeader *consensus.NotLeaderError
-	var lost *LostError
+	var lost *LeadershipLostError
 	var transferring *consensus.TransferringError
 	switch {
 	case errors.As(err, &notLeader):
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -86,7 +86,7 @@
 	}
 	delete(r.waiting, e.Index)
 	if w.term != e.Term {
-		o = outcome{err: &LostError{}}
+		o = outcome{err: &LeadershipLostError{}}
 	}
 	w.reply(o)
 }
@@ -101,7 +101,7 @@
 	for index, w := range r.waiting {
 		if index > settled {
 			delete(r.waiting, index)
-			w.reply(outcome{err: &LostError{}})
+			w.reply(outcome{err: &LeadershipLostError{}})
 		}
 	}
 }
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -22,20 +22,20 @@
 // does not have.
 type UnknownServiceError struct {
 	Service string
-	Number  uint64
+	DocumentNumber  uint64
 }
 
 // Error implements error.
 func (e *UnknownServiceError) Error() string {
-	return fmt.Sprintf("document %d has no service %q", e.Number, e.Service)
+	return fmt.Sprintf("document %d has no service %q", e.DocumentNumber, e.Service)
 }
 
-// FutureBirthError says that a target tells a start that lies ahead by more than
+// FutureStartError says that a target tells a start that lies ahead by more than
 // clocks differ.
-type FutureBirthError struct{ Ahead time.Duration }
+type FutureStartError struct{ Ahead time.Duration }
 
 // Error implements error.
-func (e *FutureBirthError) Error() string {
+func (e *FutureStartError) Error() string {
 	return fmt.Sprintf("the target tells that it starts in %s", e.Ahead)
 }
 
@@ -56,8 +56,8 @@
 	return d.register(ctx, &wire.RegistrationCommand{Registration: r})
 }
 
-// Leave takes a target out for good.
-func (d *Daemon) Leave(ctx context.Context, id string) error {
+// Deregister takes a target out for good.
+func (d *Daemon) Deregister(ctx context.Context, id string) error {
 	return d.register(ctx, &wire.RegistrationCommand{Registration: &wire.Registration{Id: id}, Leave: true})
 }
 
@@ -68,7 +68,7 @@
 	}
 	r := c.Registration
 	if err := d.checkWord(state, c); err != nil {
-		d.NoteUnread(r.Id, err)
+		d.RecordRejectedUpdate(r.Id, err)
 		return err
 	}
 	if !state.Catalog().WouldChange(r, c.Leave) {
@@ -93,7 +93,7 @@
 	}
 	born := time.UnixMilli(c.Registration.BornUnixMilli)
 	if ahead := time.Until(born); ahead > mostAhead { // time of day: targets tell their starts by it
-		return &FutureBirthError{Ahead: ahead.Round(time.Second)}
+		return &FutureStartError{Ahead: ahead.Round(time.Second)}
 	}
 	return d.document.checkService(s.Catalog().Document(), c.Registration.Service)
 }
@@ -102,9 +102,9 @@
 // few show what comes, the counter tells how many.
 const unreadLinesPerSecond = 5
 
-// NoteUnread counts a target's update that can't be used. Of those that come at once
+// RecordRejectedUpdate counts a target's update that can't be used. Of those that come at once
 // some have a line in the log.
-func (d *Daemon) NoteUnread(id string, cause error) {
+func (d *Daemon) RecordRejectedUpdate(id string, cause error) {
 	d.unreadUpdates.Inc()
 	if !d.unreadLines.Take(d.clock.Now()) {
 		return
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -167,7 +167,7 @@
 
 func (d *Daemon) deleteTarget(c iris.Context) {
 	id := c.Params().Get("id")
-	err := d.settle(c, func(ctx context.Context) error { return d.Leave(ctx, id) })
+	err := d.settle(c, func(ctx context.Context) error { return d.Deregister(ctx, id) })
 	d.answerCatalog(c, err, operator.Target{ID: id})
 }
 
@@ -212,7 +212,7 @@
 	var refused *RefusedError
 	var zone *UnknownZoneError
 	var service *UnknownServiceError
-	var birth *FutureBirthError
+	var birth *FutureStartError
 	var none *NoDocumentError
 	var busy *batch.BusyError
 	switch {
--- a/internal/control/documentinforce.go
+++ b/internal/control/documentinforce.go
@@ -46,7 +46,7 @@
 	if slices.ContainsFunc(d.Services, func(s catalog.Service) bool { return s.Name == name }) {
 		return nil
 	}
-	return &UnknownServiceError{Service: name, Number: d.Number}
+	return &UnknownServiceError{Service: name, DocumentNumber: d.Number}
 }
 
 func (d *Daemon) logUnreadDocument(number uint64, err error) {
--- a/internal/control/fulldisk.go
+++ b/internal/control/fulldisk.go
@@ -53,7 +53,7 @@
 	r.nextLook = r.now().Add(roomInterval)
 	for token, reply := range r.tokens {
 		delete(r.tokens, token)
-		reply(outcome{err: &LostError{}}) // what was being stored may be there after all
+		reply(outcome{err: &LeadershipLostError{}}) // what was being stored may be there after all
 	}
 	r.failWaiting()
 	for token, reply := range r.reads {
--- a/internal/control/fulldisk_test.go
+++ b/internal/control/fulldisk_test.go
@@ -75,7 +75,7 @@
 		}
 		return nil
 	}
-	var lost *LostError
+	var lost *LeadershipLostError
 	if o := propose("z2"); !errors.As(o.err, &lost) {
 		t.Errorf("what was being stored: %v", o.err)
 	}
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -70,11 +70,11 @@
 	membership *wire.Membership
 }
 
-// LostError says that a command was taken but its place in the log went to
+// LeadershipLostError says that a command was taken but its place in the log went to
 // another; whether it is in the log elsewhere is not known here.
-type LostError struct{}
+type LeadershipLostError struct{}
 
 // Error implements error.
-func (*LostError) Error() string {
+func (*LeadershipLostError) Error() string {
 	return "the leader changed before the command was settled; send it again with the same id"
 }
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -125,7 +125,7 @@
 			break // the answer was lost with the node
 		}
 		if got.err != nil {
-			var lost *LostError
+			var lost *LeadershipLostError
 			var notLeader *consensus.NotLeaderError
 			var transferring *consensus.TransferringError
 			if !errors.As(got.err, &lost) && !errors.As(got.err, &notLeader) && !errors.As(got.err, &transferring) {
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -211,8 +211,8 @@
 // Log returns the log of the process.
 func (d *Daemon) Log() zerolog.Logger { return d.process.Log }
 
-// SetSeeds adds control replicas by which others are found.
-func (d *Daemon) SetSeeds(seeds []string) {
+// AddSeeds adds control replicas by which others are found.
+func (d *Daemon) AddSeeds(seeds []string) {
 	m := &wire.Membership{}
 	for _, address := range seeds {
 		m.Voters = append(m.Voters, &wire.Replica{Address: address})
--- a/internal/control/update_test.go
+++ b/internal/control/update_test.go
@@ -34,7 +34,7 @@
 	if err := check(state, &wire.Registration{Id: "i", Service: "none"}, false); !errors.As(err, &service) {
 		t.Errorf("an unknown service: %v", err)
 	}
-	var birth *FutureBirthError
+	var birth *FutureStartError
 	ahead := time.Now().Add(2 * mostAhead).UnixMilli()
 	if err := check(state, &wire.Registration{Id: "i", Service: "s", BornUnixMilli: ahead}, false); !errors.As(err, &birth) {
 		t.Errorf("a start that lies ahead: %v", err)
