--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	listener := secureListener(d.operators, secure)
+	listener := tlsListener(d.operators, secure)
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listener) }()
 	select {
@@ -62,7 +62,7 @@
 	app.Post("/v1/changes", d.authorized, d.postChange)
 	app.Post("/v1/shifts", d.authorized, d.postShift)
 	app.Post("/v1/shifts/{id}/abort", d.authorized, d.abortShift)
-	d.addCatalog(app)
+	d.addCatalogHandlers(app)
 	app.OnErrorCode(http.StatusNotFound, func(c iris.Context) {
 		fail(c, http.StatusNotFound, operator.CodeNotFound, "there is nothing at "+c.Path())
 	})
@@ -136,7 +136,7 @@
 			return
 		}
 		state = v.state
-		out.AgeMillis = d.age().Milliseconds()
+		out.AgeMillis = d.controlAge().Milliseconds()
 	}
 	out.Version = state.SettingsVersion()
 	for _, s := range state.Tree().Settings() {
@@ -145,8 +145,8 @@
 	_ = c.JSON(out) // the client sees a broken answer
 }
 
-// freshState reads the state through a quorum, or answers that it can't.
-func (d *Daemon) freshState(c iris.Context) (state steering.State, ok bool) {
+// readState reads the state through a quorum, or answers that it can't.
+func (d *Daemon) readState(c iris.Context) (state steering.State, ok bool) {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), readTimeout)
 	defer cancel()
 	state, err := d.replica.read(ctx)
@@ -158,7 +158,7 @@
 }
 
 func (d *Daemon) getHistory(c iris.Context) {
-	state, ok := d.freshState(c)
+	state, ok := d.readState(c)
 	if !ok {
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 func (d *Daemon) getShifts(c iris.Context) {
-	state, ok := d.freshState(c)
+	state, ok := d.readState(c)
 	if !ok {
 		return
 	}
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -10,14 +10,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// maxApplied is how many committed entries are applied before the loop hears the other
+// maxEntriesPerApply is how many committed entries are applied before the loop hears the other
 // replicas again: thousands of registration updates that come at once must not keep a leader
 // from its heartbeats.
-const maxApplied = 64
+const maxEntriesPerApply = 64
 
-// applySome applies the committed entries that come next, up to maxApplied.
-func (r *replica) applySome() error {
-	n := min(len(r.committed), maxApplied)
+// applyNext applies the committed entries that come next, up to maxApplied.
+func (r *replica) applyNext() error {
+	n := min(len(r.committed), maxEntriesPerApply)
 	if n == 0 {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	published := r.applyCommands(carried, commands)
 	for _, e := range entries {
 		r.applied = max(r.applied, e.Index)
-		r.answer(e, outcome{version: r.state.Version()}) // those that carry none
+		r.answerProposal(e, outcome{version: r.state.Version()}) // those that carry none
 	}
 	if len(published) > 0 {
 		r.publish(r.state, published)
@@ -68,18 +68,18 @@
 		for i, result := range results {
 			if result.Changed {
 				version++
-				published = append(published, forPublishing(commands[i], r.state))
+				published = append(published, publishedCommand(commands[i], r.state))
 			}
 			r.applied = entries[i].Index
-			r.settled(commands[i], result)
-			r.answer(entries[i], outcome{result: result, version: version})
+			r.onApplied(commands[i], result)
+			r.answerProposal(entries[i], outcome{result: result, version: version})
 		}
 		entries, commands = entries[n:], commands[n:]
 	}
 	return published
 }
 
-func (r *replica) answer(e *wire.Entry, o outcome) {
+func (r *replica) answerProposal(e *wire.Entry, o outcome) {
 	w, ok := r.waiting[e.Index]
 	if !ok {
 		return
--- a/internal/control/boxes_test.go
+++ b/internal/control/boxes_test.go
@@ -14,7 +14,7 @@
 
 // box is one entry box.
 type box struct {
-	world    *world
+	sim      *simulation
 	name     string
 	zone     string
 	follower *distribution.Follower
@@ -28,14 +28,14 @@
 	starts   uint64
 }
 
-func (w *world) startBox(b *box) {
+func (sim *simulation) startBox(b *box) {
 	b.alive = true
 	b.starts++
-	b.follower = distribution.NewFollower(w.now, w.random.Uint64())
+	b.follower = distribution.NewFollower(sim.now, sim.random.Uint64())
 	b.pub = distribution.NewPublisher(steering.State{})
 	b.source = nil
 	zone := settings.Zone{Name: b.zone}
-	for _, other := range w.boxes {
+	for _, other := range sim.boxes {
 		if other.zone == b.zone {
 			zone.Boxes = append(zone.Boxes, settings.Box{Name: other.name, PeerAddress: other.name})
 		}
@@ -45,14 +45,14 @@
 		zone.Boxes = []settings.Box{{Name: fmt.Sprintf("b%d", first), PeerAddress: fmt.Sprintf("b%d", first)}, {Name: fmt.Sprintf("b%d", first+1), PeerAddress: fmt.Sprintf("b%d", first+1)}}
 	}
 	var controls []distribution.Source
-	for _, n := range w.nodes {
+	for _, n := range sim.nodes {
 		controls = append(controls, distribution.Source{Name: n.name, Address: n.name, Control: true})
 	}
-	w.boxEvent(b, distribution.SetSources{Sources: distribution.Sources(b.name, zone, controls)})
+	sim.boxEvent(b, distribution.SetSources{Sources: distribution.Sources(b.name, zone, controls)})
 }
 
-func (w *world) boxEvent(b *box, e distribution.Event) {
-	out := b.follower.Handle(w.now, e)
+func (sim *simulation) boxEvent(b *box, e distribution.Event) {
+	out := b.follower.Handle(sim.now, e)
 	if out.Subscribe != nil {
 		b.source = out.Subscribe
 		b.sent = out.Subscribe.Version
@@ -61,69 +61,69 @@
 	if out.State == nil {
 		return
 	}
-	w.boxHook("inForce", b)
+	sim.boxHook("inForce", b)
 	if !b.alive {
 		return
 	}
 	v := out.State.Version()
 	if v < b.highest {
-		w.problem("%s puts version %d in force after %d", b.name, v, b.highest)
+		sim.addProblem("%s puts version %d in force after %d", b.name, v, b.highest)
 	}
 	b.highest = max(b.highest, v)
 	b.pub.SetState(*out.State, out.Commands)
 }
 
 // stepBox carries updates over the box's subscription.
-func (w *world) stepBox(b *box) {
+func (sim *simulation) stepBox(b *box) {
 	if !b.alive {
-		if !w.now.Before(b.downTo) {
-			w.startBox(b)
+		if !sim.now.Before(b.downTo) {
+			sim.startBox(b)
 		}
 		return
 	}
-	w.boxEvent(b, distribution.Tick{})
+	sim.boxEvent(b, distribution.Tick{})
 	if b.source == nil || !b.alive {
 		return
 	}
 	attempt := b.source.Attempt
-	pub, age, zone, ok := w.upstream(b.source.Source.Address)
-	if !ok || !w.both(b.zone, zone) {
+	pub, age, zone, ok := sim.upstream(b.source.Source.Address)
+	if !ok || !sim.connected(b.zone, zone) {
 		b.source = nil
-		w.boxEvent(b, distribution.Lost{Attempt: attempt})
+		sim.boxEvent(b, distribution.Lost{Attempt: attempt})
 		return
 	}
 	if b.sentAt.IsZero() {
-		w.boxEvent(b, distribution.Opened{Attempt: attempt})
+		sim.boxEvent(b, distribution.Opened{Attempt: attempt})
 	}
-	if !b.alive || (w.now.Sub(b.sentAt) < time.Second && pub.Version() <= b.sent) {
+	if !b.alive || (sim.now.Sub(b.sentAt) < time.Second && pub.Version() <= b.sent) {
 		return
 	}
-	w.boxHook("distribute", b)
+	sim.boxHook("distribute", b)
 	if !b.alive {
 		return
 	}
 	u := pub.Update(b.sent, age)
-	b.sentAt = w.now
+	b.sentAt = sim.now
 	b.sent = max(b.sent, u.Version)
-	w.boxEvent(b, distribution.Received{Attempt: attempt, Update: proto.CloneOf(u)})
+	sim.boxEvent(b, distribution.Received{Attempt: attempt, Update: proto.CloneOf(u)})
 }
 
-func (w *world) upstream(name string) (pub *distribution.Publisher, age time.Duration, zone string, ok bool) {
-	if n := w.node(name); n != nil {
+func (sim *simulation) upstream(name string) (pub *distribution.Publisher, age time.Duration, zone string, ok bool) {
+	if n := sim.node(name); n != nil {
 		if !n.alive || n.frozen {
 			return nil, 0, "", false
 		}
-		return n.pub, w.now.Sub(n.heardAt), n.zone, true
+		return n.pub, sim.now.Sub(n.heardAt), n.zone, true
 	}
-	i := slices.IndexFunc(w.boxes, func(b *box) bool { return b.name == name })
-	if i < 0 || !w.boxes[i].alive {
+	i := slices.IndexFunc(sim.boxes, func(b *box) bool { return b.name == name })
+	if i < 0 || !sim.boxes[i].alive {
 		return nil, 0, "", false
 	}
-	b := w.boxes[i]
-	return b.pub, b.follower.ControlAge(w.now), b.zone, true
+	b := sim.boxes[i]
+	return b.pub, b.follower.ControlAge(sim.now), b.zone, true
 }
 
-func (w *world) killBox(b *box, down time.Duration) {
+func (sim *simulation) killBox(b *box, down time.Duration) {
 	b.alive = false
-	b.downTo = w.now.Add(down)
+	b.downTo = sim.now.Add(down)
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -15,10 +15,10 @@
 	case request.Timeline != nil:
 		return &wire.CallAnswer{Timeline: d.process.Ring.Events(request.Timeline)}
 	case request.Join != nil:
-		d.logJoining(request.Join.Replica)
+		d.recordJoining(request.Join.Replica)
 		return &wire.CallAnswer{Join: &wire.JoinAnswer{Noted: true}}
 	case request.Report != nil:
-		d.collect(request.Report)
+		d.collectReport(request.Report)
 		return &wire.CallAnswer{}
 	case request.Submit != nil:
 		return d.serveSubmit(ctx, request)
@@ -51,7 +51,7 @@
 	}}
 }
 
-func (d *Daemon) logJoining(r *wire.Replica) {
+func (d *Daemon) recordJoining(r *wire.Replica) {
 	if r == nil || !d.config.Seeded && !slices.Contains(d.config.Peers, r.Address) {
 		return
 	}
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -21,8 +21,8 @@
 // UnknownServiceError says that a target names a service that the document in force
 // does not have.
 type UnknownServiceError struct {
-	Service string
-	DocumentNumber  uint64
+	Service        string
+	DocumentNumber uint64
 }
 
 // Error implements error.
@@ -39,10 +39,10 @@
 	return fmt.Sprintf("the target tells that it starts in %s", e.Ahead)
 }
 
-// mostAhead is how far ahead of this replica's time of day a target's start may lie.
+// maxStartAhead is how far ahead of this replica's time of day a target's start may lie.
 // Clocks of the users' deployments step by seconds. A update with a later start would
 // shut the target's own updates out until then.
-const mostAhead = time.Minute
+const maxStartAhead = time.Minute
 
 // NoDocumentError says that no document of routes has been put in force yet.
 type NoDocumentError struct{}
@@ -63,11 +63,11 @@
 
 func (d *Daemon) register(ctx context.Context, c *wire.RegistrationCommand) error {
 	state := d.latest()
-	if !c.Leave && d.repeated.covers(state.Catalog(), c.Registration) {
+	if !c.Leave && d.targetIndex.isRedundant(state.Catalog(), c.Registration) {
 		return nil
 	}
 	r := c.Registration
-	if err := d.checkWord(state, c); err != nil {
+	if err := d.checkUpdate(state, c); err != nil {
 		d.RecordRejectedUpdate(r.Id, err)
 		return err
 	}
@@ -75,7 +75,7 @@
 		return nil
 	}
 	began := d.clock.Now()
-	err := d.registrations.tell(ctx, c, false)
+	err := d.registrations.submit(ctx, c, false)
 	line := d.process.Log.Info()
 	if err != nil {
 		line = d.process.Log.Warn().Err(err)
@@ -86,27 +86,27 @@
 	return err
 }
 
-// checkWord reports an update that names no target which could be used.
-func (d *Daemon) checkWord(s steering.State, c *wire.RegistrationCommand) error {
+// checkUpdate reports an update that names no target which could be used.
+func (d *Daemon) checkUpdate(s steering.State, c *wire.RegistrationCommand) error {
 	if c.Leave {
 		return nil
 	}
 	born := time.UnixMilli(c.Registration.BornUnixMilli)
-	if ahead := time.Until(born); ahead > mostAhead { // time of day: targets tell their starts by it
+	if ahead := time.Until(born); ahead > maxStartAhead { // time of day: targets tell their starts by it
 		return &FutureStartError{Ahead: ahead.Round(time.Second)}
 	}
-	return d.document.checkService(s.Catalog().Document(), c.Registration.Service)
+	return d.routes.checkService(s.Catalog().Document(), c.Registration.Service)
 }
 
-// unreadLinesPerSecond bounds the log lines on registration updates that can't be used: a
+// maxRejectedLogsPerSecond bounds the log lines on registration updates that can't be used: a
 // few show what comes, the counter tells how many.
-const unreadLinesPerSecond = 5
+const maxRejectedLogsPerSecond = 5
 
 // RecordRejectedUpdate counts a target's update that can't be used. Of those that come at once
 // some have a line in the log.
 func (d *Daemon) RecordRejectedUpdate(id string, cause error) {
-	d.unreadUpdates.Inc()
-	if !d.unreadLines.Take(d.clock.Now()) {
+	d.rejectedUpdates.Inc()
+	if !d.rejectedLogLimiter.Take(d.clock.Now()) {
 		return
 	}
 	d.process.Log.Warn().Str("kind", "registration").Str("target", id).Err(cause).Msg("registration update rejected")
@@ -164,8 +164,8 @@
 }
 
 const (
-	// recentReports is the time over which boxes are counted.
-	recentReports = 10 * time.Second
+	// boxCountWindow is the time over which boxes are counted.
+	boxCountWindow = 10 * time.Second
 	// maxLookupBoxes is the most that an answer may name (the users' bound).
 	maxLookupBoxes = 64
 	// lookupTTL is how long an answer may be kept. Callers keep some answers
@@ -176,20 +176,20 @@
 // BoxesFor returns the caller addresses of the entry boxes that a caller in a
 // region and zone is to use, and how long that may be kept.
 func (d *Daemon) BoxesFor(region, zone string) ([]string, time.Duration) {
-	if !d.hasLearned() {
-		return nil, d.lookupTime()
+	if !d.lookupsReady() {
+		return nil, d.lookupAnswerTTL()
 	}
-	near := lookup.Nearest(d.serving.get(d.clock.Now(), d.servingNow), region, zone)
+	near := lookup.Nearest(d.serving.get(d.clock.Now(), d.listServingBoxes), region, zone)
 	if len(near) > maxLookupBoxes {
 		near = near[:maxLookupBoxes]
 	}
-	return near, d.lookupTime()
+	return near, d.lookupAnswerTTL()
 }
 
-// servingNow returns the boxes that serve callers by their latest reports.
-func (d *Daemon) servingNow() []lookup.BoxLocation {
+// listServingBoxes returns the boxes that serve callers by their latest reports.
+func (d *Daemon) listServingBoxes() []lookup.BoxLocation {
 	var out []lookup.BoxLocation
-	fresh := lookup.ReportValidity(len(d.Boxes(recentReports)))
+	fresh := lookup.ReportValidity(len(d.Boxes(boxCountWindow)))
 	for _, b := range d.Boxes(fresh) {
 		if b.CallerAddress != "" && !b.Stopping {
 			out = append(out, lookup.BoxLocation{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
@@ -198,32 +198,32 @@
 	return out
 }
 
-// hasLearned reports whether the boxes that serve are known well enough since
+// lookupsReady reports whether the boxes that serve are known well enough since
 // the start of this process.
-func (d *Daemon) hasLearned() bool {
+func (d *Daemon) lookupsReady() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.learning.Ready(d.clock.Now())
+	return d.startupGate.Ready(d.clock.Now())
 }
 
-// collect takes the reports of boxes.
-func (d *Daemon) collect(r *wire.Report) {
-	d.publishing.Collect(r)
-	d.takeUpdates(r.Limits)
+// collectReport takes the reports of boxes.
+func (d *Daemon) collectReport(r *wire.Report) {
+	d.publisher.Collect(r)
+	d.applyLimitUpdates(r.Limits)
 	for _, b := range r.Boxes {
-		d.serving.heard(b)
+		d.serving.invalidateIfChanged(b)
 	}
 	if !slices.ContainsFunc(r.Boxes, func(b *wire.BoxReport) bool { return b.CallerAddress != "" && !b.Stopping }) {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learning.BoxReported(d.clock.Now())
+	d.startupGate.BoxReported(d.clock.Now())
 }
 
-// forPublishing returns a command that led to a state as publishers take it: the
+// publishedCommand returns a command that led to a state as publishers take it: the
 // document with the text that the state holds, to be made a difference.
-func forPublishing(c *wire.Command, s steering.State) *wire.Command {
+func publishedCommand(c *wire.Command, s steering.State) *wire.Command {
 	if c.GetRoutes() == nil {
 		return c
 	}
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -21,14 +21,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// addCatalog adds the calls for routes, evacuations and targets, which any
+// addCatalogHandlers adds the calls for routes, evacuations and targets, which any
 // replica answers: it has the leader settle what changes something.
-func (d *Daemon) addCatalog(app *iris.Application) {
+func (d *Daemon) addCatalogHandlers(app *iris.Application) {
 	app.Get("/v1/routes", d.getRoutes)
 	app.Put("/v1/routes", d.authorized, d.putRoutes)
 	app.Get("/v1/evacuations", d.getEvacuations)
-	app.Put("/v1/evacuations/{zone}", d.authorized, func(c iris.Context) { d.orderEvacuation(c, false) })
-	app.Delete("/v1/evacuations/{zone}", d.authorized, func(c iris.Context) { d.orderEvacuation(c, true) })
+	app.Put("/v1/evacuations/{zone}", d.authorized, func(c iris.Context) { d.setEvacuation(c, false) })
+	app.Delete("/v1/evacuations/{zone}", d.authorized, func(c iris.Context) { d.setEvacuation(c, true) })
 	app.Get("/v1/targets", d.getTargets)
 	app.Put("/v1/targets/{id}", d.authorized, d.putTarget)
 	app.Delete("/v1/targets/{id}", d.authorized, d.deleteTarget)
@@ -58,13 +58,13 @@
 	defer cancel()
 	text, err := d.Routes(ctx)
 	if err != nil {
-		d.failCatalog(c, err)
+		d.failCatalogCall(c, err)
 		return
 	}
 	if !asWritten {
 		document, err := d.decodeRoutes(text)
 		if err != nil {
-			d.failCatalog(c, err)
+			d.failCatalogCall(c, err)
 			return
 		}
 		text = document.Text()
@@ -81,9 +81,9 @@
 	}
 	document, err := d.decodeRoutes(text)
 	if err == nil {
-		err = d.settle(c, func(ctx context.Context) error { return d.PutRoutes(ctx, document, text) })
+		err = d.withSubmitTimeout(c, func(ctx context.Context) error { return d.PutRoutes(ctx, document, text) })
 	}
-	d.answerCatalog(c, err, operator.RoutesVerdict{Number: document.Number})
+	d.answerCatalogCall(c, err, operator.RoutesVerdict{Number: document.Number})
 }
 
 func (d *Daemon) getEvacuations(c iris.Context) {
@@ -96,10 +96,10 @@
 	return operator.Evacuations{Zones: append([]string{}, s.Evacuated()...)}
 }
 
-func (d *Daemon) orderEvacuation(c iris.Context, withdraw bool) {
+func (d *Daemon) setEvacuation(c iris.Context, withdraw bool) {
 	zone := c.Params().Get("zone")
-	err := d.settle(c, func(ctx context.Context) error { return d.Evacuate(ctx, zone, withdraw) })
-	d.answerCatalog(c, err, operator.Evacuations{Zones: []string{zone}})
+	err := d.withSubmitTimeout(c, func(ctx context.Context) error { return d.Evacuate(ctx, zone, withdraw) })
+	d.answerCatalogCall(c, err, operator.Evacuations{Zones: []string{zone}})
 }
 
 func (d *Daemon) getTargets(c iris.Context) {
@@ -120,22 +120,22 @@
 			ColdMillis: r.ColdMilli,
 			Sequence:   r.Sequence,
 			BornMillis: r.BornUnixMilli,
-			Limit:      d.limitOf(r),
-			Leaving:    d.targetLimits.of(catalog.IncarnationOf(r).String()).isLeaving,
+			Limit:      d.reportedLimit(r),
+			Leaving:    d.targetLimits.view(catalog.IncarnationOf(r).String()).isLeaving,
 		})
 	}
 	_ = c.JSON(out) // the client sees a broken answer
 }
 
-// limitOf returns what this replica knows of a target's limit, nil for none.
-func (d *Daemon) limitOf(r *wire.Registration) *operator.TargetLimit {
-	known := d.targetLimits.of(catalog.IncarnationOf(r).String())
+// reportedLimit returns what this replica knows of a target's limit, nil for none.
+func (d *Daemon) reportedLimit(r *wire.Registration) *operator.TargetLimit {
+	known := d.targetLimits.view(catalog.IncarnationOf(r).String())
 	if known.limit == targetstatus.NoLimit {
 		return nil
 	}
 	return &operator.TargetLimit{
 		PerSecond: known.limit, SaidAgoMillis: d.clock.Since(known.receivedAt).Milliseconds(),
-		Issued: known.tally.Issued, RefusedAsks: known.tally.Refused,
+		Issued: known.counters.Issued, RefusedAsks: known.counters.Refused,
 	}
 }
 
@@ -162,13 +162,13 @@
 
 		BornUnixMilli: t.BornMillis,
 	}
-	d.answerCatalog(c, d.settle(c, func(ctx context.Context) error { return d.Register(ctx, r) }), t)
+	d.answerCatalogCall(c, d.withSubmitTimeout(c, func(ctx context.Context) error { return d.Register(ctx, r) }), t)
 }
 
 func (d *Daemon) deleteTarget(c iris.Context) {
 	id := c.Params().Get("id")
-	err := d.settle(c, func(ctx context.Context) error { return d.Deregister(ctx, id) })
-	d.answerCatalog(c, err, operator.Target{ID: id})
+	err := d.withSubmitTimeout(c, func(ctx context.Context) error { return d.Deregister(ctx, id) })
+	d.answerCatalogCall(c, err, operator.Target{ID: id})
 }
 
 func (d *Daemon) getGateways(c iris.Context) {
@@ -185,29 +185,29 @@
 func (d *Daemon) catalogState(c iris.Context) (s catalog.State, ok bool) {
 	state, err := d.State(c.Request().Context())
 	if err != nil {
-		d.failCatalog(c, &UnavailableError{Cause: err})
+		d.failCatalogCall(c, &UnavailableError{Cause: err})
 		return s, false
 	}
 	return state.Catalog(), true
 }
 
-// settle runs an order for as long as an operator waits.
-func (d *Daemon) settle(c iris.Context, order func(ctx context.Context) error) error {
+// withSubmitTimeout runs an order for as long as an operator waits.
+func (d *Daemon) withSubmitTimeout(c iris.Context, order func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), submitTimeout)
 	defer cancel()
 	return order(ctx)
 }
 
-func (d *Daemon) answerCatalog(c iris.Context, err error, body any) {
+func (d *Daemon) answerCatalogCall(c iris.Context, err error, body any) {
 	if err != nil {
-		d.failCatalog(c, err)
+		d.failCatalogCall(c, err)
 		return
 	}
 	_ = c.JSON(body) // the client sees a broken answer
 }
 
-// failCatalog answers an error of the catalog's calls.
-func (d *Daemon) failCatalog(c iris.Context, err error) {
+// failCatalogCall answers an error of the catalog's calls.
+func (d *Daemon) failCatalogCall(c iris.Context, err error) {
 	var invalid *catalog.InvalidError
 	var refused *RefusedError
 	var zone *UnknownZoneError
@@ -248,8 +248,8 @@
 	return slices.ContainsFunc(s.Catalog().Targets(), func(r *wire.Registration) bool { return r.Zone == zone })
 }
 
-// lookupTime is how long the answer of a look-up may be kept.
-func (d *Daemon) lookupTime() time.Duration {
+// lookupAnswerTTL is how long the answer of a look-up may be kept.
+func (d *Daemon) lookupAnswerTTL() time.Duration {
 	if d.config.LookupTTL <= 0 {
 		return lookupTTL
 	}
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -29,47 +29,47 @@
 
 // Daemon is one control replica.
 type Daemon struct {
-	config     config.Control
-	clock      *boottime.Clock
-	process    *process.Process
-	journal    *journal.Journal
-	replica    *replica
-	node       *link.Node
-	transport  *transport
-	publishing *relay.Publishing
-	permits    *permits
+	config       config.Control
+	clock        *boottime.Clock
+	process      *process.Process
+	journal      *journal.Journal
+	replica      *replica
+	node         *link.Node
+	transport    *transport
+	publisher    *relay.Publishing
+	permitIssuer *permitIssuer
 	// targetLimits are about targets that name limits.
 	targetLimits  *targetLimits
-	document      *documentInForce
-	repeated      repeatedUpdates
+	routes        *routesDecoder
+	targetIndex   targetIndex
 	registrations *registrationQueue
-	suspicions    *suspicions
-	leadership    *leadership
+	evidence      *evidence
+	leadership    *leaderWatch
 	serving       servingBoxes
-	// unreadUpdates counts registration updates that can't be used, and unreadLines
+	// rejectedUpdates counts registration updates that can't be used, and unreadLines
 	// bounds their log lines.
-	unreadUpdates prometheus.Counter
-	unreadLines   *process.LineLimit
-	operators     net.Listener
-	extra         []process.Service
+	rejectedUpdates    prometheus.Counter
+	rejectedLogLimiter *process.LineLimit
+	operators          net.Listener
+	extraServices      []process.Service
 
 	started time.Time
-	// heard is when a leader was last heard of, in nanoseconds after started;
+	// lastContact is when a leader was last lastContact of, in nanoseconds after started;
 	// negative for never. It does not depend on the time of day.
-	heard atomic.Int64
+	lastContact atomic.Int64
 
 	// What the leader has been told of the boxes; the watch worker owns both.
 	reportedTo string
 	filter     *relay.ReportFilter
 
-	mu        sync.Mutex
-	addresses map[string]string
-	joining   map[string]*wire.Replica
-	heardOf   []string // addresses of replicas that others told of
-	repairs   map[string]consensus.RepairStep
-	lagging   map[string]time.Time
-	shifts    map[string]string // why a shift waits
-	learning  *lookup.StartupGate
+	mu           sync.Mutex
+	addresses    map[string]string
+	joining      map[string]*wire.Replica
+	discovered   []string // addresses of replicas that others told of
+	repairs      map[string]consensus.RepairStep
+	laggingSince map[string]time.Time
+	shiftReasons map[string]string // why a shift waits
+	startupGate  *lookup.StartupGate
 }
 
 // Open recovers the replica and listens. Run must follow.
@@ -93,18 +93,18 @@
 	}
 	p.Time = c.Clock
 	d := &Daemon{
-		config:    c,
-		clock:     c.Clock,
-		process:   p,
-		journal:   j,
-		started:   c.Clock.Now(),
-		addresses: make(map[string]string),
-		joining:   make(map[string]*wire.Replica),
-		repairs:   make(map[string]consensus.RepairStep),
-		lagging:   make(map[string]time.Time),
-		shifts:    make(map[string]string),
-	}
-	d.heard.Store(neverHeard)
+		config:       c,
+		clock:        c.Clock,
+		process:      p,
+		journal:      j,
+		started:      c.Clock.Now(),
+		addresses:    make(map[string]string),
+		joining:      make(map[string]*wire.Replica),
+		repairs:      make(map[string]consensus.RepairStep),
+		laggingSince: make(map[string]time.Time),
+		shiftReasons: make(map[string]string),
+	}
+	d.lastContact.Store(noContact)
 	if err := d.open(network, found); err != nil {
 		return nil, errors.Join(err, j.Close(), p.Close())
 	}
@@ -121,25 +121,25 @@
 	}
 	r.clock, r.inbox.clock = d.clock, d.clock
 	d.replica = r
-	d.learning = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
+	d.startupGate = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
 	if found.TruncatedBytes > 0 {
 		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
-	d.publishing = relay.NewPublishing(r.state, d.age, d.process.Clock.Stamp)
+	d.publisher = relay.NewPublishing(r.state, d.controlAge, d.process.Clock.Stamp)
 	d.targetLimits = newTargetLimits(d.config.PeerAddress)
-	d.publishing.SetLimits(d.targetLimits.since)
-	d.publishing.SetClock(d.clock)
+	d.publisher.SetLimits(d.targetLimits.since)
+	d.publisher.SetClock(d.clock)
 	d.targetLimits.clock = d.clock
-	d.document = &documentInForce{decode: d.decodeRoutes, failed: d.logUnreadDocument}
-	d.leadership = newLeadership()
+	d.routes = &routesDecoder{decode: d.decodeRoutes, onError: d.logInvalidRoutes}
+	d.leadership = newLeaderWatch()
 	d.registrations = newRegistrationQueue()
 	d.registrations.clock = d.clock
-	d.suspicions = newSuspicions()
-	d.suspicions.hello = d.askHello
-	d.registrations.settle = d.settleUpdates
-	d.permits = &permits{bound: d.config.LimitBound, document: d.document}
-	d.permits.put(r.state)
+	d.evidence = newEvidence()
+	d.evidence.hello = d.askHello
+	d.registrations.commit = d.commitUpdates
+	d.permitIssuer = &permitIssuer{bound: d.config.LimitBound, routes: d.routes}
+	d.permitIssuer.setState(r.state)
 	secure, err := d.config.TLS()
 	if err != nil {
 		return err
@@ -154,53 +154,53 @@
 		return errors.Join(fmt.Errorf("listening for operators: %w", err), d.node.Close())
 	}
 	d.transport = newTransport(d.node)
-	d.connect(found.ID)
+	d.connectReplica(found.ID)
 	return nil
 }
 
-// connect gives the replica's loop its ways out.
-func (d *Daemon) connect(id string) {
+// connectReplica gives the replica's loop its ways out.
+func (d *Daemon) connectReplica(id string) {
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
-	d.unreadUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
-	d.unreadLines = process.NewLineLimit(unreadLinesPerSecond)
+	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
+	d.rejectedLogLimiter = process.NewLineLimit(maxRejectedLogsPerSecond)
 	settled := d.process.Counter("changes_settled_total", "Changes that got a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
 		d.transport.send(d.addressOf(m.To), m)
 	}
 	d.replica.publish = func(s steering.State, commands []*wire.Command) {
-		d.permits.put(s)
-		d.publishing.Put(s, commands)
+		d.permitIssuer.setState(s)
+		d.publisher.Put(s, commands)
 	}
-	d.replica.synced = func(took time.Duration) {
+	d.replica.onSynced = func(took time.Duration) {
 		syncs.Inc()
 		syncTime.Add(took.Seconds())
 	}
-	d.measure(d.process)
-	d.replica.disk = d.recordDisk
-	d.replica.noticed = func(n consensus.Notice) {
-		d.leadership.note()
+	d.addLoopMetrics(d.process)
+	d.replica.onDiskChange = d.recordDisk
+	d.replica.onNotice = func(n consensus.Notice) {
+		d.leadership.notify()
 		if n.Leader != "" {
 			d.recordContact(0) // what subscribers are told would else lag by viewInterval
 		}
 		detail := fmt.Sprintf("%s in term %d: %s", n.Role, n.Term, n.Reason)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
 	}
-	d.replica.settled = func(c *wire.Command, result steering.Result) {
-		d.recordSettled(c, result)
+	d.replica.onApplied = func(c *wire.Command, result steering.Result) {
+		d.recordApplied(c, result)
 		if v := result.Verdict; v != nil {
 			settled.WithLabelValues(verdictName(v.Kind)).Inc()
 		}
 	}
-	d.process.Gauge("quarantine_suspects", "Requests under which targets ended, as boxes told.", func() float64 { return float64(d.suspicions.len()) })
-	d.process.Gauge("target_limits", "Targets that name how much they take from all boxes together.", func() float64 { return float64(d.targetLimits.named()) })
+	d.process.Gauge("quarantine_suspects", "Requests under which targets ended, as boxes told.", func() float64 { return float64(d.evidence.len()) })
+	d.process.Gauge("target_limits", "Targets that name how much they take from all boxes together.", func() float64 { return float64(d.targetLimits.limitedCount()) })
 	d.process.Gauge("control_bytes_sent", "Bytes sent to other processes.", func() float64 { return float64(d.node.Control.Sent.Load()) })
 	d.process.Gauge("control_bytes_received", "Bytes received from other processes.", func() float64 { return float64(d.node.Control.Received.Load()) })
-	d.process.Gauge("control_age_seconds", "Age of the update of a leader with a quorum; a replica that is cut off shows it growing.", func() float64 { return d.age().Seconds() })
+	d.process.Gauge("control_age_seconds", "Age of the update of a leader with a quorum; a replica that is cut off shows it growing.", func() float64 { return d.controlAge().Seconds() })
 }
 
-func (d *Daemon) recordSettled(c *wire.Command, result steering.Result) {
+func (d *Daemon) recordApplied(c *wire.Command, result steering.Result) {
 	switch {
 	case c.Change != nil:
 		detail := fmt.Sprintf("%s at version %d", verdictName(result.Verdict.Kind), result.Verdict.Version)
@@ -227,7 +227,7 @@
 		return errors.Join(fmt.Errorf("listening for %s: %w", name, err), d.close())
 	}
 	run := func(ctx context.Context) error { return process.ServeHTTP(ctx, l, h) }
-	d.extra = append(d.extra, process.Service{Name: name, Run: run})
+	d.extraServices = append(d.extraServices, process.Service{Name: name, Run: run})
 	return nil
 }
 
@@ -240,16 +240,16 @@
 	go func() { failed <- d.replica.run(loop) }()
 
 	root := d.process.Supervisor()
-	root.Add(process.Service{Name: "publishing", Run: d.publishing.Run})
+	root.Add(process.Service{Name: "publishing", Run: d.publisher.Run})
 	root.Add(process.Service{Name: "words", Run: d.registrations.run})
-	root.Add(process.Service{Name: "quarantine", Run: d.keepQuarantine})
+	root.Add(process.Service{Name: "quarantine", Run: d.runQuarantine})
 	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
-	root.Add(process.Service{Name: "forming", Run: d.form})
+	root.Add(process.Service{Name: "forming", Run: d.maintainMembership})
 	root.Add(process.Service{Name: "repair", Run: d.every(repairInterval, d.repair)})
 	root.Add(process.Service{Name: "shifts", Run: d.planShifts})
-	root.Add(process.Service{Name: "view", Run: d.every(viewInterval, d.watch)})
+	root.Add(process.Service{Name: "view", Run: d.every(viewInterval, d.refreshView)})
 	root.Add(process.Service{Name: "operators", Run: d.serveOperators})
-	for _, s := range d.extra {
+	for _, s := range d.extraServices {
 		root.Add(s)
 	}
 	tree, stopTree := context.WithCancel(ctx)
@@ -258,7 +258,7 @@
 	var err error
 	select {
 	case <-ctx.Done():
-		d.handOver(failed)
+		d.transferLeadership(failed)
 	case err = <-failed:
 		failed <- err
 	}
@@ -270,17 +270,17 @@
 	return errors.Join(err, d.close())
 }
 
-const handoverTime = time.Second
+const transferTimeout = time.Second
 
-// handOver gives leadership away before a planned stop.
-func (d *Daemon) handOver(failed chan error) {
-	ctx, cancel := context.WithTimeout(context.Background(), handoverTime)
+// transferLeadership gives leadership away before a planned stop.
+func (d *Daemon) transferLeadership(failed chan error) {
+	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
 	v, err := d.replica.view(ctx)
 	if err != nil || v.status.Role != consensus.Leader {
 		return
 	}
-	_ = d.replica.inbox.put(ctx, handover{}) // what follows sees that it still leads
+	_ = d.replica.inbox.put(ctx, leadershipTransfer{}) // what follows sees that it still leads
 	for ctx.Err() == nil {
 		v, err := d.replica.view(ctx)
 		if err != nil || v.status.Role != consensus.Leader {
@@ -317,10 +317,10 @@
 	}
 }
 
-// age returns how long ago a leader with a quorum was heard of.
-func (d *Daemon) age() time.Duration {
-	at := d.heard.Load()
-	if at == neverHeard {
+// controlAge returns how long ago a leader with a quorum was heard of.
+func (d *Daemon) controlAge() time.Duration {
+	at := d.lastContact.Load()
+	if at == noContact {
 		return time.Hour
 	}
 	return max(d.clock.Since(d.started)-time.Duration(at), 0)
@@ -328,10 +328,10 @@
 
 // recordContact notes that a leader was heard of some time ago.
 func (d *Daemon) recordContact(ago time.Duration) {
-	d.heard.Store(int64(max(d.clock.Since(d.started)-ago, 0)))
+	d.lastContact.Store(int64(max(d.clock.Since(d.started)-ago, 0)))
 }
 
-const neverHeard = -1
+const noContact = -1
 
 func (d *Daemon) serveConsensus(ctx context.Context, _ string, m *link.Messages) {
 	stop := context.AfterFunc(ctx, func() { _ = m.Close() })
@@ -347,7 +347,7 @@
 }
 
 func (d *Daemon) serveSubscriber(ctx context.Context, _ string, m *link.Messages) {
-	d.publishing.Serve(ctx, m)
+	d.publisher.Serve(ctx, m)
 }
 
 func (d *Daemon) learnAddress(id, address string) {
@@ -367,15 +367,15 @@
 
 const viewInterval = 200 * time.Millisecond
 
-// watch keeps the age of the leader's update and passes reports to the leader.
-func (d *Daemon) watch(ctx context.Context) {
+// refreshView keeps the age of the leader's update and passes reports to the leader.
+func (d *Daemon) refreshView(ctx context.Context) {
 	v, err := d.replica.view(ctx)
 	if err != nil {
 		return
 	}
-	d.permits.setParts(d.clock.Now(), v.membership)
+	d.permitIssuer.setReplicaCount(d.clock.Now(), v.membership)
 	d.targetLimits.setReplicas(d.clock.Now(), v.membership)
-	d.targetLimits.keep(d.clock.Now(), v.state)
+	d.targetLimits.prune(d.clock.Now(), v.state)
 	if v.status.Role == consensus.Leader {
 		d.recordContact(0)
 		return
@@ -384,12 +384,12 @@
 		return
 	}
 	d.recordContact(v.status.LeaderSilence)
-	d.merge(v.membership)
+	d.addDiscovered(v.membership)
 	if v.status.Leader != d.reportedTo {
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publishing.Reports(), v.state.HasRunningShift())}
+	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publisher.Reports(), v.state.HasRunningShift())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -26,20 +26,20 @@
 	random  *rand.Rand
 	names   map[string]*fakeFile
 	durable map[string]*fakeFile
-	// torn has a write that fails leave half of its bytes.
-	torn bool
-	// before is called ahead of every operation; an error makes it fail.
-	before func(operation, name string) error
+	// tearWrites has a write that fails leave half of its bytes.
+	tearWrites bool
+	// beforeOperation is called ahead of every operation; an error makes it fail.
+	beforeOperation func(operation, name string) error
 }
 
 var errDisk = errors.New("the disk failed")
 
 func newFakeDisk(seed uint64) *fakeDisk {
 	return &fakeDisk{
-		random:  rand.New(rand.NewPCG(seed, 9)),
-		names:   make(map[string]*fakeFile),
-		durable: make(map[string]*fakeFile),
-		before:  func(string, string) error { return nil },
+		random:          rand.New(rand.NewPCG(seed, 9)),
+		names:           make(map[string]*fakeFile),
+		durable:         make(map[string]*fakeFile),
+		beforeOperation: func(string, string) error { return nil },
 	}
 }
 
@@ -49,7 +49,7 @@
 		ReadFile: d.readFile,
 		Rename: func(from, to string) error {
 			from, to = filepath.Base(from), filepath.Base(to)
-			if err := d.before("rename", to); err != nil {
+			if err := d.beforeOperation("rename", to); err != nil {
 				return err
 			}
 			d.names[to] = d.names[from]
@@ -65,7 +65,7 @@
 			return nil
 		},
 		SyncDir: func(string) error {
-			if err := d.before("syncFolder", ""); err != nil {
+			if err := d.beforeOperation("syncFolder", ""); err != nil {
 				return err
 			}
 			d.durable = make(map[string]*fakeFile, len(d.names))
@@ -95,8 +95,8 @@
 	}
 	return journal.File{
 		Write: func(b []byte) (int, error) {
-			if err := d.before("write", name); err != nil {
-				if d.torn {
+			if err := d.beforeOperation("write", name); err != nil {
+				if d.tearWrites {
 					f.data = append(f.data, b[:len(b)/2]...)
 				}
 				return 0, err
@@ -105,7 +105,7 @@
 			return len(b), nil
 		},
 		Sync: func() error {
-			if err := d.before("sync", name); err != nil {
+			if err := d.beforeOperation("sync", name); err != nil {
 				if !f.lost {
 					f.lost, f.lostFrom = true, f.synced
 				}
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -21,20 +21,20 @@
 // fault is one row of the matrix: what is done to the node or box at which the
 // step is reached.
 type fault struct {
-	name  string
-	onBox func(w *world, b *box)
-	on    func(w *world, n *node)
+	name   string
+	onBox  func(sim *simulation, b *box)
+	onNode func(sim *simulation, n *node)
 	// prepare runs before the traffic begins.
-	prepare func(w *world, o *operators)
+	prepare func(sim *simulation, o *operators)
 }
 
 func killFault(down time.Duration, torn bool) fault {
 	return fault{
-		on: func(w *world, n *node) {
-			w.kill(n, torn, down)
+		onNode: func(sim *simulation, n *node) {
+			sim.kill(n, torn, down)
 			panic(crashed{n})
 		},
-		onBox: func(w *world, b *box) { w.killBox(b, down) },
+		onBox: func(sim *simulation, b *box) { sim.killBox(b, down) },
 	}
 }
 
@@ -46,11 +46,11 @@
 // diskFault makes the next operation of a kind fail. If the replica goes on in
 // spite of it, it crashes a moment later.
 func diskFault(operation string) fault {
-	return fault{on: func(w *world, n *node) {
-		w.crashAt[n] = w.now.Add(500 * time.Millisecond)
-		before := n.disk.before
+	return fault{onNode: func(sim *simulation, n *node) {
+		sim.crashAt[n] = sim.now.Add(500 * time.Millisecond)
+		before := n.disk.beforeOperation
 		failed := false
-		n.disk.before = func(op, name string) error {
+		n.disk.beforeOperation = func(op, name string) error {
 			if op == operation && !failed {
 				failed = true
 				return errDisk
@@ -63,15 +63,15 @@
 // fullDiskFault has a disk take no bytes for a while; one write leaves half of its
 // bytes.
 func fullDiskFault(length time.Duration) fault {
-	return fault{on: func(w *world, n *node) {
-		until := w.now.Add(length)
-		before, disk := n.disk.before, n.disk
-		disk.torn = true
-		disk.before = func(operation, name string) error {
-			if operation == "write" && w.now.Before(until) {
+	return fault{onNode: func(sim *simulation, n *node) {
+		until := sim.now.Add(length)
+		before, disk := n.disk.beforeOperation, n.disk
+		disk.tearWrites = true
+		disk.beforeOperation = func(operation, name string) error {
+			if operation == "write" && sim.now.Before(until) {
 				return fmt.Errorf("write %s: %w", name, syscall.ENOSPC)
 			}
-			disk.torn = false
+			disk.tearWrites = false
 			return before(operation, name)
 		}
 	}}
@@ -79,8 +79,8 @@
 
 func cutFault(out, in bool, length time.Duration) fault {
 	return fault{
-		on:    func(w *world, n *node) { w.cutZone(n.zone, out, in, length) },
-		onBox: func(w *world, b *box) { w.cutZone(b.zone, out, in, length) },
+		onNode: func(sim *simulation, n *node) { sim.cutZone(n.zone, out, in, length) },
+		onBox:  func(sim *simulation, b *box) { sim.cutZone(b.zone, out, in, length) },
 	}
 }
 
@@ -92,45 +92,45 @@
 		named("failed sync", diskFault("sync")),
 		named("full disk", diskFault("write")),
 		named("full disk for a while", fullDiskFault(4*time.Second)),
-		named("disk lost", fault{on: func(w *world, n *node) {
-			w.loseDisk(n, time.Second)
+		named("disk lost", fault{onNode: func(sim *simulation, n *node) {
+			sim.loseDisk(n, time.Second)
 			panic(crashed{n})
-		}, onBox: func(w *world, b *box) { w.killBox(b, time.Second) }}),
-		named("freeze and thaw", fault{on: func(w *world, n *node) {
+		}, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
+		named("freeze and thaw", fault{onNode: func(sim *simulation, n *node) {
 			n.frozen = true
-			n.downTo = w.now.Add(2500 * time.Millisecond)
+			n.downTo = sim.now.Add(2500 * time.Millisecond)
 		}}),
 		named("zone cut", cutFault(true, true, 4*time.Second)),
 		named("zone cut, out only", cutFault(true, false, 4*time.Second)),
 		named("zone cut, in only", cutFault(false, true, 4*time.Second)),
 		named("control box cut for long", cutFault(true, true, 45*time.Second)),
-		named("second loss after repair", fault{on: secondLoss, onBox: func(w *world, b *box) { w.killBox(b, time.Second) }}),
-		named("operators racing", fault{prepare: func(_ *world, o *operators) { o.pause = worldStep }, on: func(w *world, n *node) {
-			w.kill(n, false, time.Second)
+		named("second loss after repair", fault{onNode: secondLoss, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
+		named("operators racing", fault{prepare: func(_ *simulation, o *operators) { o.pause = simulationStep }, onNode: func(sim *simulation, n *node) {
+			sim.kill(n, false, time.Second)
 			panic(crashed{n})
 		}}),
-		named("operators resending", fault{prepare: func(_ *world, o *operators) { o.doubles = true }, on: func(w *world, n *node) {
-			w.kill(n, false, time.Second)
+		named("operators resending", fault{prepare: func(_ *simulation, o *operators) { o.duplicates = true }, onNode: func(sim *simulation, n *node) {
+			sim.kill(n, false, time.Second)
 			panic(crashed{n})
 		}}),
-		named("restart after 500 changes", fault{on: func(w *world, n *node) {
-			w.kill(n, false, 25*time.Second)
+		named("restart after 500 changes", fault{onNode: func(sim *simulation, n *node) {
+			sim.kill(n, false, 25*time.Second)
 			panic(crashed{n})
-		}, prepare: func(_ *world, o *operators) { o.pause = 2 * worldStep }}),
+		}, prepare: func(_ *simulation, o *operators) { o.pause = 2 * simulationStep }}),
 	}
 }
 
 // secondLoss takes a node's disk and, as soon as its repair is finished,
 // another node's.
-func secondLoss(w *world, n *node) {
-	w.loseDisk(n, 500*time.Millisecond)
+func secondLoss(sim *simulation, n *node) {
+	sim.loseDisk(n, 500*time.Millisecond)
 	id := n.id()
-	hook := w.hook
-	w.hook = func(step string, at *node) {
+	hook := sim.hook
+	sim.hook = func(step string, at *node) {
 		hook(step, at)
-		if w.finished[id] && at != n && at.alive {
-			w.hook = hook
-			w.loseDisk(at, 500*time.Millisecond)
+		if sim.finished[id] && at != n && at.alive {
+			sim.hook = hook
+			sim.loseDisk(at, 500*time.Millisecond)
 			panic(crashed{at})
 		}
 	}
@@ -142,7 +142,7 @@
 	name  string
 	onBox bool
 	// provoke brings the step about if plain traffic does not.
-	provoke func(w *world)
+	provoke func(sim *simulation)
 }
 
 func steps() []step {
@@ -150,15 +150,15 @@
 		{name: "propose"},
 		{name: "append"},
 		{name: "sync"},
-		{name: "vote", provoke: func(w *world) { w.kill(w.leader(), false, 2*time.Second) }},
+		{name: "vote", provoke: func(sim *simulation) { sim.kill(sim.leader(), false, 2*time.Second) }},
 		{name: "commit"},
 		{name: "answer"},
 		{name: "apply"},
 		{name: "snapshot"},
-		{name: "addReplica", provoke: func(w *world) {
-			for _, n := range w.nodes {
-				if n != w.leader() {
-					w.loseDisk(n, 200*time.Millisecond)
+		{name: "addReplica", provoke: func(sim *simulation) {
+			for _, n := range sim.nodes {
+				if n != sim.leader() {
+					sim.loseDisk(n, 200*time.Millisecond)
 					return
 				}
 			}
@@ -170,52 +170,52 @@
 
 // runCell runs one or two faults at a step and returns what went wrong.
 func runCell(t *testing.T, seed uint64, s step, first fault, second *fault) []string {
-	w := newWorld(t, seed)
-	o := newOperators(w)
-	if !o.run(10*time.Second, func() bool { return len(o.accepted) >= 20 && w.allAt(10) }) {
+	sim := newSimulation(t, seed)
+	o := newOperators(sim)
+	if !o.run(10*time.Second, func() bool { return len(o.accepted) >= 20 && sim.allAt(10) }) {
 		return []string{"the system does not start"}
 	}
 	if first.prepare != nil {
-		first.prepare(w, o)
+		first.prepare(sim, o)
 	}
-	struck := strike(w, s, first, second)
-	if s.provoke != nil && w.leader() != nil {
-		s.provoke(w)
+	struck := armFaults(sim, s, first, second)
+	if s.provoke != nil && sim.leader() != nil {
+		s.provoke(sim)
 	}
 	o.run(8*time.Second, nil)
-	o.run(60*time.Second, func() bool { return calm(w) })
+	o.run(60*time.Second, func() bool { return recovered(sim) })
 	if !*struck {
 		return []string{"the step was not reached"}
 	}
-	o.settle()
-	return w.problems
+	o.checkRecovery()
+	return sim.problems
 }
 
-// calm reports whether nothing is left to come from the faults.
-func calm(w *world) bool {
-	for _, n := range w.nodes {
-		if !n.alive || n.frozen || n.asking {
+// recovered reports whether nothing is left to come from the faults.
+func recovered(sim *simulation) bool {
+	for _, n := range sim.nodes {
+		if !n.alive || n.frozen || n.awaitsJoin {
 			return false
 		}
 	}
-	for _, until := range w.blocked {
-		if w.now.Before(until) {
+	for _, until := range sim.blocked {
+		if sim.now.Before(until) {
 			return false
 		}
 	}
-	return len(w.joining) == 0
+	return len(sim.joining) == 0
 }
 
-// strike arms the faults: the first when the step is next reached, the second
+// armFaults arms the faults: the first when the step is next reached, the second
 // when it is reached again elsewhere.
-func strike(w *world, s step, first fault, second *fault) *bool {
+func armFaults(sim *simulation, s step, first fault, second *fault) *bool {
 	struck := false
 	left := []fault{first}
 	if second != nil {
 		left = append(left, *second)
 	}
 	var last *node
-	w.hook = func(name string, n *node) {
+	sim.hook = func(name string, n *node) {
 		if name != s.name || len(left) == 0 || n == last {
 			return
 		}
@@ -223,11 +223,11 @@
 		left = left[1:]
 		last = n
 		struck = true
-		if f.on != nil {
-			f.on(w, n)
+		if f.onNode != nil {
+			f.onNode(sim, n)
 		}
 	}
-	w.boxHook = func(name string, b *box) {
+	sim.boxHook = func(name string, b *box) {
 		if name != s.name || len(left) == 0 {
 			return
 		}
@@ -235,12 +235,12 @@
 		left = left[1:]
 		struck = true
 		if f.onBox != nil {
-			f.onBox(w, b)
+			f.onBox(sim, b)
 			return
 		}
 		// A fault of control strikes the leader while the box takes an update.
-		if n := w.leader(); n != nil && f.on != nil {
-			guarded(n, func() { f.on(w, n) })
+		if n := sim.leader(); n != nil && f.onNode != nil {
+			guarded(n, func() { f.onNode(sim, n) })
 		}
 	}
 	return &struck
@@ -254,7 +254,7 @@
 	seed      uint64
 }
 
-func (c *cell) work() {
+func (c *cell) runSeeds() {
 	for seed := range uint64(*faultSeeds) {
 		c.seed = seed + 1
 		if c.problems = c.run(c.seed); len(c.problems) > 0 {
@@ -294,7 +294,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		running.Go(func() {
 			for c := range work {
-				c.work()
+				c.runSeeds()
 			}
 		})
 	}
--- a/internal/control/fulldisk.go
+++ b/internal/control/fulldisk.go
@@ -10,9 +10,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// roomInterval is how often a replica whose disk is full looks for room. Others
+// diskProbeInterval is how often a replica whose disk is full looks for room. Others
 // elect a leader after 0.8 s without its update.
-const roomInterval = 100 * time.Millisecond
+const diskProbeInterval = 100 * time.Millisecond
 
 // FullDiskError says that a replica can store nothing because its disk is full.
 type FullDiskError struct{ Cause error }
@@ -40,19 +40,19 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// rest has the replica take no part while its disk is full. What the machine has
+// pause has the replica take no part while its disk is full. What the machine has
 // decided and not stored must not be acted on: nothing is sent, so that others elect
 // a leader, and no vote counts that was not stored. What was applied is kept and goes
 // on being shown.
-func (r *replica) rest(cause error) {
+func (r *replica) pause(cause error) {
 	var failed *DiskError
 	if errors.As(cause, &failed) {
 		cause = failed.Cause
 	}
-	r.full = &FullDiskError{cause}
-	r.nextLook = r.now().Add(roomInterval)
-	for token, reply := range r.tokens {
-		delete(r.tokens, token)
+	r.diskFull = &FullDiskError{cause}
+	r.nextDiskProbe = r.now().Add(diskProbeInterval)
+	for token, reply := range r.proposing {
+		delete(r.proposing, token)
 		reply(outcome{err: &LeadershipLostError{}}) // what was being stored may be there after all
 	}
 	r.failWaiting()
@@ -60,12 +60,12 @@
 		delete(r.reads, token)
 		reply <- readOutcome{r.state, &consensus.NotLeaderError{}}
 	}
-	r.disk(r.full)
+	r.onDiskChange(r.diskFull)
 }
 
-// decline takes a message while the disk is full. Another replica may lead, which
+// reject takes a message while the disk is full. Another replica may lead, which
 // this one would not know of.
-func (r *replica) decline(m message) {
+func (r *replica) reject(m message) {
 	switch m := m.(type) {
 	case proposal:
 		m.reply <- outcome{err: &consensus.NotLeaderError{}}
@@ -75,22 +75,22 @@
 		}
 	case membershipChange:
 		m.reply <- outcome{err: &consensus.NotLeaderError{}}
-	case reading:
+	case readRequest:
 		m.reply <- readOutcome{r.state, &consensus.NotLeaderError{}}
-	case viewing:
+	case viewRequest:
 		m.reply <- view{consensus.Status{ID: r.id, CutOff: true}, r.state, r.machine.Membership()}
 	}
 }
 
 // tick tells the machine of the time, or looks for room on the disk.
 func (r *replica) tick() (consensus.Output, error) {
-	if r.full == nil {
+	if r.diskFull == nil {
 		return r.machine.Handle(r.now(), consensus.Tick{}), nil
 	}
-	if r.now().Before(r.nextLook) {
+	if r.now().Before(r.nextDiskProbe) {
 		return consensus.Output{}, nil
 	}
-	r.nextLook = r.now().Add(roomInterval)
+	r.nextDiskProbe = r.now().Add(diskProbeInterval)
 	err := r.resume()
 	if isFull(err) {
 		return consensus.Output{}, nil
@@ -122,8 +122,8 @@
 	r.machine = machine
 	r.hardState = found.HardState
 	r.snapshot = found.Snapshot.GetIndex()
-	r.full = nil
-	r.disk(nil)
+	r.diskFull = nil
+	r.onDiskChange(nil)
 	return nil
 }
 
--- a/internal/control/fulldisk_test.go
+++ b/internal/control/fulldisk_test.go
@@ -16,7 +16,7 @@
 // Replicas whose disks were full for 4 s ended at each write and started again, eight
 // times. Cause: any error of the disk ended a replica. The fault matrix alone does not
 // show it: a replica that ends and starts again keeps all that it acknowledged too.
-func TestReplicaWaitsForRoomOnItsDisk(t *testing.T) {
+func TestReplicaWaitsForDiskSpace(t *testing.T) {
 	disk := newFakeDisk(1)
 	j, found, err := journal.Open("folder", "a", disk.files())
 	if err != nil {
@@ -31,13 +31,13 @@
 	sent := 0
 	r.send = func(*wire.ConsensusMessage) { sent++ }
 	r.publish = func(steering.State, []*wire.Command) {}
-	r.noticed = func(consensus.Notice) {}
-	r.settled = func(*wire.Command, steering.Result) {}
-	r.synced = func(time.Duration) {}
-	r.disk = func(full *FullDiskError) { told = append(told, full != nil) }
+	r.onNotice = func(consensus.Notice) {}
+	r.onApplied = func(*wire.Command, steering.Result) {}
+	r.onSynced = func(time.Duration) {}
+	r.onDiskChange = func(full *FullDiskError) { told = append(told, full != nil) }
 	carryOut := func(out consensus.Output) {
 		t.Helper()
-		if err := r.carryOut(out); err != nil {
+		if err := r.handleOutput(out); err != nil {
 			t.Fatalf("the replica ends: %v", err)
 		}
 	}
@@ -68,8 +68,8 @@
 	if o := propose("z1"); o.err != nil {
 		t.Fatal(o.err)
 	}
-	disk.torn = true
-	disk.before = func(operation, name string) error {
+	disk.tearWrites = true
+	disk.beforeOperation = func(operation, name string) error {
 		if operation == "write" {
 			return fmt.Errorf("write %s: %w", name, syscall.ENOSPC)
 		}
@@ -88,8 +88,8 @@
 	if zones := r.state.Catalog().Evacuated(); len(zones) != 1 || zones[0] != "z1" {
 		t.Errorf("it shows %v", zones)
 	}
-	disk.torn = false
-	disk.before = func(string, string) error { return nil }
+	disk.tearWrites = false
+	disk.beforeOperation = func(string, string) error { return nil }
 	pass(4 * time.Second)
 	if o := propose("z4"); o.err != nil {
 		t.Errorf("once there is room: %v", o.err)
--- a/internal/control/leadercontact_test.go
+++ b/internal/control/leadercontact_test.go
@@ -11,8 +11,8 @@
 func TestReplicaHasWordOfItsLeaderAtOnce(t *testing.T) {
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		for _, d := range s.daemons {
-			if age := d.age(); age > formTime {
-				t.Errorf("%s: the update of a leader is %s old after %s", d.config.Name, age, formTime)
+			if age := d.controlAge(); age > electionWait {
+				t.Errorf("%s: the update of a leader is %s old after %s", d.config.Name, age, electionWait)
 			}
 		}
 	})
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// leadership tells of each change of the leader, as far as this replica knows.
-type leadership struct {
+// leaderWatch tells of each change of the leader, as far as this replica knows.
+type leaderWatch struct {
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-func newLeadership() *leadership { return &leadership{changed: make(chan struct{})} }
+func newLeaderWatch() *leaderWatch { return &leaderWatch{changed: make(chan struct{})} }
 
-// note tells of a change.
-func (l *leadership) note() {
+// notify tells of a change.
+func (l *leaderWatch) notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// during returns a context that ends with the next change as well. Its function must
+// untilChange returns a context that ends with the next change as well. Its function must
 // be called and waits for what watches the change.
-func (l *leadership) during(ctx context.Context) (context.Context, func()) {
+func (l *leaderWatch) untilChange(ctx context.Context) (context.Context, func()) {
 	l.mu.Lock()
 	changed := l.changed
 	l.mu.Unlock()
--- a/internal/control/loopmetrics.go
+++ b/internal/control/loopmetrics.go
@@ -6,20 +6,20 @@
 	"ledgesill.dev/ledgesill/internal/process"
 )
 
-// loopWaits are the buckets of how long inputs wait for the replica's loop, in
+// loopWaitBuckets are the buckets of how long inputs wait for the replica's loop, in
 // seconds: from one that does not wait to several election timeouts.
-var loopWaits = []float64{0.0005, 0.002, 0.01, 0.05, 0.2, 0.6, 1, 3, 10}
+var loopWaitBuckets = []float64{0.0005, 0.002, 0.01, 0.05, 0.2, 0.6, 1, 3, 10}
 
-// measure gives the loop and the updates their metrics.
-func (d *Daemon) measure(p *process.Process) {
-	waits := p.Histogram("loop_wait_seconds", "How long inputs waited for the replica's loop, by kind.", loopWaits, "kind")
+// addLoopMetrics gives the loop and the updates their metrics.
+func (d *Daemon) addLoopMetrics(p *process.Process) {
+	waits := p.Histogram("loop_wait_seconds", "How long inputs waited for the replica's loop, by kind.", loopWaitBuckets, "kind")
 	abandoned := p.Counter("loop_abandoned_total", "Inputs that were dropped as their asker had gone, by kind.", "kind")
-	d.replica.waited = func(kind string, wait time.Duration, gone bool) {
+	d.replica.onDequeued = func(kind string, wait time.Duration, gone bool) {
 		waits.WithLabelValues(kind).Observe(wait.Seconds())
 		if gone {
 			abandoned.WithLabelValues(kind).Inc()
 		}
 	}
 	late := p.Counter("words_let_go_total", "Words of targets that were let go as their askers had gone.").WithLabelValues()
-	d.registrations.let = func(count int) { late.Add(float64(count)) }
+	d.registrations.onExpired = func(count int) { late.Add(float64(count)) }
 }
--- a/internal/control/forming.go
+++ b/internal/control/membership.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	formInterval   = 200 * time.Millisecond
-	callTimeout    = time.Second
-	repairInterval = 200 * time.Millisecond
-	// maxHeardOf bounds the addresses of replicas that are remembered: three
+	membershipInterval = 200 * time.Millisecond
+	callTimeout        = time.Second
+	repairInterval     = 200 * time.Millisecond
+	// maxDiscovered bounds the addresses of replicas that are remembered: three
 	// generations of the nine replicas of the largest deployment.
-	maxHeardOf = 27
+	maxDiscovered = 27
 )
 
-// form gives a replica on an empty disk a membership. When all the configured
-// replicas are empty they form the first membership, each for itself and all
+// maintainMembership gives a replica on an empty disk a membership. When all the configured
+// replicas are empty they maintainMembership the first membership, each for itself and all
 // the same. When one of them already has a membership, this replica either is
 // part of it or has lost its disk, and then asks to be taken in.
-func (d *Daemon) form(ctx context.Context) error {
-	ticker := time.NewTicker(formInterval)
+func (d *Daemon) maintainMembership(ctx context.Context) error {
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
 		v, err := d.replica.view(ctx)
@@ -34,9 +34,9 @@
 		}
 		switch {
 		case addressOf(v.membership, d.replica.id) == "":
-			d.seekMembership(ctx, v)
+			d.findMembership(ctx, v)
 		case d.config.Seeded && v.status.CutOff:
-			d.askBackIn(ctx)
+			d.askToRejoin(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -46,20 +46,20 @@
 	}
 }
 
-func (d *Daemon) seekMembership(ctx context.Context, v view) {
+func (d *Daemon) findMembership(ctx context.Context, v view) {
 	hellos := d.helloAll(ctx)
 	for _, h := range hellos {
 		if !h.Formed {
 			continue
 		}
-		if len(v.membership.Voters) == 0 && d.isFirstMembership(h) {
+		if len(v.membership.Voters) == 0 && d.isInitialMembership(h) {
 			_ = d.replica.inbox.put(ctx, bootstrap{h.Membership}) // sought again if the context ends
 			return
 		}
 		d.askToJoin(ctx)
 		return
 	}
-	if len(v.membership.Voters) > 0 || len(hellos) < len(d.config.Peers)-1 || !d.mayForm() {
+	if len(v.membership.Voters) > 0 || len(hellos) < len(d.config.Peers)-1 || !d.mayBootstrap() {
 		return
 	}
 	first := &wire.Membership{Voters: []*wire.Replica{{Id: d.replica.id, Address: d.config.PeerAddress}}}
@@ -73,21 +73,21 @@
 	_ = d.replica.inbox.put(ctx, bootstrap{first}) // sought again if the context ends
 }
 
-// mayForm reports whether this replica may take part in the first membership.
-func (d *Daemon) mayForm() bool {
+// mayBootstrap reports whether this replica may take part in the first membership.
+func (d *Daemon) mayBootstrap() bool {
 	return !d.config.Seeded || d.config.MayForm && slices.Contains(d.config.Peers, d.config.PeerAddress)
 }
 
-// isFirstMembership reports whether another replica has just formed the first
+// isInitialMembership reports whether another replica has just formed the first
 // membership, this one included, and nothing has been changed since.
-func (d *Daemon) isFirstMembership(h *wire.HelloAnswer) bool {
+func (d *Daemon) isInitialMembership(h *wire.HelloAnswer) bool {
 	m := h.Membership
 	return h.Version == 0 && len(m.Learners) == 0 && len(m.Voters) == len(d.config.Peers) && addressOf(m, d.replica.id) != ""
 }
 
-// askBackIn asks to be taken in again when the others have gone on without
+// askToRejoin asks to be taken in again when the others have gone on without
 // this replica.
-func (d *Daemon) askBackIn(ctx context.Context) {
+func (d *Daemon) askToRejoin(ctx context.Context) {
 	for _, h := range d.helloAll(ctx) {
 		if h.Formed && h.Leader != "" && addressOf(h.Membership, d.replica.id) == "" {
 			d.askToJoin(ctx)
@@ -102,7 +102,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := slices.Clone(d.config.Peers)
-	for _, address := range d.heardOf {
+	for _, address := range d.discovered {
 		if !slices.Contains(out, address) {
 			out = append(out, address)
 		}
@@ -110,20 +110,20 @@
 	return slices.DeleteFunc(out, func(a string) bool { return a == d.config.PeerAddress })
 }
 
-// merge notes the replicas of a membership that another replica told.
-func (d *Daemon) merge(m *wire.Membership) {
+// addDiscovered notes the replicas of a membership that another replica told.
+func (d *Daemon) addDiscovered(m *wire.Membership) {
 	if !d.config.Seeded || m == nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range slices.Concat(m.Voters, m.Learners) {
-		if !slices.Contains(d.heardOf, r.Address) {
-			d.heardOf = append(d.heardOf, r.Address)
+		if !slices.Contains(d.discovered, r.Address) {
+			d.discovered = append(d.discovered, r.Address)
 		}
 	}
-	if extra := len(d.heardOf) - maxHeardOf; extra > 0 {
-		d.heardOf = d.heardOf[extra:]
+	if extra := len(d.discovered) - maxDiscovered; extra > 0 {
+		d.discovered = d.discovered[extra:]
 	}
 }
 
@@ -151,7 +151,7 @@
 	for range known {
 		if a := <-answers; a.answer != nil {
 			out[a.address] = a.answer
-			d.merge(a.answer.Membership)
+			d.addDiscovered(a.answer.Membership)
 		}
 	}
 	return out
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -23,15 +23,15 @@
 
 // updateOutcome is what became of the update at a place of a batch.
 type updateOutcome struct {
-	place int
+	index int
 	err   error
 }
 
-type reading struct{ reply chan<- readOutcome }
+type readRequest struct{ reply chan<- readOutcome }
 
-type received struct{ message *wire.ConsensusMessage }
+type receivedMessage struct{ message *wire.ConsensusMessage }
 
-type viewing struct{ reply chan<- view }
+type viewRequest struct{ reply chan<- view }
 
 type membershipChange struct {
 	membership *wire.Membership
@@ -40,16 +40,16 @@
 
 type bootstrap struct{ membership *wire.Membership }
 
-type handover struct{}
+type leadershipTransfer struct{}
 
-func (proposal) input()         {}
-func (updateBatch) input()      {}
-func (reading) input()          {}
-func (received) input()         {}
-func (viewing) input()          {}
-func (membershipChange) input() {}
-func (bootstrap) input()        {}
-func (handover) input()         {}
+func (proposal) input()           {}
+func (updateBatch) input()        {}
+func (readRequest) input()        {}
+func (receivedMessage) input()    {}
+func (viewRequest) input()        {}
+func (membershipChange) input()   {}
+func (bootstrap) input()          {}
+func (leadershipTransfer) input() {}
 
 // outcome is what became of a proposed command.
 type outcome struct {
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -18,31 +18,31 @@
 // operators are two operators who change the same keys, race each other with
 // equal base versions and resend what was not answered, and one who reads.
 type operators struct {
-	w        *world
-	known    uint64 // settings version that the operators know
-	made     int
-	open     []*openChange
-	nextAt   time.Time
-	verdicts map[string]*wire.Verdict
-	accepted map[uint64]string // version to id
-	acked    uint64            // highest acknowledged version
-	reads    []*openRead
-	doubles  bool // send every change to two nodes
-	pause    time.Duration
+	sim          *simulation
+	knownVersion uint64 // settings version that the operators know
+	made         int
+	open         []*openChange
+	nextAt       time.Time
+	verdicts     map[string]*wire.Verdict
+	accepted     map[uint64]string // version to id
+	acked        uint64            // highest acknowledged version
+	reads        []*openRead
+	duplicates   bool // send every change to two nodes
+	pause        time.Duration
 }
 
 type openChange struct {
-	change *wire.Change
-	node   *node
-	reply  chan outcome
-	again  chan outcome
-	sentAt time.Time
+	change         *wire.Change
+	node           *node
+	reply          chan outcome
+	duplicateReply chan outcome
+	sentAt         time.Time
 }
 
-// reply2 is where the answer to a doubled change comes.
-func (c *openChange) reply2() chan outcome {
-	c.again = make(chan outcome, 1)
-	return c.again
+// newDuplicateReply is where the answer to a doubled change comes.
+func (c *openChange) newDuplicateReply() chan outcome {
+	c.duplicateReply = make(chan outcome, 1)
+	return c.duplicateReply
 }
 
 type openRead struct {
@@ -50,14 +50,14 @@
 	floor uint64
 }
 
-func newOperators(w *world) *operators {
-	return &operators{w: w, verdicts: make(map[string]*wire.Verdict), accepted: make(map[uint64]string), pause: changePause}
+func newOperators(sim *simulation) *operators {
+	return &operators{sim: sim, verdicts: make(map[string]*wire.Verdict), accepted: make(map[uint64]string), pause: changePause}
 }
 
 // step starts new changes and takes answers.
 func (o *operators) step() {
-	if !o.w.now.Before(o.nextAt) && len(o.open) < 2 {
-		o.nextAt = o.w.now.Add(o.pause)
+	if !o.sim.now.Before(o.nextAt) && len(o.open) < 2 {
+		o.nextAt = o.sim.now.Add(o.pause)
 		for range 2 - len(o.open) {
 			o.begin()
 		}
@@ -66,18 +66,18 @@
 	open := o.open
 	o.open = nil
 	for _, c := range open {
-		if !o.take(c) {
+		if !o.pollVerdict(c) {
 			o.open = append(o.open, c)
 		}
 	}
-	o.takeReads()
+	o.checkReads()
 }
 
 func (o *operators) begin() {
 	o.made++
 	c := &openChange{change: &wire.Change{
 		Id:          fmt.Sprintf("change-%d", o.made),
-		BaseVersion: o.known,
+		BaseVersion: o.knownVersion,
 		Edits:       []*wire.Edit{{Path: "/", Key: "slots", Value: fmt.Sprint(o.made%1000 + 1)}},
 	}}
 	o.send(c)
@@ -86,19 +86,19 @@
 
 // send gives a change to the leader or, now and then, to any node.
 func (o *operators) send(c *openChange) {
-	n := o.w.leader()
-	if n == nil || o.w.random.IntN(4) == 0 {
-		n = o.w.nodes[o.w.random.IntN(len(o.w.nodes))]
+	n := o.sim.leader()
+	if n == nil || o.sim.random.IntN(4) == 0 {
+		n = o.sim.nodes[o.sim.random.IntN(len(o.sim.nodes))]
 	}
 	c.node = n
-	c.sentAt = o.w.now
+	c.sentAt = o.sim.now
 	c.reply = make(chan outcome, 1)
 	o.propose(n, c.change, c.reply)
-	if o.doubles {
+	if o.duplicates {
 		// The same change again, to another node and to the same one.
-		o.propose(o.w.nodes[o.w.random.IntN(len(o.w.nodes))], c.change, make(chan outcome, 1))
+		o.propose(o.sim.nodes[o.sim.random.IntN(len(o.sim.nodes))], c.change, make(chan outcome, 1))
 		if n.alive {
-			o.propose(n, c.change, c.reply2())
+			o.propose(n, c.change, c.newDuplicateReply())
 		}
 	}
 }
@@ -107,20 +107,20 @@
 	if !n.alive || n.frozen {
 		return
 	}
-	if n.replica.machine.Status(o.w.now).Role == consensus.Leader {
-		o.w.at("propose", n)
+	if n.replica.machine.Status(o.sim.now).Role == consensus.Leader {
+		o.sim.reachStep("propose", n)
 	}
 	if !n.alive || n.frozen {
 		return
 	}
-	o.w.carryOut(n, n.replica.handle(proposal{&wire.Command{Change: c}, reply}))
+	o.sim.handleOutput(n, n.replica.handle(proposal{&wire.Command{Change: c}, reply}))
 }
 
-// take reports whether a change has got its verdict.
-func (o *operators) take(c *openChange) bool {
+// pollVerdict reports whether a change has got its verdict.
+func (o *operators) pollVerdict(c *openChange) bool {
 	select {
 	case got := <-c.reply:
-		o.w.at("answer", c.node)
+		o.sim.reachStep("answer", c.node)
 		if !c.node.alive {
 			break // the answer was lost with the node
 		}
@@ -129,27 +129,27 @@
 			var notLeader *consensus.NotLeaderError
 			var transferring *consensus.TransferringError
 			if !errors.As(got.err, &lost) && !errors.As(got.err, &notLeader) && !errors.As(got.err, &transferring) {
-				o.w.problem("%s answers with %v", c.node.name, got.err)
+				o.sim.addProblem("%s answers with %v", c.node.name, got.err)
 			}
-			c.sentAt = o.w.now.Add(-answerTimeout + 20*time.Millisecond)
+			c.sentAt = o.sim.now.Add(-answerTimeout + 20*time.Millisecond)
 			c.reply = nil
 			return false
 		}
 		o.verdict(got.result.Verdict)
-		o.takeAgain(c)
+		o.pollDuplicate(c)
 		return true
 	default:
 	}
-	if o.w.now.Sub(c.sentAt) > answerTimeout {
+	if o.sim.now.Sub(c.sentAt) > answerTimeout {
 		o.send(c)
 	}
 	return false
 }
 
-// takeAgain takes the answer to a doubled change, which must be the same.
-func (o *operators) takeAgain(c *openChange) {
+// pollDuplicate takes the answer to a doubled change, which must be the same.
+func (o *operators) pollDuplicate(c *openChange) {
 	select {
-	case got := <-c.again:
+	case got := <-c.duplicateReply:
 		if got.err == nil {
 			o.verdict(got.result.Verdict)
 		}
@@ -160,39 +160,39 @@
 // verdict checks that each id has one verdict and each version one change.
 func (o *operators) verdict(v *wire.Verdict) {
 	if before, ok := o.verdicts[v.Id]; ok && (before.Kind != v.Kind || before.Version != v.Version) {
-		o.w.problem("change %s is %s at %d and %s at %d", v.Id, before.Kind, before.Version, v.Kind, v.Version)
+		o.sim.addProblem("change %s is %s at %d and %s at %d", v.Id, before.Kind, before.Version, v.Kind, v.Version)
 	}
 	o.verdicts[v.Id] = v
-	o.known = max(o.known, v.Version)
+	o.knownVersion = max(o.knownVersion, v.Version)
 	if v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED {
 		return
 	}
 	if other, ok := o.accepted[v.Version]; ok && other != v.Id {
-		o.w.problem("version %d is both %s and %s", v.Version, other, v.Id)
+		o.sim.addProblem("version %d is both %s and %s", v.Version, other, v.Id)
 	}
 	o.accepted[v.Version] = v.Id
 	o.acked = max(o.acked, v.Version)
 }
 
 func (o *operators) read() {
-	n := o.w.nodes[o.w.random.IntN(len(o.w.nodes))]
+	n := o.sim.nodes[o.sim.random.IntN(len(o.sim.nodes))]
 	if !n.alive || n.frozen {
 		return
 	}
 	r := &openRead{reply: make(chan readOutcome, 1), floor: o.acked}
-	o.w.carryOut(n, n.replica.handle(reading{r.reply}))
+	o.sim.handleOutput(n, n.replica.handle(readRequest{r.reply}))
 	o.reads = append(o.reads, r)
 }
 
-// takeReads checks that no read that is given as fresh misses a change that
+// checkReads checks that no read that is given as fresh misses a change that
 // was acknowledged before the read began.
-func (o *operators) takeReads() {
+func (o *operators) checkReads() {
 	var open []*openRead
 	for _, r := range o.reads {
 		select {
 		case got := <-r.reply:
 			if got.err == nil && got.state.SettingsVersion() < r.floor {
-				o.w.problem("a fresh read gives version %d after %d was acknowledged", got.state.SettingsVersion(), r.floor)
+				o.sim.addProblem("a fresh read gives version %d after %d was acknowledged", got.state.SettingsVersion(), r.floor)
 			}
 		default:
 			open = append(open, r)
@@ -206,42 +206,42 @@
 
 // run lets the world and the operators go on.
 func (o *operators) run(length time.Duration, until func() bool) bool {
-	return o.w.run(length, func() bool {
+	return o.sim.run(length, func() bool {
 		o.step()
 		return until != nil && until()
 	}) || until == nil
 }
 
-// settle heals everything and checks that the system is whole again: a change
+// checkRecovery heals everything and checks that the system is whole again: a change
 // is accepted, nothing that was acknowledged is lost, and it is in force at
 // every box within the three seconds that the users ask for.
-func (o *operators) settle() {
-	w := o.w
-	w.hook = func(string, *node) {}
-	w.boxHook = func(string, *box) {}
-	clear(w.blocked)
-	if w.quorumLost {
+func (o *operators) checkRecovery() {
+	sim := o.sim
+	sim.hook = func(string, *node) {}
+	sim.boxHook = func(string, *box) {}
+	clear(sim.blocked)
+	if sim.quorumLost {
 		o.checkHalted()
 		return
 	}
 	before := len(o.accepted)
-	if !o.run(15*time.Second, func() bool { return len(o.accepted) > before+1 && w.leader() != nil }) {
-		w.problem("no change is accepted within 15 s after the fault")
+	if !o.run(15*time.Second, func() bool { return len(o.accepted) > before+1 && sim.leader() != nil }) {
+		sim.addProblem("no change is accepted within 15 s after the fault")
 		return
 	}
-	w.run(5*time.Second, nil)
-	leader := w.leader()
+	sim.run(5*time.Second, nil)
+	leader := sim.leader()
 	if leader == nil {
-		w.problem("there is no leader 5 s after the last change")
+		sim.addProblem("there is no leader 5 s after the last change")
 		return
 	}
-	o.checkKept(leader.replica.state)
-	for _, n := range w.nodes {
-		if n.alive && !n.asking && n.replica.state.Version() != leader.replica.state.Version() {
-			w.problem("%s has version %d, the leader %d", n.name, n.replica.state.Version(), leader.replica.state.Version())
+	o.checkRetained(leader.replica.state)
+	for _, n := range sim.nodes {
+		if n.alive && !n.awaitsJoin && n.replica.state.Version() != leader.replica.state.Version() {
+			sim.addProblem("%s has version %d, the leader %d", n.name, n.replica.state.Version(), leader.replica.state.Version())
 		}
 	}
-	o.checkInForce()
+	o.checkActive()
 }
 
 // checkHalted checks a system that has lost two of its three disks before the
@@ -250,18 +250,18 @@
 	before := len(o.accepted)
 	o.run(8*time.Second, nil)
 	if len(o.accepted) != before {
-		o.w.problem("a change is accepted though a majority of the disks is lost")
+		o.sim.addProblem("a change is accepted though a majority of the disks is lost")
 	}
-	for _, n := range o.w.nodes {
-		if n.alive && !n.replica.machine.Status(o.w.now).CutOff {
-			o.w.problem("%s does not say that it is cut off", n.name)
+	for _, n := range o.sim.nodes {
+		if n.alive && !n.replica.machine.Status(o.sim.now).CutOff {
+			o.sim.addProblem("%s does not say that it is cut off", n.name)
 		}
 	}
 }
 
-// checkKept checks that every acknowledged change is still known, unless so
+// checkRetained checks that every acknowledged change is still known, unless so
 // many came after it that the memory of verdicts has let it go.
-func (o *operators) checkKept(s steering.State) {
+func (o *operators) checkRetained(s steering.State) {
 	o.checkHistory(s)
 	forgotten := s.Encode().ForgottenVersion
 	for version, id := range o.accepted {
@@ -270,7 +270,7 @@
 		}
 		v, ok := s.Verdict(id)
 		if !ok || v.Version != version || v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED {
-			o.w.problem("acknowledged change %s at version %d is lost", id, version)
+			o.sim.addProblem("acknowledged change %s at version %d is lost", id, version)
 		}
 	}
 }
@@ -281,26 +281,26 @@
 	var last uint64
 	for _, a := range s.History() {
 		if last != 0 && a.Change.BaseVersion != last {
-			o.w.problem("change %s made against %d was accepted after %d", a.Change.Id, a.Change.BaseVersion, last)
+			o.sim.addProblem("change %s made against %d was accepted after %d", a.Change.Id, a.Change.BaseVersion, last)
 		}
 		last = a.Version
 		v := o.verdicts[a.Change.Id]
 		if v != nil && (v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED || v.Version != a.Version) {
-			o.w.problem("change %s was accepted at %d and its operator was told %s at %d", a.Change.Id, a.Version, v.Kind, v.Version)
+			o.sim.addProblem("change %s was accepted at %d and its operator was told %s at %d", a.Change.Id, a.Version, v.Kind, v.Version)
 		}
 	}
 }
 
-// checkInForce makes one more change and waits for it at every box.
-func (o *operators) checkInForce() {
-	w := o.w
+// checkActive makes one more change and waits for it at every box.
+func (o *operators) checkActive() {
+	sim := o.sim
 	before := o.acked
 	o.begin()
-	if !w.run(3*time.Second, func() bool {
+	if !sim.run(3*time.Second, func() bool {
 		open := o.open
 		o.open = nil
 		for _, c := range open {
-			if !o.take(c) {
+			if !o.pollVerdict(c) {
 				o.open = append(o.open, c)
 			}
 		}
@@ -310,26 +310,26 @@
 			o.begin()
 		}
 	}
-	version := w.leaderVersion()
-	if !w.run(3*time.Second, func() bool { return w.allAt(version) }) {
-		for _, b := range w.boxes {
+	version := sim.leaderVersion()
+	if !sim.run(3*time.Second, func() bool { return sim.allAt(version) }) {
+		for _, b := range sim.boxes {
 			if b.follower.State().Version() < version {
 				up, _ := b.follower.Upstream()
-				w.problem("%s has version %d and not %d 3 s later, its upstream is %q", b.name, b.follower.State().Version(), version, up.Name)
+				sim.addProblem("%s has version %d and not %d 3 s later, its upstream is %q", b.name, b.follower.State().Version(), version, up.Name)
 			}
 		}
 	}
 }
 
-func (w *world) leaderVersion() uint64 {
-	if n := w.leader(); n != nil {
+func (sim *simulation) leaderVersion() uint64 {
+	if n := sim.leader(); n != nil {
 		return n.replica.state.Version()
 	}
 	return 0
 }
 
-func (w *world) allAt(version uint64) bool {
-	for _, b := range w.boxes {
+func (sim *simulation) allAt(version uint64) bool {
+	for _, b := range sim.boxes {
 		if b.follower.State().Version() < version {
 			return false
 		}
--- a/internal/control/packed_test.go
+++ b/internal/control/packed_test.go
@@ -16,18 +16,18 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// lone is a replica that is the only voter, with what it has published.
-type lone struct {
+// soleReplica is a replica that is the only voter, with what it has published.
+type soleReplica struct {
 	replica   *replica
 	publisher *distribution.Publisher
 	results   []steering.Result
 }
 
-// openLone starts a replica on a disk that holds a state and commands after it.
-func openLone(t *testing.T, state steering.State, commands ...*wire.Command) *lone {
+// openSoleReplica starts a replica on a disk that holds a state and commands after it.
+func openSoleReplica(t *testing.T, state steering.State, commands ...*wire.Command) *soleReplica {
 	t.Helper()
 	disk := newFakeDisk(1)
-	disk.before = func(string, string) error { return nil }
+	disk.beforeOperation = func(string, string) error { return nil }
 	j, found, err := journal.Open("folder", "a", disk.files())
 	if err != nil {
 		t.Fatal(err)
@@ -51,15 +51,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &lone{replica: r, publisher: distribution.NewPublisher(r.state)}
+	l := &soleReplica{replica: r, publisher: distribution.NewPublisher(r.state)}
 	r.send = func(*wire.ConsensusMessage) {}
 	r.publish = func(s steering.State, c []*wire.Command) { l.publisher.SetState(s, c) }
-	r.noticed = func(consensus.Notice) {}
-	r.settled = func(_ *wire.Command, result steering.Result) { l.results = append(l.results, result) }
-	r.synced = func(time.Duration) {}
-	r.disk = func(*FullDiskError) {}
+	r.onNotice = func(consensus.Notice) {}
+	r.onApplied = func(_ *wire.Command, result steering.Result) { l.results = append(l.results, result) }
+	r.onSynced = func(time.Duration) {}
+	r.onDiskChange = func(*FullDiskError) {}
 	now = now.Add(3 * time.Second) // nobody leads: it is elected
-	if err := r.carryOut(r.machine.Handle(now, consensus.Tick{})); err != nil {
+	if err := r.handleOutput(r.machine.Handle(now, consensus.Tick{})); err != nil {
 		t.Fatal(err)
 	}
 	return l
@@ -79,7 +79,7 @@
 func TestLogWithPlainAndPackedDocuments(t *testing.T) {
 	state := stateWith(t, operatorsText(1400))
 	texts := [][]byte{operatorsText(1401), operatorsText(1402), operatorsText(1403)}
-	l := openLone(t, state, plainCommand(1, 2, texts[0]), packedCommand(2, 3, texts[1]), packedCommand(3, 4, texts[2]))
+	l := openSoleReplica(t, state, plainCommand(1, 2, texts[0]), packedCommand(2, 3, texts[1]), packedCommand(3, 4, texts[2]))
 	document := l.replica.state.Catalog().Document()
 	if document.GetNumber() != 4 || !bytes.Equal(document.Text, texts[2]) {
 		t.Fatalf("document %d of %d bytes is in force: %v", document.GetNumber(), len(document.GetText()), l.results)
@@ -99,19 +99,19 @@
 	}
 }
 
-// TestBrokenPackIsRefused checks that a replica goes on after a document that
+// TestInvalidPackedDocumentIsRejected checks that a replica goes on after a document that
 // it can't unpack.
-func TestBrokenPackIsRefused(t *testing.T) {
+func TestInvalidPackedDocumentIsRejected(t *testing.T) {
 	state := stateWith(t, []byte("one"))
 	broken := packedCommand(1, 2, []byte("two"))
 	broken.Routes.Packed.Data = []byte("no frame")
-	l := openLone(t, state, broken, packedCommand(1, 2, []byte("three")))
+	l := openSoleReplica(t, state, broken, packedCommand(1, 2, []byte("three")))
 	var unpack *catalog.UnpackError
 	if len(l.results) != 2 || l.results[0].Changed || !errors.As(l.results[0].Err, &unpack) {
 		t.Fatalf("got %+v", l.results)
 	}
 	var refused *RefusedError
-	if err := refusal(outcome{result: l.results[0]}, nil); !errors.As(err, &refused) || refused.Conflict {
+	if err := submitError(outcome{result: l.results[0]}, nil); !errors.As(err, &refused) || refused.Conflict {
 		t.Errorf("the operator is told %v", err)
 	}
 	if text := l.replica.state.Catalog().Document().GetText(); string(text) != "three" {
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestAnswersOfBothKindsAreRead checks that a replica reads the document from a
+// TestPlainAndPackedAnswersAreRead checks that a replica reads the document from a
 // leader that packs it and from one that does not.
-func TestAnswersOfBothKindsAreRead(t *testing.T) {
+func TestPlainAndPackedAnswersAreRead(t *testing.T) {
 	document := &wire.RoutesDocument{Number: 3, Text: []byte("text")}
 	for name, a := range map[string]*wire.ReadAnswer{
 		"plain":  {Document: document},
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -12,21 +12,21 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// permits hosts the issuer of a replica. It needs no leader: the parts of limits do
+// permitIssuer hosts the issuer of a replica. It needs no leader: the parts of limits do
 // not move, so it goes on while the replica is cut off.
-type permits struct {
-	bound    quota.Bound
-	document *documentInForce
-	state    atomic.Pointer[steering.State]
-	mu       sync.Mutex
-	issuer   *quota.Issuer
+type permitIssuer struct {
+	bound  quota.Bound
+	routes *routesDecoder
+	state  atomic.Pointer[steering.State]
+	mu     sync.Mutex
+	issuer *quota.Issuer
 }
 
-// put takes the state that was applied last. It does not wait.
-func (p *permits) put(s steering.State) { p.state.Store(&s) }
+// setState takes the state that was applied last. It does not wait.
+func (p *permitIssuer) setState(s steering.State) { p.state.Store(&s) }
 
-// setParts tells how many replicas there are.
-func (p *permits) setParts(now time.Time, m *wire.Membership) {
+// setReplicaCount tells how many replicas there are.
+func (p *permitIssuer) setReplicaCount(now time.Time, m *wire.Membership) {
 	parts := len(m.GetVoters()) + len(m.GetLearners())
 	if parts == 0 {
 		return
@@ -41,7 +41,7 @@
 }
 
 // refresh takes the limits of the document in force.
-func (p *permits) refresh(now time.Time) {
+func (p *permitIssuer) refresh(now time.Time) {
 	s := p.state.Load()
 	if s == nil {
 		return
@@ -50,7 +50,7 @@
 	if text.GetNumber() == p.issuer.DocumentNumber() {
 		return
 	}
-	d, err := p.document.read(text)
+	d, err := p.routes.decodeOnce(text)
 	if err != nil {
 		return // told of by read; the limits before stay in force
 	}
@@ -58,7 +58,7 @@
 }
 
 // issue answers a box.
-func (p *permits) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
+func (p *permitIssuer) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
 	asks := make([]quota.SubjectRequest, 0, len(r.Asks))
 	for _, a := range r.Asks {
 		asks = append(asks, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
@@ -106,5 +106,5 @@
 	if len(r.TargetAsks) > 0 {
 		return &wire.PermitAnswer{Grants: d.issueForTargets(r.TargetAsks)}
 	}
-	return d.permits.issue(d.clock.Now(), r)
+	return d.permitIssuer.issue(d.clock.Now(), r)
 }
--- a/internal/control/permits_test.go
+++ b/internal/control/permits_test.go
@@ -20,23 +20,23 @@
 
 // Permits need no leader: a replica issues its part of the limits of the document that
 // it has, and none to a box whose document is newer.
-func TestReplicaIssuesItsPart(t *testing.T) {
+func TestReplicaIssuesItsShare(t *testing.T) {
 	now := time.Now()
-	document := &documentInForce{
+	document := &routesDecoder{
 		decode: func([]byte) (catalog.Document, error) {
 			return catalog.Document{Number: 1, Workspaces: []catalog.Workspace{{Name: "w", Limit: catalog.RateLimit{PerSecond: 30, Burst: 30}}}}, nil
 		},
-		failed: func(uint64, error) {},
+		onError: func(uint64, error) {},
 	}
-	p := &permits{document: document}
+	p := &permitIssuer{routes: document}
 	p.bound.Window = 5 * time.Second
 	state, _ := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
-	p.put(state)
+	p.setState(state)
 	ask := &wire.PermitRequest{Number: 1, Asks: []*wire.PermitAsk{{Workspace: "w", Count: 100}}}
 	if answer := p.issue(now, ask); !answer.Behind {
 		t.Errorf("before the membership is known: %v", answer)
 	}
-	p.setParts(now, &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}}, Learners: []*wire.Replica{{Id: "c"}}})
+	p.setReplicaCount(now, &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}}, Learners: []*wire.Replica{{Id: "c"}}})
 	if answer := p.issue(now.Add(time.Minute), ask); answer.Grants[0].Count != 10 {
 		t.Errorf("got %v; its part is a third", answer)
 	}
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := &Daemon{clock: clock, process: p, targetLimits: newTargetLimits("a"), publishing: relay.NewPublishing(steering.State{}, nil, nil)}
+		d := &Daemon{clock: clock, process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublishing(steering.State{}, nil, nil)}
 		d.targetLimits.clock = clock
 		d.targetLimits.setReplicas(clock.Now(), &wire.Membership{Voters: []*wire.Replica{{Address: "a"}}})
 		request := &wire.PermitRequest{TargetAsks: []*wire.TargetPermitAsk{
@@ -73,7 +73,7 @@
 
 // A replica that has just started takes a target's limit from the ask, issues its part, and
 // has its subscribers told; one that hears by a report that the limit was taken back too.
-func TestReplicaIssuesForATargetWithALimit(t *testing.T) {
+func TestReplicaIssuesForARateLimitedTarget(t *testing.T) {
 	synctest.Test(t, testIssueForATarget)
 }
 
@@ -82,7 +82,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{process: p, targetLimits: newTargetLimits("a"), publishing: relay.NewPublishing(steering.State{}, nil, nil)}
+	d := &Daemon{process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublishing(steering.State{}, nil, nil)}
 	d.targetLimits.setReplicas(boottime.Now(), &wire.Membership{Voters: []*wire.Replica{{Address: "a"}, {Address: "b"}}})
 	request := &wire.PermitRequest{TargetAsks: []*wire.TargetPermitAsk{
 		{Limit: &wire.TargetLimit{Life: "t", Limited: true, PerSecond: 40}, Count: 3},
@@ -99,12 +99,12 @@
 		t.Errorf("subscribers are told %v", told)
 	}
 	time.Sleep(400 * time.Millisecond)
-	d.takeUpdates([]*wire.TargetLimit{{Life: "t"}})
+	d.applyLimitUpdates([]*wire.TargetLimit{{Life: "t"}})
 	if told, _ := d.targetLimits.since(last); len(told) != 1 || told[0].Limited {
 		t.Errorf("subscribers are told %v", told)
 	}
-	d.targetLimits.keep(boottime.Now(), steering.State{})
-	if known := d.targetLimits.of("t"); known.limit < targetstatus.NoLimit {
+	d.targetLimits.prune(boottime.Now(), steering.State{})
+	if known := d.targetLimits.view("t"); known.limit < targetstatus.NoLimit {
 		t.Errorf("still known: %+v", known)
 	}
 }
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -19,40 +19,40 @@
 	// quarantineInterval is how often a leader looks what is due. Evidence is looked at
 	// at once.
 	quarantineInterval = 200 * time.Millisecond
-	// quarantineSubmit bounds the wait for one order: what was not settled is due again.
-	quarantineSubmit = 2 * time.Second
-	// versionsFor is for how long it counts that all replicas know the orders, and
+	// quarantineSubmitTimeout bounds the wait for one order: what was not settled is due again.
+	quarantineSubmitTimeout = 2 * time.Second
+	// supportCheckValidity is for how long it counts that all replicas know the orders, and
 	// versionsTimeout bounds the question: several round trips between regions.
-	versionsFor     = 10 * time.Second
-	versionsTimeout = 400 * time.Millisecond
+	supportCheckValidity = 10 * time.Second
+	supportCheckTimeout  = 400 * time.Millisecond
 )
 
-// suspicions hosts the ledger of requests under which targets ended.
-type suspicions struct {
+// evidence hosts the ledger of requests under which targets ended.
+type evidence struct {
 	// hello asks another replica who it is.
 	hello func(ctx context.Context, address string) (*wire.HelloAnswer, error)
-	// knownAt is when all replicas that answered knew the orders, and refused when one
+	// supportedAt is when all replicas that answered knew the orders, and refused when one
 	// did not. Only the loop uses both.
-	knownAt, refusedAt time.Time
+	supportedAt, unsupportedAt time.Time
 
-	mu     sync.Mutex
-	ledger *quarantine.EvidenceStore
-	due    chan struct{}
+	mu      sync.Mutex
+	store   *quarantine.EvidenceStore
+	pending chan struct{}
 }
 
-func newSuspicions() *suspicions {
-	return &suspicions{ledger: quarantine.NewEvidenceStore(), due: make(chan struct{}, 1)}
+func newEvidence() *evidence {
+	return &evidence{store: quarantine.NewEvidenceStore(), pending: make(chan struct{}, 1)}
 }
 
-func (s *suspicions) wake() {
+func (s *evidence) wake() {
 	select {
-	case s.due <- struct{}{}:
+	case s.pending <- struct{}{}:
 	default:
 	}
 }
 
-// take takes what a box tells.
-func (s *suspicions) take(now time.Time, e *wire.Evidence) {
+// record takes what a box tells.
+func (s *evidence) record(now time.Time, e *wire.Evidence) {
 	ago := func(milli int64) time.Time { return now.Add(-time.Duration(max(milli, 0)) * time.Millisecond) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,40 +62,40 @@
 			Began: ago(r.BeganAgoMilli), Ended: ago(r.EndedAgoMilli),
 		}
 		copy(end.Request[:], r.Digest)
-		s.ledger.RecordCrash(now, end)
+		s.store.RecordCrash(now, end)
 	}
 	for _, a := range e.Answers {
 		var d quarantine.Digest
 		copy(d[:], a.Digest)
-		s.ledger.RecordAnswer(now, d, quarantine.Caller(a.Caller), ago(a.EndedAgoMilli))
+		s.store.RecordAnswer(now, d, quarantine.Caller(a.Caller), ago(a.EndedAgoMilli))
 	}
 	s.wake()
 }
 
-// orders returns what is due, given the list in force; wall is the time of day.
-func (s *suspicions) orders(now, wall time.Time, list []*wire.Quarantined) []quarantine.ListChange {
+// pendingChanges returns what is due, given the list in force; wall is the time of day.
+func (s *evidence) pendingChanges(now, wall time.Time, list []*wire.Quarantined) []quarantine.ListChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ledger.Len() == 0 && len(list) == 0 {
+	if s.store.Len() == 0 && len(list) == 0 {
 		return nil
 	}
-	return s.ledger.PendingChanges(now, wall, quarantine.EntriesOf(list))
+	return s.store.PendingChanges(now, wall, quarantine.EntriesOf(list))
 }
 
-func (s *suspicions) len() int {
+func (s *evidence) len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Len()
+	return s.store.Len()
 }
 
 // serveEvidence takes what a box tells of requests under which targets ended.
 func (d *Daemon) serveEvidence(e *wire.Evidence) *wire.CallAnswer {
-	d.suspicions.take(d.clock.Now(), e)
+	d.evidence.record(d.clock.Now(), e)
 	return &wire.CallAnswer{}
 }
 
-// keepQuarantine has what is due put on the list, while this replica leads.
-func (d *Daemon) keepQuarantine(ctx context.Context) error {
+// runQuarantine has what is due put on the list, while this replica leads.
+func (d *Daemon) runQuarantine(ctx context.Context) error {
 	ticker := time.NewTicker(quarantineInterval)
 	defer ticker.Stop()
 	for {
@@ -103,54 +103,54 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-		case <-d.suspicions.due:
+		case <-d.evidence.pending:
 		}
-		d.orderQuarantine(ctx)
+		d.applyQuarantineChanges(ctx)
 	}
 }
 
-// orderQuarantine looks what is due, also where another replica leads: what left the
+// applyQuarantineChanges looks what is due, also where another replica leads: what left the
 // list is forgotten by all.
-func (d *Daemon) orderQuarantine(ctx context.Context) {
-	if d.suspicions.len() > 0 && !d.allTakeOrders(ctx) {
+func (d *Daemon) applyQuarantineChanges(ctx context.Context) {
+	if d.evidence.len() > 0 && !d.allReplicasSupportQuarantine(ctx) {
 		return
 	}
 	wall := time.Now() // time of day: boxes go by it too
-	orders := d.suspicions.orders(d.clock.Now(), wall, d.latest().Catalog().Quarantined())
+	orders := d.evidence.pendingChanges(d.clock.Now(), wall, d.latest().Catalog().Quarantined())
 	if len(orders) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, quarantineSubmit)
+	ctx, cancel := context.WithTimeout(ctx, quarantineSubmitTimeout)
 	defer cancel()
 	v, err := d.replica.view(ctx)
 	if err != nil || v.status.Role != consensus.Leader {
 		return // the leader knows as much
 	}
 	for _, o := range orders {
-		if !d.settleOrder(ctx, o) {
+		if !d.submitListChange(ctx, o) {
 			return
 		}
 	}
 }
 
-// allTakeOrders reports whether no replica is known that does not know the orders. One of
+// allReplicasSupportQuarantine reports whether no replica is known that does not know the orders. One of
 // the version before passes over them, and its state would differ from the others' for
 // good; while there is one, each box holds requests by itself. A replica that does not
 // answer is not waited for.
-func (d *Daemon) allTakeOrders(ctx context.Context) bool {
-	s := d.suspicions
+func (d *Daemon) allReplicasSupportQuarantine(ctx context.Context) bool {
+	s := d.evidence
 	now := d.clock.Now()
-	if now.Sub(s.knownAt) < versionsFor {
+	if now.Sub(s.supportedAt) < supportCheckValidity {
 		return true
 	}
-	if now.Sub(s.refusedAt) < versionsFor {
+	if now.Sub(s.unsupportedAt) < supportCheckValidity {
 		return false
 	}
 	v, err := d.replica.view(ctx)
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, versionsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, supportCheckTimeout)
 	defer cancel()
 	before := make(chan string)
 	asked := 0
@@ -175,10 +175,10 @@
 		}
 	}
 	if len(old) == 0 {
-		s.knownAt = now
+		s.supportedAt = now
 		return true
 	}
-	s.refusedAt = now
+	s.unsupportedAt = now
 	d.process.Log.Warn().Str("kind", "quarantine").Strs("replicas", old).Msg("no request is held by all: replicas of an earlier version don't know such orders")
 	return false
 }
@@ -189,8 +189,8 @@
 	return answer.GetHello(), err
 }
 
-// settleOrder has an order settled and reports whether that is known.
-func (d *Daemon) settleOrder(ctx context.Context, o quarantine.ListChange) bool {
+// submitListChange has an order settled and reports whether that is known.
+func (d *Daemon) submitListChange(ctx context.Context, o quarantine.ListChange) bool {
 	command := &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}
 	_, err := d.replica.submit(ctx, &wire.Command{Quarantine: command})
 	line := d.process.Log.Warn()
@@ -229,8 +229,8 @@
 	_ = c.JSON(out) // the client sees a broken answer
 }
 
-// releaseOf lets a request go, whoever the caller.
-func releaseOf(d quarantine.Digest) *wire.QuarantineCommand {
+// releaseCommand lets a request go, whoever the caller.
+func releaseCommand(d quarantine.Digest) *wire.QuarantineCommand {
 	return &wire.QuarantineCommand{Request: &wire.Quarantined{Digest: d[:]}, Release: true, Every: true}
 }
 
@@ -250,9 +250,9 @@
 		fail(c, http.StatusNotFound, operator.CodeNotFound, "no request with this digest is watched or held")
 		return
 	}
-	command := &wire.Command{Quarantine: releaseOf(digest)}
-	if err := d.settle(c, func(ctx context.Context) error { return d.Submit(ctx, command) }); err != nil {
-		d.failCatalog(c, err)
+	command := &wire.Command{Quarantine: releaseCommand(digest)}
+	if err := d.withSubmitTimeout(c, func(ctx context.Context) error { return d.Submit(ctx, command) }); err != nil {
+		d.failCatalogCall(c, err)
 		return
 	}
 	d.process.Log.Warn().Str("kind", "quarantine").Str("digest", digest.String()).Str("action", "release").
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -19,13 +19,13 @@
 // Boxes tell every replica of targets that ended under a request. The leader has it
 // watched, then held, within the time in which all boxes must know; an operator's update
 // lets it go at all replicas.
-func TestEvidenceHasARequestHeld(t *testing.T) {
+func TestEvidenceQuarantinesARequest(t *testing.T) {
 	const bound = 2 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, len(s.daemons))
 		for _, d := range s.daemons {
-			go func() { ended <- d.keepQuarantine(ctx) }()
+			go func() { ended <- d.runQuarantine(ctx) }()
 		}
 		defer func() {
 			cancel()
@@ -66,7 +66,7 @@
 		want(0, 1)
 		time.Sleep(bound / 2)
 		want(1, 1)
-		if err := s.daemons[0].Submit(ctx, &wire.Command{Quarantine: releaseOf(digest)}); err != nil {
+		if err := s.daemons[0].Submit(ctx, &wire.Command{Quarantine: releaseCommand(digest)}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(bound)
@@ -81,8 +81,8 @@
 		digest := quarantine.Request{Target: "/fatal"}.Digest()
 		leader, old := s.leaderAndAnother(t)
 		before := true
-		ask := leader.suspicions.hello
-		leader.suspicions.hello = func(ctx context.Context, address string) (*wire.HelloAnswer, error) {
+		ask := leader.evidence.hello
+		leader.evidence.hello = func(ctx context.Context, address string) (*wire.HelloAnswer, error) {
 			answer, err := ask(ctx, address)
 			if address == old.config.Name && before && answer != nil {
 				answer.TakesQuarantine = false
@@ -93,7 +93,7 @@
 			leader.serveEvidence(&wire.Evidence{Ends: []*wire.RunEnd{{Digest: digest[:], Caller: 1, Life: fmt.Sprint(life)}}})
 		}
 		listed := func() int {
-			leader.orderQuarantine(context.Background())
+			leader.applyQuarantineChanges(context.Background())
 			time.Sleep(time.Second)
 			return len(leader.latest().Catalog().Quarantined())
 		}
@@ -101,7 +101,7 @@
 			t.Fatalf("%d requests were ordered to be watched or held", n)
 		}
 		before = false
-		time.Sleep(versionsFor)
+		time.Sleep(supportCheckValidity)
 		if n := listed(); n != 1 {
 			t.Fatalf("%d requests are listed once all are renewed", n)
 		}
@@ -129,10 +129,10 @@
 }
 
 // Calls that name no digest get a clear error and change nothing.
-func TestDigestOfAReleaseIsChecked(t *testing.T) {
+func TestReleaseRejectsAnInvalidDigest(t *testing.T) {
 	d := &Daemon{}
 	app := iris.New()
-	d.addCatalog(app)
+	d.addCatalogHandlers(app)
 	if err := app.Build(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/registrationcalls.go
+++ b/internal/control/registrationcalls.go
@@ -11,26 +11,26 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// settleUpdates has the leader settle updates, and returns the outcome of each.
-func (d *Daemon) settleUpdates(ctx context.Context, batch []*pendingUpdate) []error {
-	ctx, done := d.leadership.during(ctx)
+// commitUpdates has the leader settle updates, and returns the outcome of each.
+func (d *Daemon) commitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
+	ctx, done := d.leadership.untilChange(ctx)
 	defer done()
 	v, err := d.replica.view(ctx)
 	if err != nil {
-		return all(len(batch), err)
+		return repeatError(len(batch), err)
 	}
 	if v.status.Role == consensus.Leader {
 		return d.replica.submitUpdates(ctx, batch)
 	}
 	address := addressOf(v.membership, v.status.Leader)
 	if address == "" {
-		return all(len(batch), &consensus.NotLeaderError{})
+		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	return d.handOn(ctx, address, batch)
+	return d.forwardUpdates(ctx, address, batch)
 }
 
-// all returns an error for each of some updates.
-func all(count int, err error) []error {
+// repeatError returns an error for each of some updates.
+func repeatError(count int, err error) []error {
 	out := make([]error, count)
 	for i := range out {
 		out[i] = err
@@ -38,10 +38,10 @@
 	return out
 }
 
-// handOn has the leader settle updates for this replica. Those that came from another
+// forwardUpdates has the leader settle updates for this replica. Those that came from another
 // one are not handed on again.
-func (d *Daemon) handOn(ctx context.Context, leader string, batch []*pendingUpdate) []error {
-	out := all(len(batch), &consensus.NotLeaderError{})
+func (d *Daemon) forwardUpdates(ctx context.Context, leader string, batch []*pendingUpdate) []error {
+	out := repeatError(len(batch), &consensus.NotLeaderError{})
 	request := &wire.WordsRequest{}
 	var places []int
 	now := d.clock.Now()
@@ -58,18 +58,18 @@
 	answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Words: request})
 	var earlier *link.RemoteError
 	if errors.As(err, &earlier) {
-		d.handOnSingly(ctx, leader, batch, out)
+		d.forwardOneByOne(ctx, leader, batch, out)
 		return out
 	}
 	for n, i := range places {
-		out[i] = outcomeOf(answer.GetWords(), n, err)
+		out[i] = updateError(answer.GetWords(), n, err)
 	}
 	return out
 }
 
-// handOnSingly hands updates on to a leader of an earlier version, which takes no updates
+// forwardOneByOne hands updates on to a leader of an earlier version, which takes no updates
 // together: one that knows them answers each, and no error for all.
-func (d *Daemon) handOnSingly(ctx context.Context, leader string, batch []*pendingUpdate, out []error) {
+func (d *Daemon) forwardOneByOne(ctx context.Context, leader string, batch []*pendingUpdate, out []error) {
 	var running sync.WaitGroup
 	for i, update := range batch {
 		if update.forwarded {
@@ -88,7 +88,7 @@
 // Error implements error.
 func (e *UpdateRefusedError) Error() string { return "the leader did not settle it: " + e.Reason }
 
-func outcomeOf(a *wire.WordsAnswer, place int, err error) error {
+func updateError(a *wire.WordsAnswer, place int, err error) error {
 	switch {
 	case err != nil:
 		return err
@@ -109,7 +109,7 @@
 		}
 		left := time.Duration(asked.LeftMilli) * time.Millisecond
 		asker, cancel := context.WithTimeout(ctx, left)
-		reply, err := d.registrations.add(asker, asked.Word, true)
+		reply, err := d.registrations.enqueue(asker, asked.Word, true)
 		cancel() // its deadline is what counts
 		if err != nil {
 			out.Failure = err.Error()
@@ -137,19 +137,19 @@
 // submitUpdates has updates proposed together and waits for their outcomes until the
 // context ends.
 func (r *replica) submitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
-	out := all(len(batch), &UnavailableError{Cause: errNotSettled})
+	out := repeatError(len(batch), &UnavailableError{Cause: errNotCommitted})
 	commands := make([]*wire.Command, len(batch))
 	for i, update := range batch {
 		commands[i] = &wire.Command{Registration: update.command}
 	}
 	reply := make(chan updateOutcome, len(batch))
 	if err := r.inbox.put(ctx, updateBatch{commands, reply}); err != nil {
-		return all(len(batch), err)
+		return repeatError(len(batch), err)
 	}
 	for range batch {
 		select {
 		case o := <-reply:
-			out[o.place] = o.err
+			out[o.index] = o.err
 		case <-ctx.Done():
 			return out
 		}
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -49,7 +49,7 @@
 	forwarded bool
 }
 
-func keyOf(c *wire.RegistrationCommand, forwarded bool) updateKey {
+func newUpdateKey(c *wire.RegistrationCommand, forwarded bool) updateKey {
 	r := c.Registration
 	return updateKey{r.Id, r.BornUnixMilli, r.Sequence, c.Leave, forwarded}
 }
@@ -57,35 +57,35 @@
 // registrationQueue has registration updates settled by the leader, in batches. A update that is told
 // again while it waits is settled once.
 type registrationQueue struct {
-	// settle tries to have updates settled and returns the outcome of each.
-	settle func(ctx context.Context, batch []*pendingUpdate) []error
-	// let is told of updates that are let go as their askers had gone.
-	let func(count int)
+	// commit tries to have updates settled and returns the outcome of each.
+	commit func(ctx context.Context, batch []*pendingUpdate) []error
+	// onExpired is told of updates that are onExpired go as their askers had gone.
+	onExpired func(count int)
 
-	mu       sync.Mutex
-	gatherer *batch.Batcher[*pendingUpdate]
-	known    map[updateKey]*pendingUpdate
-	clock    *boottime.Clock
-	// due holds a token when a batch may begin.
-	due chan struct{}
+	mu      sync.Mutex
+	batcher *batch.Batcher[*pendingUpdate]
+	pending map[updateKey]*pendingUpdate
+	clock   *boottime.Clock
+	// wakeup holds a token when a batch may begin.
+	wakeup chan struct{}
 }
 
 func newRegistrationQueue() *registrationQueue {
 	return &registrationQueue{
-		gatherer: batch.New[*pendingUpdate](updateBatches),
-		known:    make(map[updateKey]*pendingUpdate),
-		due:      make(chan struct{}, 1),
-		let:      func(int) {},
+		batcher:   batch.New[*pendingUpdate](updateBatches),
+		pending:   make(map[updateKey]*pendingUpdate),
+		wakeup:    make(chan struct{}, 1),
+		onExpired: func(int) {},
 	}
 }
 
-// errNotSettled says that no leader settled an update while its asker waited.
-var errNotSettled = errors.New("not settled in time")
+// errNotCommitted says that no leader settled an update while its asker waited.
+var errNotCommitted = errors.New("not settled in time")
 
-// tell has an update settled and waits for it until the context ends. The error is that
+// submit has an update settled and waits for it until the context ends. The error is that
 // of the last try, a batch.BusyError or the context's.
-func (w *registrationQueue) tell(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) error {
-	reply, err := w.add(ctx, c, forwarded)
+func (q *registrationQueue) submit(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) error {
+	reply, err := q.enqueue(ctx, c, forwarded)
 	if err != nil {
 		return err
 	}
@@ -97,54 +97,54 @@
 	}
 }
 
-// longestAsk bounds how long an update is tried for an asker that names no time.
-const longestAsk = 4 * time.Second
+// defaultUpdateTimeout bounds how long an update is tried for an asker that names no time.
+const defaultUpdateTimeout = 4 * time.Second
 
-// add has an update settled; what becomes of it comes on the channel.
-func (w *registrationQueue) add(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) (<-chan error, error) {
-	now := w.clock.Now()
-	deadline, ok := w.clock.Deadline(ctx)
+// enqueue has an update settled; what becomes of it comes on the channel.
+func (q *registrationQueue) enqueue(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) (<-chan error, error) {
+	now := q.clock.Now()
+	deadline, ok := q.clock.Deadline(ctx)
 	if !ok {
-		deadline = now.Add(longestAsk)
+		deadline = now.Add(defaultUpdateTimeout)
 	}
 	reply := make(chan error, 1)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	key := keyOf(c, forwarded)
-	if known := w.known[key]; known != nil {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	key := newUpdateKey(c, forwarded)
+	if known := q.pending[key]; known != nil {
 		known.replies = append(known.replies, reply)
 		return reply, nil
 	}
 	update := &pendingUpdate{key: key, command: c, deadline: deadline, forwarded: forwarded, replies: []chan<- error{reply}}
-	if err := w.gatherer.Add(now, update, deadline); err != nil {
+	if err := q.batcher.Add(now, update, deadline); err != nil {
 		return nil, err
 	}
-	w.known[key] = update
-	w.wake()
+	q.pending[key] = update
+	q.wake()
 	return reply, nil
 }
 
-func (w *registrationQueue) wake() {
+func (q *registrationQueue) wake() {
 	select {
-	case w.due <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // run begins batches until the context ends, and waits for those under way.
-func (w *registrationQueue) run(ctx context.Context) error {
+func (q *registrationQueue) run(ctx context.Context) error {
 	ended := make(chan time.Duration)
 	underWay := 0
 	for {
 		for {
-			begin := w.next(w.clock.Now())
+			begin := q.next(q.clock.Now())
 			if len(begin) == 0 {
 				break
 			}
 			underWay++
-			go func() { ended <- w.carry(ctx, begin) }()
+			go func() { ended <- q.runBatch(ctx, begin) }()
 		}
-		timer := time.NewTimer(w.untilDue(w.clock.Now()))
+		timer := time.NewTimer(q.untilNext(q.clock.Now()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -152,99 +152,99 @@
 				<-ended
 			}
 			return ctx.Err()
-		case <-w.due:
+		case <-q.wakeup:
 		case <-timer.C:
 		case took := <-ended:
 			underWay--
-			w.recordEnd(took)
+			q.recordDone(took)
 		}
 		timer.Stop()
 	}
 }
 
 // next returns the batch to begin now and answers the updates that are let go.
-func (w *registrationQueue) next(now time.Time) []*pendingUpdate {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	begin, late := w.gatherer.Next(now)
+func (q *registrationQueue) next(now time.Time) []*pendingUpdate {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	begin, late := q.batcher.Next(now)
 	for _, update := range late {
-		w.answer(update, &UnavailableError{Cause: errNotSettled})
+		q.answer(update, &UnavailableError{Cause: errNotCommitted})
 	}
 	if len(late) > 0 {
-		w.let(len(late))
+		q.onExpired(len(late))
 	}
 	return begin
 }
 
-// restBetweenWords is how long nothing is looked for while no update waits.
-const restBetweenWords = time.Minute
+// idleInterval is how long nothing is looked for while no update waits.
+const idleInterval = time.Minute
 
-func (w *registrationQueue) untilDue(now time.Time) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at, ok := w.gatherer.NextAt()
+func (q *registrationQueue) untilNext(now time.Time) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	at, ok := q.batcher.NextAt()
 	if !ok {
-		return restBetweenWords
+		return idleInterval
 	}
 	return at.Sub(now)
 }
 
-func (w *registrationQueue) recordEnd(took time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.gatherer.Done(took)
+func (q *registrationQueue) recordDone(took time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.batcher.Done(took)
 }
 
 // answer tells the askers of an update what became of it. Its lock is held.
-func (w *registrationQueue) answer(update *pendingUpdate, err error) {
-	delete(w.known, update.key)
+func (q *registrationQueue) answer(update *pendingUpdate, err error) {
+	delete(q.pending, update.key)
 	for _, reply := range update.replies {
 		reply <- err
 	}
 }
 
-// carry tries a batch until each update is settled or its askers have gone, and returns
+// runBatch tries a batch until each update is settled or its askers have gone, and returns
 // how long that took.
-func (w *registrationQueue) carry(ctx context.Context, batch []*pendingUpdate) time.Duration {
-	began := w.clock.Now()
+func (q *registrationQueue) runBatch(ctx context.Context, batch []*pendingUpdate) time.Duration {
+	began := q.clock.Now()
 	for len(batch) > 0 {
-		outcomes := w.try(ctx, batch)
-		batch = w.take(ctx, batch, outcomes)
+		outcomes := q.commitOnce(ctx, batch)
+		batch = q.resolve(ctx, batch, outcomes)
 		if len(batch) == 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(leaderPause):
+		case <-time.After(leaderRetryDelay):
 		}
 	}
-	return w.clock.Since(began)
+	return q.clock.Since(began)
 }
 
-// try tries until the last asker has gone.
-func (w *registrationQueue) try(ctx context.Context, batch []*pendingUpdate) []error {
+// commitOnce tries until the last asker has gone.
+func (q *registrationQueue) commitOnce(ctx context.Context, batch []*pendingUpdate) []error {
 	last := slices.MaxFunc(batch, func(a, b *pendingUpdate) int { return a.deadline.Compare(b.deadline) })
-	ctx, cancel := w.clock.WithDeadline(ctx, last.deadline)
+	ctx, cancel := q.clock.WithDeadline(ctx, last.deadline)
 	defer cancel()
-	return w.settle(ctx, batch)
+	return q.commit(ctx, batch)
 }
 
-// take answers the updates that are settled or whose time is over, and returns the
+// resolve answers the updates that are settled or whose time is over, and returns the
 // others.
-func (w *registrationQueue) take(ctx context.Context, batch []*pendingUpdate, outcomes []error) (left []*pendingUpdate) {
-	now := w.clock.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (q *registrationQueue) resolve(ctx context.Context, batch []*pendingUpdate, outcomes []error) (left []*pendingUpdate) {
+	now := q.clock.Now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for i, update := range batch {
 		err := outcomes[i]
-		if err != nil && ctx.Err() == nil && !update.forwarded && update.deadline.After(now.Add(leaderPause)) {
+		if err != nil && ctx.Err() == nil && !update.forwarded && update.deadline.After(now.Add(leaderRetryDelay)) {
 			left = append(left, update)
 			continue
 		}
 		if err != nil {
 			err = &UnavailableError{Cause: err}
 		}
-		w.answer(update, err)
+		q.answer(update, err)
 	}
 	return left
 }
--- a/internal/control/registrations_bench_test.go
+++ b/internal/control/registrations_bench_test.go
@@ -36,12 +36,12 @@
 	}
 	var running sync.WaitGroup
 	for _, d := range daemons {
-		if err := d.replica.carryOut(d.replica.handle(bootstrap{first})); err != nil {
+		if err := d.replica.handleOutput(d.replica.handle(bootstrap{first})); err != nil {
 			b.Fatal(err)
 		}
 		d.replica.state = state
 		running.Go(func() { _ = d.replica.run(ctx) })       // ends with the context
-		running.Go(func() { _ = d.publishing.Run(ctx) })    // the same
+		running.Go(func() { _ = d.publisher.Run(ctx) })     // the same
 		running.Go(func() { _ = d.registrations.run(ctx) }) // the same
 	}
 	b.Cleanup(func() {
--- a/internal/control/registrations_test.go
+++ b/internal/control/registrations_test.go
@@ -16,12 +16,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// runWords runs a function in virtual time with updates that settle tries to settle.
-func runWords(t *testing.T, settle func(context.Context, []*pendingUpdate) []error, run func(t *testing.T, w *registrationQueue)) {
+// runQueue runs a function in virtual time with updates that settle tries to settle.
+func runQueue(t *testing.T, settle func(context.Context, []*pendingUpdate) []error, run func(t *testing.T, w *registrationQueue)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := newRegistrationQueue()
-		w.settle = settle
+		w.commit = settle
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- w.run(ctx) }()
@@ -31,7 +31,7 @@
 	})
 }
 
-func wordNumber(id string, sequence uint64) *wire.RegistrationCommand {
+func registrationCommand(id string, sequence uint64) *wire.RegistrationCommand {
 	return &wire.RegistrationCommand{Registration: &wire.Registration{Id: id, Sequence: sequence}}
 }
 
@@ -42,11 +42,11 @@
 		settled += len(batch)
 		return make([]error, len(batch))
 	}
-	runWords(t, settle, func(t *testing.T, w *registrationQueue) {
+	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
 		var telling sync.WaitGroup
 		for range 3 {
 			telling.Go(func() {
-				if err := w.tell(t.Context(), wordNumber("a", 1), false); err != nil {
+				if err := w.submit(t.Context(), registrationCommand("a", 1), false); err != nil {
 					t.Error(err)
 				}
 			})
@@ -65,13 +65,13 @@
 	began := time.Time{}
 	settle := func(_ context.Context, batch []*pendingUpdate) []error {
 		tries = append(tries, time.Since(began))
-		return all(len(batch), &consensus.NotLeaderError{})
+		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	runWords(t, settle, func(t *testing.T, w *registrationQueue) {
+	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
 		began = time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := w.tell(ctx, wordNumber("a", 1), false); err == nil {
+		if err := w.submit(ctx, registrationCommand("a", 1), false); err == nil {
 			t.Error("settled by nobody")
 		}
 		time.Sleep(10 * time.Second)
@@ -90,13 +90,13 @@
 	tries := 0
 	settle := func(_ context.Context, batch []*pendingUpdate) []error {
 		tries++
-		return all(len(batch), &consensus.NotLeaderError{})
+		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	runWords(t, settle, func(t *testing.T, w *registrationQueue) {
+	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var unavailable *UnavailableError
-		if err := w.tell(ctx, wordNumber("a", 1), true); !errors.As(err, &unavailable) {
+		if err := w.submit(ctx, registrationCommand("a", 1), true); !errors.As(err, &unavailable) {
 			t.Errorf("got %v", err)
 		}
 	})
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	d := &Daemon{node: link.Dialer(link.Identity{Name: "new"}, clock, nil)}
-	updates := []*pendingUpdate{{command: wordNumber("a", 1)}, {command: wordNumber("b", 1), forwarded: true}, {command: wordNumber("c", 1)}}
-	outcomes := d.handOn(t.Context(), leader.Address(), updates)
+	updates := []*pendingUpdate{{command: registrationCommand("a", 1)}, {command: registrationCommand("b", 1), forwarded: true}, {command: registrationCommand("c", 1)}}
+	outcomes := d.forwardUpdates(t.Context(), leader.Address(), updates)
 	if outcomes[0] != nil || outcomes[1] == nil || outcomes[2] != nil {
 		t.Errorf("outcomes %v", outcomes)
 	}
@@ -138,9 +138,9 @@
 	}
 }
 
-// aloneReplica returns the only replica of a quorum, which leads and whose loop does
+// newSoleLeader returns the only replica of a quorum, which leads and whose loop does
 // not run.
-func aloneReplica(t *testing.T) *replica {
+func newSoleLeader(t *testing.T) *replica {
 	t.Helper()
 	j, found, err := journal.Open("folder", "a", newFakeDisk(1).files())
 	if err != nil {
@@ -153,12 +153,12 @@
 	}
 	r.send = func(*wire.ConsensusMessage) {}
 	r.publish = func(steering.State, []*wire.Command) {}
-	r.noticed = func(consensus.Notice) {}
-	r.settled = func(*wire.Command, steering.Result) {}
-	r.synced = func(time.Duration) {}
+	r.onNotice = func(consensus.Notice) {}
+	r.onApplied = func(*wire.Command, steering.Result) {}
+	r.onSynced = func(time.Duration) {}
 	out := r.handle(bootstrap{&wire.Membership{Voters: []*wire.Replica{{Id: r.id, Address: "a"}}}})
 	for r.machine.Status(now).Role != consensus.Leader {
-		if err := r.carryOut(out); err != nil {
+		if err := r.handleOutput(out); err != nil {
 			t.Fatal(err)
 		}
 		now = now.Add(50 * time.Millisecond)
@@ -166,7 +166,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := r.carryOut(out); err != nil {
+	if err := r.handleOutput(out); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -174,9 +174,9 @@
 
 // An order whose asker has gone while it waited for the loop is not done.
 func TestOrderWithoutAskerIsNotProposed(t *testing.T) {
-	r := aloneReplica(t)
+	r := newSoleLeader(t)
 	var dropped []string
-	r.waited = func(kind string, _ time.Duration, abandoned bool) {
+	r.onDequeued = func(kind string, _ time.Duration, abandoned bool) {
 		if abandoned {
 			dropped = append(dropped, kind)
 		}
@@ -194,7 +194,7 @@
 	if len(out.Entries) != 1 || len(dropped) != 1 || dropped[0] != "order" {
 		t.Errorf("%d entries, dropped %v; want 1 and an order", len(out.Entries), dropped)
 	}
-	if err := r.carryOut(out); err != nil {
+	if err := r.handleOutput(out); err != nil {
 		t.Fatal(err)
 	}
 	if o := <-reply; o.err != nil || !o.result.Changed {
@@ -205,20 +205,20 @@
 // However many updates wait, messages of other replicas and orders are taken first.
 func TestWordsWaitBehindMessagesAndOrders(t *testing.T) {
 	i := newInbox()
-	for range updateRoom {
-		if !i.offer(updateBatch{}) {
+	for range updateQueueSize {
+		if !i.tryPut(updateBatch{}) {
 			t.Fatal("no room")
 		}
 	}
-	if i.offer(updateBatch{}) {
+	if i.tryPut(updateBatch{}) {
 		t.Error("updates took more than their room")
 	}
-	if !i.offer(reading{}) || !i.offer(received{}) {
+	if !i.tryPut(readRequest{}) || !i.tryPut(receivedMessage{}) {
 		t.Fatal("updates left no room for others")
 	}
 	var got []string
 	for a, ok := i.next(); ok && len(got) < 3; a, ok = i.next() {
-		got = append(got, kind(a.message))
+		got = append(got, inputKind(a.message))
 	}
 	if len(got) != 3 || got[0] != "consensus" || got[1] != "question" || got[2] != "words" {
 		t.Errorf("taken in the order %v", got)
@@ -228,8 +228,8 @@
 // More committed entries than are applied at once are applied by the following turns,
 // and a read waits for those that it is to show.
 func TestLongCommitIsAppliedInTurns(t *testing.T) {
-	r := aloneReplica(t)
-	const count = 3*maxApplied + 5
+	r := newSoleLeader(t)
+	const count = 3*maxEntriesPerApply + 5
 	reply := make(chan updateOutcome, count)
 	batch := updateBatch{reply: reply}
 	for i := range count {
@@ -237,13 +237,13 @@
 		batch.updates = append(batch.updates, &wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{Id: id, Address: id, Sequence: 1}}})
 	}
 	read := make(chan readOutcome, 1)
-	if err := r.carryOut(r.handle(batch)); err != nil {
+	if err := r.handleOutput(r.handle(batch)); err != nil {
 		t.Fatal(err)
 	}
-	if n := len(r.state.Catalog().Targets()); n != maxApplied {
-		t.Fatalf("%d targets after one turn, want %d", n, maxApplied)
+	if n := len(r.state.Catalog().Targets()); n != maxEntriesPerApply {
+		t.Fatalf("%d targets after one turn, want %d", n, maxEntriesPerApply)
 	}
-	if err := r.carryOut(r.handle(reading{read})); err != nil {
+	if err := r.handleOutput(r.handle(readRequest{read})); err != nil {
 		t.Fatal(err)
 	}
 	for turns := 0; len(r.committed) > 0; turns++ {
@@ -252,10 +252,10 @@
 			t.Fatal("a read was answered by a state that lacks what was committed before it")
 		default:
 		}
-		if turns > count/maxApplied {
+		if turns > count/maxEntriesPerApply {
 			t.Fatalf("%d entries wait after %d turns", len(r.committed), turns)
 		}
-		if err := r.carryOut(r.drainWaiting(consensus.Output{})); err != nil {
+		if err := r.handleOutput(r.drainInbox(consensus.Output{})); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -264,7 +264,7 @@
 	}
 	for range count {
 		if o := <-reply; o.err != nil {
-			t.Errorf("update %d: %v", o.place, o.err)
+			t.Errorf("update %d: %v", o.index, o.err)
 		}
 	}
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -17,25 +17,25 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// answer takes the outcome of a proposed command. It does not wait.
-type answer func(outcome)
+// replyFunc takes the outcome of a proposed command. It does not wait.
+type replyFunc func(outcome)
 
 type waitingProposal struct {
 	term  uint64
-	reply answer
+	reply replyFunc
 }
 
 // replica hosts the consensus state machine. Its loop owns all fields.
 type replica struct {
-	id        string
-	config    consensus.Config
-	machine   *consensus.Replica
-	journal   *journal.Journal
-	hardState *wire.HardState
-	state     steering.State
-	applied   uint64
-	snapshot  uint64
-	every     uint64
+	id            string
+	config        consensus.Config
+	machine       *consensus.Replica
+	journal       *journal.Journal
+	hardState     *wire.HardState
+	state         steering.State
+	applied       uint64
+	snapshot      uint64
+	snapshotEvery uint64
 	// committed are entries that are not applied yet, and readsDue the reads that
 	// wait for some of them.
 	committed []*wire.Entry
@@ -43,46 +43,46 @@
 	// proposed are commands that are handed to the machine together.
 	proposed []consensus.Propose
 
-	now     func() time.Time
-	clock   *boottime.Clock
-	inbox   inbox
-	token   uint64
-	tokens  map[uint64]answer
-	waiting map[uint64]waitingProposal
-	reads   map[uint64]chan<- readOutcome
+	now       func() time.Time
+	clock     *boottime.Clock
+	inbox     inbox
+	lastToken uint64
+	proposing map[uint64]replyFunc
+	waiting   map[uint64]waitingProposal
+	reads     map[uint64]chan<- readOutcome
 
-	send    func(*wire.ConsensusMessage)
-	publish func(steering.State, []*wire.Command)
-	noticed func(consensus.Notice)
-	settled func(*wire.Command, steering.Result)
-	synced  func(time.Duration)
-	// waited is told how long an input waited for the loop, and whether its asker had
+	send      func(*wire.ConsensusMessage)
+	publish   func(steering.State, []*wire.Command)
+	onNotice  func(consensus.Notice)
+	onApplied func(*wire.Command, steering.Result)
+	onSynced  func(time.Duration)
+	// onDequeued is told how long an input onDequeued for the loop, and whether its asker had
 	// gone meanwhile, so that it was not handled.
-	waited func(kind string, wait time.Duration, abandoned bool)
-	// disk is told that the disk is full, and with nil that it has room again.
-	disk func(*FullDiskError)
+	onDequeued func(kind string, wait time.Duration, abandoned bool)
+	// onDiskChange is told that the onDiskChange is full, and with nil that it has room again.
+	onDiskChange func(*FullDiskError)
 
-	// full tells that the disk takes nothing; room is looked for at nextLook.
-	full     *FullDiskError
-	nextLook time.Time
+	// diskFull tells that the disk takes nothing; room is looked for at nextLook.
+	diskFull      *FullDiskError
+	nextDiskProbe time.Time
 }
 
-// maxMerged is how many inputs one sync serves at most.
-const maxMerged = 256
+// maxInputsPerSync is how many inputs one sync serves at most.
+const maxInputsPerSync = 256
 
 // openReplica recovers a replica from its data folder.
 func openReplica(now func() time.Time, c consensus.Config, j *journal.Journal, found *journal.Recovered, every int) (*replica, error) {
 	r := &replica{
-		id:      found.ID,
-		config:  c,
-		journal: j,
-		every:   uint64(every),
-		now:     now,
-		inbox:   newInbox(),
-		tokens:  make(map[uint64]answer),
-		waiting: make(map[uint64]waitingProposal),
-		reads:   make(map[uint64]chan<- readOutcome),
-		waited:  func(string, time.Duration, bool) {},
+		id:            found.ID,
+		config:        c,
+		journal:       j,
+		snapshotEvery: uint64(every),
+		now:           now,
+		inbox:         newInbox(),
+		proposing:     make(map[uint64]replyFunc),
+		waiting:       make(map[uint64]waitingProposal),
+		reads:         make(map[uint64]chan<- readOutcome),
+		onDequeued:    func(string, time.Duration, bool) {},
 	}
 	r.config.ID = found.ID
 	return r, r.restore(now(), consensus.Stored{HardState: found.HardState, Snapshot: found.Snapshot, Entries: found.Entries})
@@ -126,16 +126,16 @@
 			tick.Reset(r.untilTick())
 			var out consensus.Output
 			if out, err = r.tick(); err == nil {
-				err = r.carryOut(out)
+				err = r.handleOutput(out)
 			}
 		case a := <-r.inbox.consensus:
-			err = r.carryOut(r.drain(a))
-		case a := <-r.inbox.orders:
-			err = r.carryOut(r.drain(a))
+			err = r.handleOutput(r.drain(a))
+		case a := <-r.inbox.requests:
+			err = r.handleOutput(r.drain(a))
 		case a := <-r.inbox.updates:
-			err = r.carryOut(r.drain(a))
-		case <-r.mayApply():
-			err = r.carryOut(r.drainWaiting(consensus.Output{}))
+			err = r.handleOutput(r.drain(a))
+		case <-r.applyReady():
+			err = r.handleOutput(r.drainInbox(consensus.Output{}))
 		}
 		if err != nil {
 			return err
@@ -143,19 +143,19 @@
 	}
 }
 
-// always is a channel that can be read at any time.
-var always = func() <-chan struct{} {
+// closed is a channel that can be read at any time.
+var closed = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// mayApply can be read while committed entries wait to be applied.
-func (r *replica) mayApply() <-chan struct{} {
+// applyReady can be read while committed entries wait to be applied.
+func (r *replica) applyReady() <-chan struct{} {
 	if len(r.committed) == 0 {
 		return nil
 	}
-	return always
+	return closed
 }
 
 const ticksPerElection = 20
@@ -168,7 +168,7 @@
 		timeout = time.Second
 	}
 	usual := timeout / ticksPerElection
-	if r.full != nil {
+	if r.diskFull != nil {
 		return usual
 	}
 	if due := r.machine.NextElection().Sub(r.now()); due > 0 {
@@ -179,83 +179,83 @@
 
 // drain handles an input and those that already wait, so that one sync serves
 // them all and commands travel together.
-func (r *replica) drain(a arrival) consensus.Output {
-	return r.drainWaiting(r.takeArrival(a))
+func (r *replica) drain(a queuedMessage) consensus.Output {
+	return r.drainInbox(r.dispatchQueued(a))
 }
 
-func (r *replica) drainWaiting(out consensus.Output) consensus.Output {
-	for range maxMerged {
+func (r *replica) drainInbox(out consensus.Output) consensus.Output {
+	for range maxInputsPerSync {
 		a, ok := r.inbox.next()
 		if !ok {
 			break
 		}
-		out = out.Merge(r.takeArrival(a))
+		out = out.Merge(r.dispatchQueued(a))
 	}
-	return out.Merge(r.propose())
+	return out.Merge(r.proposeQueued())
 }
 
-// takeArrival takes an input that has waited. One whose asker has gone is dropped:
+// dispatchQueued takes an input that has waited. One whose asker has gone is dropped:
 // the asker has asked again, and doing both would add to what made it wait.
-func (r *replica) takeArrival(a arrival) consensus.Output {
+func (r *replica) dispatchQueued(a queuedMessage) consensus.Output {
 	abandoned := a.abandoned()
-	r.waited(kind(a.message), r.clock.Since(a.at), abandoned)
+	r.onDequeued(inputKind(a.message), r.clock.Since(a.queuedAt), abandoned)
 	if abandoned {
 		return consensus.Output{}
 	}
-	return r.take(a.message)
+	return r.dispatch(a.message)
 }
 
 // handle takes one message and proposes what it asks for.
-func (r *replica) handle(m message) consensus.Output { return r.take(m).Merge(r.propose()) }
+func (r *replica) handle(m message) consensus.Output { return r.dispatch(m).Merge(r.proposeQueued()) }
 
-// take takes a message. Commands wait for propose.
-func (r *replica) take(m message) consensus.Output {
-	if r.full != nil {
-		r.decline(m)
+// dispatch takes a message. Commands wait for propose.
+func (r *replica) dispatch(m message) consensus.Output {
+	if r.diskFull != nil {
+		r.reject(m)
 		return consensus.Output{}
 	}
 	now := r.now()
 	switch m := m.(type) {
-	case received:
+	case receivedMessage:
 		return r.machine.Handle(now, consensus.Receive{Message: m.message})
 	case proposal:
-		r.keep(m.command, func(o outcome) { m.reply <- o })
+		r.queueProposal(m.command, func(o outcome) { m.reply <- o })
 	case updateBatch:
 		for i, c := range m.updates {
-			r.keep(c, func(o outcome) { m.reply <- updateOutcome{i, o.err} })
+			r.queueProposal(c, func(o outcome) { m.reply <- updateOutcome{i, o.err} })
 		}
-	case reading:
-		r.token++
-		r.reads[r.token] = m.reply
-		return r.machine.Handle(now, consensus.Read{Token: r.token})
-	case viewing:
+	case readRequest:
+		r.lastToken++
+		r.reads[r.lastToken] = m.reply
+		return r.machine.Handle(now, consensus.Read{Token: r.lastToken})
+	case viewRequest:
 		m.reply <- view{r.machine.Status(now), r.state, r.machine.Membership()}
 	case membershipChange:
-		r.token++
-		r.tokens[r.token] = func(o outcome) { m.reply <- o }
-		return r.machine.Handle(now, consensus.ChangeMembership{Token: r.token, Membership: m.membership})
+		r.lastToken++
+		r.proposing[r.lastToken] = func(o outcome) { m.reply <- o }
+		return r.machine.Handle(now, consensus.ChangeMembership{Token: r.lastToken, Membership: m.membership})
 	case bootstrap:
 		return r.bootstrap(now, m.membership)
-	case handover:
+	case leadershipTransfer:
 		return r.machine.Handle(now, consensus.Transfer{})
 	}
 	return consensus.Output{}
 }
 
-// keep has a command proposed with the next ones.
-func (r *replica) keep(c *wire.Command, reply answer) {
+// queueProposal has a command proposed with the next ones.
+func (r *replica) queueProposal(c *wire.Command, reply replyFunc) {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		reply(outcome{err: fmt.Errorf("encoding the command: %w", err)})
 		return
 	}
-	r.token++
-	r.tokens[r.token] = reply
-	r.proposed = append(r.proposed, consensus.Propose{Token: r.token, Data: data})
+	r.lastToken++
+	r.proposing[r.lastToken] = reply
+	r.proposed = append(r.proposed, consensus.Propose{Token: r.lastToken, Data: data})
 }
 
-// propose hands the commands that were kept to the machine.
-func (r *replica) propose() consensus.Output {
+// proposeQueued hands the commands that were kept to the machine.
+func (r *replica) proposeQueued() consensus.Output {
 	if len(r.proposed) == 0 {
 		return consensus.Output{}
 	}
@@ -284,19 +284,19 @@
 	return consensus.Output{HardState: hs, Snapshot: s}
 }
 
-// carryOut does what an output asks for. If the disk has no room, the replica rests.
-func (r *replica) carryOut(out consensus.Output) error {
-	err := r.carryOutStored(out)
+// handleOutput does what an output asks for. If the disk has no room, the replica rests.
+func (r *replica) handleOutput(out consensus.Output) error {
+	err := r.performOutput(out)
 	if !isFull(err) {
 		return err
 	}
-	r.rest(err)
+	r.pause(err)
 	return nil
 }
 
-// carryOutStored stores what must be durable, then does all else. Messages go out
+// performOutput stores what must be durable, then does all else. Messages go out
 // before anything is applied, so that the others hear of it while this one does.
-func (r *replica) carryOutStored(out consensus.Output) error {
+func (r *replica) performOutput(out consensus.Output) error {
 	if out.NeedsSync() {
 		if err := r.store(out); err != nil {
 			return &DiskError{err}
@@ -309,17 +309,17 @@
 		r.publish(r.state, nil)
 	}
 	for _, p := range out.Proposals {
-		r.note(p)
+		r.trackProposal(p)
 	}
 	r.committed = append(r.committed, out.Committed...)
 	for _, m := range out.Messages {
 		r.send(m)
 	}
-	if err := r.applySome(); err != nil {
+	if err := r.applyNext(); err != nil {
 		return err
 	}
 	for _, n := range out.Notices {
-		r.noticed(n)
+		r.onNotice(n)
 		if n.Role != consensus.Leader {
 			r.failWaiting()
 		}
@@ -331,7 +331,7 @@
 
 func (r *replica) store(out consensus.Output) error {
 	began := r.clock.Now()
-	defer func() { r.synced(r.clock.Since(began)) }()
+	defer func() { r.onSynced(r.clock.Since(began)) }()
 	if out.HardState != nil {
 		r.hardState = out.HardState
 	}
@@ -341,9 +341,9 @@
 	return r.journal.Append(out.HardState, out.Entries)
 }
 
-func (r *replica) note(p consensus.Proposal) {
-	reply := r.tokens[p.Token]
-	delete(r.tokens, p.Token)
+func (r *replica) trackProposal(p consensus.Proposal) {
+	reply := r.proposing[p.Token]
+	delete(r.proposing, p.Token)
 	if p.Err != nil {
 		reply(outcome{err: p.Err})
 		return
@@ -354,7 +354,7 @@
 // compact takes a snapshot when enough entries have been applied since the
 // last one.
 func (r *replica) compact() error {
-	if r.applied < r.snapshot+r.every {
+	if r.applied < r.snapshot+r.snapshotEvery {
 		return nil
 	}
 	data, err := r.state.Marshal()
--- a/internal/control/questions.go
+++ b/internal/control/requests.go
@@ -9,8 +9,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// ask sends a message to the loop and waits for the answer.
-func ask[T any](ctx context.Context, r *replica, question func(chan<- T) message) (T, error) {
+// call sends a message to the loop and waits for the answer.
+func call[T any](ctx context.Context, r *replica, question func(chan<- T) message) (T, error) {
 	var zero T
 	reply := make(chan T, 1)
 	if err := r.inbox.put(ctx, question(reply)); err != nil {
@@ -25,27 +25,27 @@
 }
 
 func (r *replica) view(ctx context.Context) (view, error) {
-	return ask(ctx, r, func(c chan<- view) message { return viewing{c} })
+	return call(ctx, r, func(c chan<- view) message { return viewRequest{c} })
 }
 
 func (r *replica) submit(ctx context.Context, c *wire.Command) (outcome, error) {
-	o, err := ask(ctx, r, func(reply chan<- outcome) message { return proposal{c, reply} })
+	o, err := call(ctx, r, func(reply chan<- outcome) message { return proposal{c, reply} })
 	return o, errors.Join(err, o.err)
 }
 
 func (r *replica) read(ctx context.Context) (steering.State, error) {
-	o, err := ask(ctx, r, func(c chan<- readOutcome) message { return reading{c} })
+	o, err := call(ctx, r, func(c chan<- readOutcome) message { return readRequest{c} })
 	return o.state, errors.Join(err, o.err)
 }
 
 func (r *replica) changeMembership(ctx context.Context, m *wire.Membership) error {
-	o, err := ask(ctx, r, func(reply chan<- outcome) message { return membershipChange{m, reply} })
+	o, err := call(ctx, r, func(reply chan<- outcome) message { return membershipChange{m, reply} })
 	return errors.Join(err, o.err)
 }
 
 // deliver hands a consensus message to the loop; a full inbox drops it, as a
 // network may.
-func (r *replica) deliver(m *wire.ConsensusMessage) { _ = r.inbox.offer(received{m}) }
+func (r *replica) deliver(m *wire.ConsensusMessage) { _ = r.inbox.tryPut(receivedMessage{m}) }
 
 func addressOf(m *wire.Membership, id string) string {
 	for _, v := range slices.Concat(m.GetVoters(), m.GetLearners()) {
--- a/internal/control/servingboxes.go
+++ b/internal/control/servingboxes.go
@@ -8,15 +8,15 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// servingFor is for how long the list of boxes that serve is kept for look-ups, unless
+// servingListTTL is for how long the list of boxes that serve is kept for look-ups, unless
 // a report changes it: a twentieth of the time for which callers keep an answer. Look-ups
 // come more often, and each would make the list anew.
-const servingFor = 50 * time.Millisecond
+const servingListTTL = 50 * time.Millisecond
 
 // servingBoxes keeps the boxes that serve callers.
 type servingBoxes struct {
 	mu        sync.Mutex
-	at        time.Time
+	listedAt  time.Time
 	list      []lookup.BoxLocation
 	addresses map[string]bool
 }
@@ -25,11 +25,11 @@
 func (s *servingBoxes) get(now time.Time, fill func() []lookup.BoxLocation) []lookup.BoxLocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.addresses != nil && now.Sub(s.at) < servingFor {
+	if s.addresses != nil && now.Sub(s.listedAt) < servingListTTL {
 		return s.list
 	}
 	s.list = fill()
-	s.at = now
+	s.listedAt = now
 	s.addresses = make(map[string]bool, len(s.list))
 	for _, b := range s.list {
 		s.addresses[b.Address] = true
@@ -37,8 +37,8 @@
 	return s.list
 }
 
-// heard takes a report: one of a box that stops or is new makes the list old.
-func (s *servingBoxes) heard(b *wire.BoxReport) {
+// invalidateIfChanged takes a report: one of a box that stops or is new makes the list old.
+func (s *servingBoxes) invalidateIfChanged(b *wire.BoxReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNew := b.CallerAddress != "" && !s.addresses[b.CallerAddress]
--- a/internal/control/shifts.go
+++ b/internal/control/shifts.go
@@ -39,7 +39,7 @@
 		}
 		d.observe(planner, v.state.Tree())
 		for _, decision := range planner.Plan(d.clock.Now(), v.state) {
-			d.carryOutShift(ctx, decision)
+			d.applyShiftDecision(ctx, decision)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	}
 	readings := make(map[place]*shift.Measurement)
 	now := d.clock.Now()
-	for _, b := range d.publishing.Reports() {
+	for _, b := range d.publisher.Reports() {
 		at := now.Add(-time.Duration(b.AgeMilli) * time.Millisecond)
 		for _, pool := range b.Pools {
 			k := place{pool.Service, regionOf[b.Zone]}
@@ -76,12 +76,12 @@
 	}
 }
 
-func (d *Daemon) carryOutShift(ctx context.Context, decision shift.Decision) {
+func (d *Daemon) applyShiftDecision(ctx context.Context, decision shift.Decision) {
 	d.mu.Lock()
-	if d.shifts[decision.ID] != decision.Reason && decision.Reason != "" {
+	if d.shiftReasons[decision.ID] != decision.Reason && decision.Reason != "" {
 		d.process.Event(&wire.TimelineEvent{Kind: "shiftWaits", Shift: decision.ID, Detail: decision.Reason})
 	}
-	d.shifts[decision.ID] = decision.Reason
+	d.shiftReasons[decision.ID] = decision.Reason
 	d.mu.Unlock()
 	if decision.Command == nil {
 		return
@@ -96,5 +96,5 @@
 func (d *Daemon) shiftReason(id string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.shifts[id]
+	return d.shiftReasons[id]
 }
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -24,35 +24,35 @@
 )
 
 const (
-	// replicaBytes is what all links between the replicas together carry in a
+	// slowLinkBytes is what all links between the replicas together carry in a
 	// second, each way: 8 Mbit/s.
-	replicaBytes = 8_000_000 / 8
-	// operatorTime is how long an operator's call may take.
-	operatorTime = 4 * time.Second
-	// acknowledgeTime bounds the acknowledgement of a document.
-	acknowledgeTime = time.Second
-	// sentPart bounds the bytes that replicas send for a document: this part of
+	slowLinkBytes = 8_000_000 / 8
+	// operatorCallTimeout is how long an operator's call may take.
+	operatorCallTimeout = 4 * time.Second
+	// maxAckTime bounds the acknowledgement of a document.
+	maxAckTime = time.Second
+	// maxSentFraction bounds the bytes that replicas send for a document: this part of
 	// its text.
-	sentPart = 2
-	// formTime is enough to elect a leader, restTime for what is still under way.
-	formTime = 10 * time.Second
-	restTime = 10 * time.Second
+	maxSentFraction = 2
+	// electionWait is enough to elect a leader, restTime for what is still under way.
+	electionWait   = 10 * time.Second
+	quiescenceWait = 10 * time.Second
 )
 
 // slowReplicas are three replicas on links with a bandwidth.
 type slowReplicas struct {
 	daemons []*Daemon
-	// asleep is for how long the machine of each was suspended, in nanoseconds.
-	asleep []*atomic.Int64
-	stop   context.CancelFunc
-	ended  chan error
+	// suspended is for how long the machine of each was suspended, in nanoseconds.
+	suspended []*atomic.Int64
+	stop      context.CancelFunc
+	ended     chan error
 }
 
 // runSlowReplicas runs a function in virtual time with replicas that all hold a
 // state.
 func runSlowReplicas(t *testing.T, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
-	runReplicasOn(t, replicaBytes, state, run)
+	runReplicasOn(t, slowLinkBytes, state, run)
 }
 
 // runReplicasOn does so on links that together carry so many bytes a second, each way.
@@ -78,7 +78,7 @@
 	for i := range 3 {
 		c := config.Control{Folder: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, Seeded: true}
 		asleep := &atomic.Int64{}
-		s.asleep = append(s.asleep, asleep)
+		s.suspended = append(s.suspended, asleep)
 		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
 		c.Name = fmt.Sprintf("c%d", i)
 		c.PeerAddress = c.Name
@@ -91,21 +91,21 @@
 		first.Voters = append(first.Voters, &wire.Replica{Id: d.replica.id, Address: c.PeerAddress})
 	}
 	for _, d := range s.daemons {
-		if err := d.replica.carryOut(d.replica.handle(bootstrap{first})); err != nil {
+		if err := d.replica.handleOutput(d.replica.handle(bootstrap{first})); err != nil {
 			t.Fatal(err)
 		}
 		d.replica.state = state
 		go func() { s.ended <- d.replica.run(ctx) }()
 		go func() { s.ended <- d.registrations.run(ctx) }()
 	}
-	time.Sleep(formTime)
+	time.Sleep(electionWait)
 	return s
 }
 
 // suspend has the machine of one replica be suspended; virtual time stands still meanwhile,
 // as its steady clock does.
 func (s *slowReplicas) suspend(d *Daemon, length time.Duration) {
-	s.asleep[slices.Index(s.daemons, d)].Add(int64(length))
+	s.suspended[slices.Index(s.daemons, d)].Add(int64(length))
 }
 
 func (s *slowReplicas) close(t *testing.T) {
@@ -186,23 +186,23 @@
 func (s *slowReplicas) putAtFollower(t *testing.T, text []byte) {
 	t.Helper()
 	before, began := s.sent(), time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), operatorTime)
+	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	err := s.follower(t).PutRoutes(ctx, catalog.Document{Number: 1}, text)
 	took := time.Since(began)
-	time.Sleep(restTime)
+	time.Sleep(quiescenceWait)
 	sent := s.sent() - before
 	t.Logf("%d bytes: settled after %v, %d bytes were sent: %v", len(text), took, sent, err)
-	if err != nil || took > acknowledgeTime {
-		t.Errorf("acknowledged after %v, want at most %v: %v", took, acknowledgeTime, err)
+	if err != nil || took > maxAckTime {
+		t.Errorf("acknowledged after %v, want at most %v: %v", took, maxAckTime, err)
 	}
-	if most := uint64(len(text) / sentPart); sent > most {
+	if most := uint64(len(text) / maxSentFraction); sent > most {
 		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
 	}
 	for _, d := range s.daemons {
 		state, err := d.State(t.Context())
 		if err != nil || string(state.Catalog().Document().GetText()) != string(text) {
-			t.Errorf("%s holds another text after %v: %v", d.config.Name, restTime, err)
+			t.Errorf("%s holds another text after %v: %v", d.config.Name, quiescenceWait, err)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 func (s *slowReplicas) readAtFollower(t *testing.T, text []byte) {
 	t.Helper()
 	before, began := s.sent(), time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), operatorTime)
+	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	got, err := s.follower(t).Routes(ctx)
 	sent := s.sent() - before
@@ -218,7 +218,7 @@
 	if err != nil || string(got) != string(text) {
 		t.Errorf("got %d bytes of %d: %v", len(got), len(text), err)
 	}
-	if most := uint64(len(text) / sentPart); sent > most {
+	if most := uint64(len(text) / maxSentFraction); sent > most {
 		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -98,7 +98,7 @@
 // boxes returns every entry box of the settings with what it last reported.
 func (d *Daemon) boxes(v view) []operator.Box {
 	reports := make(map[string]*wire.BoxReport)
-	for _, b := range d.publishing.Reports() {
+	for _, b := range d.publisher.Reports() {
 		reports[b.Box] = b
 	}
 	out := []operator.Box{}
@@ -124,13 +124,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if out.Behind == 0 {
-		delete(d.lagging, b.Name)
+		delete(d.laggingSince, b.Name)
 		return out
 	}
-	since, ok := d.lagging[b.Name]
+	since, ok := d.laggingSince[b.Name]
 	if !ok {
 		since = d.clock.Now()
-		d.lagging[b.Name] = since
+		d.laggingSince[b.Name] = since
 	}
 	out.LagMillis = d.clock.Since(since).Milliseconds()
 	return out
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -19,8 +19,8 @@
 	// it waits: a round trip between regions to the leader, one to a quorum and a sync
 	// take about 150 ms.
 	leaderCallTimeout = 600 * time.Millisecond
-	// leaderPause is the wait before the leader is asked again or sought anew.
-	leaderPause = 50 * time.Millisecond
+	// leaderRetryDelay is the wait before the leader is asked again or sought anew.
+	leaderRetryDelay = 50 * time.Millisecond
 )
 
 // RefusedError says that the replicated state refused a command.
@@ -53,9 +53,9 @@
 func (d *Daemon) Submit(ctx context.Context, c *wire.Command) error {
 	return d.withLeader(ctx, func(ctx context.Context, leader string) error {
 		if leader == "" {
-			return refusal(d.replica.submit(ctx, c))
+			return submitError(d.replica.submit(ctx, c))
 		}
-		answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Submit: c, LeftMilli: d.leftMilli(ctx)})
+		answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Submit: c, LeftMilli: d.remainingMilli(ctx)})
 		if err != nil {
 			return err
 		}
@@ -75,7 +75,7 @@
 			document = state.Catalog().Document()
 			return err
 		}
-		answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Read: &wire.ReadRequest{TakesPacked: true}, LeftMilli: d.leftMilli(ctx)})
+		answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Read: &wire.ReadRequest{TakesPacked: true}, LeftMilli: d.remainingMilli(ctx)})
 		if err != nil {
 			return err
 		}
@@ -105,14 +105,14 @@
 		select {
 		case <-ctx.Done():
 			return &UnavailableError{Cause: err}
-		case <-time.After(leaderPause):
+		case <-time.After(leaderRetryDelay):
 		}
 	}
 }
 
 // tryLeader runs try until it ends, the context does or the leader changes.
 func (d *Daemon) tryLeader(ctx context.Context, try func(ctx context.Context, leader string) error) error {
-	ctx, done := d.leadership.during(ctx)
+	ctx, done := d.leadership.untilChange(ctx)
 	defer done()
 	v, err := d.replica.view(ctx)
 	if err != nil {
@@ -128,9 +128,9 @@
 	return try(ctx, address)
 }
 
-// leftMilli is how much longer a context lasts, for the process that is asked; zero
+// remainingMilli is how much longer a context lasts, for the process that is asked; zero
 // if it has no end.
-func (d *Daemon) leftMilli(ctx context.Context) int64 {
+func (d *Daemon) remainingMilli(ctx context.Context) int64 {
 	deadline, ok := d.clock.Deadline(ctx)
 	if !ok {
 		return 0
@@ -138,8 +138,8 @@
 	return max(d.clock.Until(deadline).Milliseconds(), 1)
 }
 
-// forAsker returns a context that ends when the asker of another process gives up.
-func forAsker(ctx context.Context, leftMilli int64) (context.Context, context.CancelFunc) {
+// withCallerTimeout returns a context that ends when the asker of another process gives up.
+func withCallerTimeout(ctx context.Context, leftMilli int64) (context.Context, context.CancelFunc) {
 	left := time.Duration(leftMilli) * time.Millisecond
 	if left <= 0 {
 		left = leaderCallTimeout
@@ -147,8 +147,8 @@
 	return context.WithTimeout(ctx, left)
 }
 
-// refusal turns the outcome of a submitted command into an error.
-func refusal(o outcome, err error) error {
+// submitError turns the outcome of a submitted command into an error.
+func submitError(o outcome, err error) error {
 	if err != nil {
 		return err
 	}
@@ -161,9 +161,9 @@
 
 // serveSubmit settles a command for another replica.
 func (d *Daemon) serveSubmit(ctx context.Context, request *wire.CallRequest) *wire.CallAnswer {
-	ctx, cancel := forAsker(ctx, request.LeftMilli)
+	ctx, cancel := withCallerTimeout(ctx, request.LeftMilli)
 	defer cancel()
-	err := refusal(d.replica.submit(ctx, request.Submit))
+	err := submitError(d.replica.submit(ctx, request.Submit))
 	var refused *RefusedError
 	if errors.As(err, &refused) {
 		return &wire.CallAnswer{Submit: &wire.SubmitAnswer{Refusal: refused.Reason, Conflict: refused.Conflict}}
@@ -176,7 +176,7 @@
 
 // serveRead reads the document of routes for another replica.
 func (d *Daemon) serveRead(ctx context.Context, request *wire.CallRequest) *wire.CallAnswer {
-	ctx, cancel := forAsker(ctx, request.LeftMilli)
+	ctx, cancel := withCallerTimeout(ctx, request.LeftMilli)
 	defer cancel()
 	state, err := d.replica.read(ctx)
 	if err != nil {
@@ -191,7 +191,7 @@
 
 // latest returns the state that was applied last, without asking the loop for it.
 func (d *Daemon) latest() steering.State {
-	if s := d.permits.state.Load(); s != nil {
+	if s := d.permitIssuer.state.Load(); s != nil {
 		return *s
 	}
 	return steering.State{}
@@ -205,7 +205,7 @@
 
 // Boxes returns the entry boxes that reported within a time, with their age.
 func (d *Daemon) Boxes(within time.Duration) []*wire.BoxReport {
-	return d.publishing.Fresh(within)
+	return d.publisher.Fresh(within)
 }
 
 // Log returns the log of the process.
@@ -217,5 +217,5 @@
 	for _, address := range seeds {
 		m.Voters = append(m.Voters, &wire.Replica{Address: address})
 	}
-	d.merge(m)
+	d.addDiscovered(m)
 }
--- a/internal/control/suspension_test.go
+++ b/internal/control/suspension_test.go
@@ -14,12 +14,12 @@
 	const length = 5 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		for _, d := range s.daemons {
-			age, now := d.age(), d.replica.now()
+			age, now := d.controlAge(), d.replica.now()
 			s.suspend(d, length)
 			if got := d.replica.now().Sub(now); got < length {
 				t.Errorf("%s: its clock went on by %s in a suspension of %s", d.config.Name, got, length)
 			}
-			if got := d.age(); got < age+length {
+			if got := d.controlAge(); got < age+length {
 				t.Errorf("%s: the leader's update was %s old and is %s old after a suspension of %s", d.config.Name, age, got, length)
 			}
 		}
@@ -28,7 +28,7 @@
 
 // A leader that alone was suspended leads no more when it wakes, as it has not heard of the
 // others for so long; these go on, and one of them leads soon.
-func TestLeaderThatAloneWasSuspended(t *testing.T) {
+func TestSuspendedLeaderStepsDown(t *testing.T) {
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		leader, another := s.leaderAndAnother(t)
 		s.suspend(leader, 5*time.Second)
--- a/internal/control/repeatedupdates_test.go
+++ b/internal/control/targetindex_test.go
@@ -18,7 +18,7 @@
 // second at a replica; its processor was full, documents were acknowledged after 11 s,
 // and the document could not be read back at the end of a day.
 
-func wordOf(id string, born int64, sequence uint64, slots uint32) *wire.Registration {
+func registrationOf(id string, born int64, sequence uint64, slots uint32) *wire.Registration {
 	return &wire.Registration{Id: id, Service: "s", Address: id, Zone: "z", Slots: slots, Sequence: sequence, BornUnixMilli: born}
 }
 
@@ -26,12 +26,12 @@
 // life that would change nothing is covered.
 func TestCoveredWordsChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w repeatedUpdates
+		var w targetIndex
 		s := catalog.State{}
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
 			id := fmt.Sprint("i", rapid.IntRange(0, 1).Draw(t, "id"))
-			r := wordOf(id, rapid.Int64Range(0, 2).Draw(t, "born"), rapid.Uint64Range(1, 24).Draw(t, "sequence"), rapid.Uint32Range(1, 2).Draw(t, "slots"))
-			covered, news := w.covers(s, r), s.WouldChange(r, false)
+			r := registrationOf(id, rapid.Int64Range(0, 2).Draw(t, "born"), rapid.Uint64Range(1, 24).Draw(t, "sequence"), rapid.Uint32Range(1, 2).Draw(t, "slots"))
+			covered, news := w.isRedundant(s, r), s.WouldChange(r, false)
 			if covered && news {
 				t.Fatalf("%v is covered and would change the state", r)
 			}
@@ -47,13 +47,13 @@
 func BenchmarkRepeatedWord(b *testing.B) {
 	s := catalog.State{}
 	for i := range 3000 {
-		s, _ = s.ApplyRegistration(&wire.RegistrationCommand{Registration: wordOf(fmt.Sprint("i", i), 0, 1, 4)})
+		s, _ = s.ApplyRegistration(&wire.RegistrationCommand{Registration: registrationOf(fmt.Sprint("i", i), 0, 1, 4)})
 	}
-	r := wordOf("i2999", 0, 7, 4)
+	r := registrationOf("i2999", 0, 7, 4)
 	b.Run("index", func(b *testing.B) {
-		var w repeatedUpdates
+		var w targetIndex
 		for b.Loop() {
-			w.covers(s, r)
+			w.isRedundant(s, r)
 		}
 	})
 	b.Run("list", func(b *testing.B) {
@@ -65,19 +65,19 @@
 
 // BenchmarkServingBoxes makes the list of boxes for look-ups of 270 reports.
 func BenchmarkServingBoxes(b *testing.B) {
-	d := &Daemon{publishing: relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
+	d := &Daemon{publisher: relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
 	for i := range 270 {
 		name := fmt.Sprint("box", i)
-		d.publishing.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
+		d.publisher.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
 	}
 	for b.Loop() {
-		d.servingNow()
+		d.listServingBoxes()
 	}
 }
 
 // The list of boxes for look-ups is made anew when it is old, and at once when a box
 // stops or a new one reports.
-func TestServingBoxesAreKeptForAMoment(t *testing.T) {
+func TestServingBoxesAreCached(t *testing.T) {
 	var s servingBoxes
 	made := 0
 	fill := func() []lookup.BoxLocation {
@@ -93,11 +93,11 @@
 		}
 	}
 	check(1, 0, "first")
-	s.heard(&wire.BoxReport{CallerAddress: "a"})
-	check(1, servingFor-1, "nothing new")
-	check(2, servingFor, "old")
-	s.heard(&wire.BoxReport{CallerAddress: "a", Stopping: true})
-	check(3, servingFor+1, "a box stops")
-	s.heard(&wire.BoxReport{CallerAddress: "b"})
-	check(4, servingFor+1, "a new box")
+	s.invalidateIfChanged(&wire.BoxReport{CallerAddress: "a"})
+	check(1, servingListTTL-1, "nothing new")
+	check(2, servingListTTL, "old")
+	s.invalidateIfChanged(&wire.BoxReport{CallerAddress: "a", Stopping: true})
+	check(3, servingListTTL+1, "a box stops")
+	s.invalidateIfChanged(&wire.BoxReport{CallerAddress: "b"})
+	check(4, servingListTTL+1, "a new box")
 }
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// limitLinesPerSecond bounds the log lines on limits of targets.
-	limitLinesPerSecond = 20
-	// keepLimitsInterval is how often targets whose lives are over are forgotten.
-	keepLimitsInterval = 10 * time.Second
+	// maxLimitLogsPerSecond bounds the log lines on limits of targets.
+	maxLimitLogsPerSecond = 20
+	// pruneLimitsInterval is how often targets whose lives are over are forgotten.
+	pruneLimitsInterval = 10 * time.Second
 )
 
 // targetLimits hosts a replica's issuer of permits of targets that name limits, and what it
 // knows of those limits. It needs no leader and keeps nothing on disk: boxes tell each
 // replica what targets told them, and each ask tells it again.
 type targetLimits struct {
-	clock  *boottime.Clock
-	mu     sync.Mutex
-	issuer *quota.TargetIssuer
-	lines  *process.LineLimit
-	// kept is when lives that are over were forgotten last.
-	kept time.Time
+	clock      *boottime.Clock
+	mu         sync.Mutex
+	issuer     *quota.TargetIssuer
+	logLimiter *process.LineLimit
+	// prunedAt is when lives that are over were forgotten last.
+	prunedAt time.Time
 }
 
 func newTargetLimits(ownAddress string) *targetLimits {
-	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimit(limitLinesPerSecond)}
+	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), logLimiter: process.NewLineLimit(maxLimitLogsPerSecond)}
 }
 
 // setReplicas takes the membership.
@@ -49,8 +49,8 @@
 	t.issuer.SetReplicas(now, addresses)
 }
 
-// take takes registration updates and returns the changes.
-func (t *targetLimits) take(now time.Time, updates []*wire.TargetLimit) (changes []targetstatus.Change) {
+// apply takes registration updates and returns the changes.
+func (t *targetLimits) apply(now time.Time, updates []*wire.TargetLimit) (changes []targetstatus.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, w := range updates {
@@ -81,14 +81,14 @@
 	return targetstatus.Messages(now, updates), last
 }
 
-// keep forgets targets whose lives are over.
-func (t *targetLimits) keep(now time.Time, s steering.State) {
+// prune forgets targets whose lives are over.
+func (t *targetLimits) prune(now time.Time, s steering.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.kept) < keepLimitsInterval {
+	if now.Sub(t.prunedAt) < pruneLimitsInterval {
 		return
 	}
-	t.kept = now
+	t.prunedAt = now
 	lives := make(map[string]bool, len(s.Catalog().Targets()))
 	for _, r := range s.Catalog().Targets() {
 		lives[catalog.IncarnationOf(r).String()] = true
@@ -96,8 +96,8 @@
 	t.issuer.Prune(now, func(life string) bool { return lives[life] })
 }
 
-// of returns what is known of one target.
-func (t *targetLimits) of(target string) (known targetView) {
+// view returns what is known view one target.
+func (t *targetLimits) view(target string) (known targetView) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.issuer.Targets()
@@ -109,32 +109,32 @@
 	limit      float64
 	receivedAt time.Time
 	isLeaving  bool
-	tally      quota.TargetCounters
+	counters   quota.TargetCounters
 }
 
-func (t *targetLimits) named() int {
+func (t *targetLimits) limitedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.issuer.Targets().LimitedCount()
 }
 
-// takeUpdates takes what targets told boxes and has the subscribers told.
-func (d *Daemon) takeUpdates(updates []*wire.TargetLimit) {
+// applyLimitUpdates takes what targets told boxes and has the subscribers told.
+func (d *Daemon) applyLimitUpdates(updates []*wire.TargetLimit) {
 	if len(updates) == 0 {
 		return
 	}
-	changes := d.targetLimits.take(d.clock.Now(), updates)
+	changes := d.targetLimits.apply(d.clock.Now(), updates)
 	if len(changes) == 0 {
 		return
 	}
-	d.publishing.LimitsChanged()
+	d.publisher.LimitsChanged()
 	for _, c := range changes {
-		d.logChange(c)
+		d.logLimitChange(c)
 	}
 }
 
-func (d *Daemon) logChange(c targetstatus.Change) {
-	if !d.targetLimits.lines.Take(d.clock.Now()) {
+func (d *Daemon) logLimitChange(c targetstatus.Change) {
+	if !d.targetLimits.logLimiter.Take(d.clock.Now()) {
 		return
 	}
 	if c.Leaving {
@@ -162,6 +162,6 @@
 			updates = append(updates, a.Further...)
 		}
 	}
-	d.takeUpdates(updates)
+	d.applyLimitUpdates(updates)
 	return grantMessages(d.targetLimits.issue(d.clock.Now(), asks))
 }
--- a/internal/control/tls.go
+++ b/internal/control/tls.go
@@ -5,9 +5,9 @@
 	"net"
 )
 
-// secureListener puts TLS on a listener if it is configured. The configuration
+// tlsListener puts TLS on a listener if it is configured. The configuration
 // is fetched for every connection, so that keys can be renewed.
-func secureListener(l net.Listener, secure func() (*tls.Config, error)) net.Listener {
+func tlsListener(l net.Listener, secure func() (*tls.Config, error)) net.Listener {
 	if secure == nil {
 		return l
 	}
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -11,22 +11,22 @@
 
 const (
 	outboxSize  = 256
-	redialPause = 100 * time.Millisecond
+	redialDelay = 100 * time.Millisecond
 )
 
 // transport sends consensus messages. Each address has an outbox and a worker;
 // what does not fit into an outbox is dropped and sent again by the protocol.
 type transport struct {
-	node    *link.Node
-	running sync.WaitGroup
-	mu      sync.Mutex
-	outbox  map[string]chan *wire.ConsensusMessage
-	ctx     context.Context
-	cancel  context.CancelFunc
+	node     *link.Node
+	running  sync.WaitGroup
+	mu       sync.Mutex
+	outboxes map[string]chan *wire.ConsensusMessage
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 func newTransport(node *link.Node) *transport {
-	t := &transport{node: node, outbox: make(map[string]chan *wire.ConsensusMessage)}
+	t := &transport{node: node, outboxes: make(map[string]chan *wire.ConsensusMessage)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
@@ -37,12 +37,12 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	box := t.outbox[address]
+	box := t.outboxes[address]
 	if box == nil {
 		box = make(chan *wire.ConsensusMessage, outboxSize)
-		t.outbox[address] = box
+		t.outboxes[address] = box
 		t.running.Add(1)
-		go t.work(address, box)
+		go t.runOutbox(address, box)
 	}
 	select {
 	case box <- m:
@@ -50,7 +50,7 @@
 	}
 }
 
-func (t *transport) work(address string, box <-chan *wire.ConsensusMessage) {
+func (t *transport) runOutbox(address string, box <-chan *wire.ConsensusMessage) {
 	defer t.running.Done()
 	var stream *link.Messages
 	defer func() {
@@ -74,7 +74,7 @@
 	if stream == nil {
 		opened, err := t.node.Consensus(t.ctx, address)
 		if err != nil {
-			t.pause()
+			t.waitRedial()
 			return nil
 		}
 		stream = opened
@@ -86,10 +86,10 @@
 	return stream
 }
 
-func (t *transport) pause() {
+func (t *transport) waitRedial() {
 	select {
 	case <-t.ctx.Done():
-	case <-time.After(redialPause):
+	case <-time.After(redialDelay):
 	}
 }
 
--- a/internal/control/update_test.go
+++ b/internal/control/update_test.go
@@ -19,23 +19,23 @@
 // a sound target and ended it; one whose start lies ahead would shut the target's own
 // updates out until then.
 func TestWordsThatNameNothingUsableAreRefused(t *testing.T) {
-	d := &Daemon{document: &documentInForce{
+	d := &Daemon{routes: &routesDecoder{
 		decode: func([]byte) (catalog.Document, error) {
 			return catalog.Document{Number: 1, Services: []catalog.Service{{Name: "s"}}}, nil
 		},
-		failed: func(uint64, error) {},
+		onError: func(uint64, error) {},
 	}}
 	empty := steering.State{}
 	state, _ := empty.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
 	check := func(s steering.State, r *wire.Registration, leave bool) error {
-		return d.checkWord(s, &wire.RegistrationCommand{Registration: r, Leave: leave})
+		return d.checkUpdate(s, &wire.RegistrationCommand{Registration: r, Leave: leave})
 	}
 	var service *UnknownServiceError
 	if err := check(state, &wire.Registration{Id: "i", Service: "none"}, false); !errors.As(err, &service) {
 		t.Errorf("an unknown service: %v", err)
 	}
 	var birth *FutureStartError
-	ahead := time.Now().Add(2 * mostAhead).UnixMilli()
+	ahead := time.Now().Add(2 * maxStartAhead).UnixMilli()
 	if err := check(state, &wire.Registration{Id: "i", Service: "s", BornUnixMilli: ahead}, false); !errors.As(err, &birth) {
 		t.Errorf("a start that lies ahead: %v", err)
 	}
@@ -55,7 +55,7 @@
 func TestDocumentWithKeysNeedsTheToken(t *testing.T) {
 	d := &Daemon{config: config.Control{Token: "secret"}}
 	app := iris.New()
-	d.addCatalog(app)
+	d.addCatalogHandlers(app)
 	if err := app.Build(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/workspaces.go
+++ b/internal/control/workspaces.go
@@ -15,7 +15,7 @@
 
 // usage returns what the issuer knows of workspaces and the number of the document
 // that it goes by; zero if it does not issue yet.
-func (p *permits) usage(now time.Time) (number uint64, out []*wire.WorkspaceUsage) {
+func (p *permitIssuer) usage(now time.Time) (number uint64, out []*wire.WorkspaceUsage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.issuer == nil {
@@ -33,8 +33,8 @@
 }
 
 func (d *Daemon) ownWorkspaces() *wire.WorkspacesAnswer {
-	number, list := d.permits.usage(d.clock.Now())
-	return &wire.WorkspacesAnswer{Number: number, AgeMilli: d.age().Milliseconds(), Workspaces: list}
+	number, list := d.permitIssuer.usage(d.clock.Now())
+	return &wire.WorkspacesAnswer{Number: number, AgeMilli: d.controlAge().Milliseconds(), Workspaces: list}
 }
 
 // getWorkspaces sums what all replicas know of workspaces.
@@ -43,7 +43,7 @@
 	defer cancel()
 	v, err := d.replica.view(ctx)
 	if err != nil {
-		d.failCatalog(c, &UnavailableError{Cause: err})
+		d.failCatalogCall(c, &UnavailableError{Cause: err})
 		return
 	}
 	answers := map[string]*wire.WorkspacesAnswer{d.config.PeerAddress: d.ownWorkspaces()}
