--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -23,18 +23,18 @@
 	maxBody       = 16 << 20
 )
 
-// serveOperators serves the operators' interface until the context ends.
+// serveOperators serves the operator API until the context ends.
 func (d *Daemon) serveOperators(ctx context.Context) error {
 	app := d.operatorApp()
 	if err := app.Build(); err != nil {
-		return fmt.Errorf("building the operators' interface: %w", err)
+		return fmt.Errorf("building the operator API: %w", err)
 	}
 	server := &http.Server{Handler: app, ReadHeaderTimeout: readTimeout}
-	secure, err := d.config.TLS()
+	tlsConfig, err := d.config.TLS()
 	if err != nil {
 		return err
 	}
-	listener := tlsListener(d.operators, secure)
+	listener := tlsListener(d.operators, tlsConfig)
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listener) }()
 	select {
@@ -73,7 +73,7 @@
 	c.StopWithJSON(status, operator.Failure{Code: code, Message: text})
 }
 
-// failWith answers an error of the replica.
+// failWith answers with the status and code that fit an error of the replica.
 func (d *Daemon) failWith(c iris.Context, err error) {
 	var notLeader *consensus.NotLeaderError
 	var lost *LeadershipLostError
@@ -98,8 +98,8 @@
 	}
 }
 
-// hasToken reports whether a call has the operators' token; one that lacks it has
-// been answered.
+// hasToken reports whether a request carries the operators' token. If it does not, the request has
+// been answered with an error.
 func (d *Daemon) hasToken(c iris.Context) bool {
 	want := "Bearer " + d.config.Token
 	if d.config.Token == "" || subtle.ConstantTimeCompare([]byte(c.GetHeader("Authorization")), []byte(want)) == 1 {
@@ -118,8 +118,8 @@
 	return true
 }
 
-// getSettings answers with the tree. With ?stale=true a replica that can't
-// reach a quorum answers with what it has and says so.
+// getSettings answers with the settings tree. With ?stale=true a replica that can't reach a quorum
+// answers with its local copy, marked as not fresh and with its age.
 func (d *Daemon) getSettings(c iris.Context) {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), readTimeout)
 	defer cancel()
@@ -142,10 +142,11 @@
 	for _, s := range state.Tree().Settings() {
 		out.Settings = append(out.Settings, operator.Setting{Path: s.Path, Key: s.Key, Value: s.Value})
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
-// readState reads the state through a quorum, or answers that it can't.
+// readState reads the state through a quorum. If that fails, the request has been answered with
+// the error.
 func (d *Daemon) readState(c iris.Context) (state steering.State, ok bool) {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), readTimeout)
 	defer cancel()
@@ -174,7 +175,7 @@
 			Inverse:       fromEdits(a.Inverse),
 		})
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
 func fromEdits(edits []*wire.Edit) []operator.Edit {
@@ -209,7 +210,7 @@
 		BaseVersion:   body.BaseVersion,
 		Edits:         toEdits(body.Edits),
 		Author:        body.Author,
-		TimeUnixMilli: time.Now().UnixMilli(), // time of day: for people
+		TimeUnixMilli: time.Now().UnixMilli(), // time of day: shown to people
 	}
 	d.process.Event(&wire.TimelineEvent{Kind: "changeProposed", Change: body.ID})
 	o, err := d.replica.submit(ctx, &wire.Command{Change: change})
@@ -218,7 +219,7 @@
 		return
 	}
 	v := o.result.Verdict
-	_ = c.JSON(operator.Verdict{ // the client sees a broken answer
+	_ = c.JSON(operator.Verdict{ // the client notices a failed write
 		ID:      v.Id,
 		Verdict: verdictName(v.Kind),
 		Version: v.Version,
@@ -249,24 +250,24 @@
 		return
 	}
 	out := []operator.Shift{}
-	for _, h := range state.Shifts() {
-		out = append(out, d.shiftBody(h))
+	for _, s := range state.Shifts() {
+		out = append(out, d.shiftBody(s))
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
-func (d *Daemon) shiftBody(h *wire.Shift) operator.Shift {
+func (d *Daemon) shiftBody(s *wire.Shift) operator.Shift {
 	phase := map[wire.ShiftPhase]string{
 		wire.ShiftPhase_SHIFT_PHASE_RUNNING:  "running",
 		wire.ShiftPhase_SHIFT_PHASE_FINISHED: "finished",
 		wire.ShiftPhase_SHIFT_PHASE_ABORTED:  "aborted",
-	}[h.Phase]
+	}[s.Phase]
 	out := operator.Shift{
-		ID: h.Id, Service: h.Service, Home: h.Home, From: h.From, To: h.To,
-		Points: h.Points, Moved: h.Moved, Steps: len(h.Steps), Phase: phase, Reason: h.Reason,
+		ID: s.Id, Service: s.Service, Home: s.Home, From: s.From, To: s.To,
+		Points: s.Points, Moved: s.Moved, Steps: len(s.Steps), Phase: phase, Reason: s.Reason,
 	}
-	if h.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING {
-		out.Reason = d.shiftReason(h.Id)
+	if s.Phase == wire.ShiftPhase_SHIFT_PHASE_RUNNING {
+		out.Reason = d.shiftReason(s.Id)
 	}
 	return out
 }
@@ -276,13 +277,13 @@
 	if !readBody(c, &body) {
 		return
 	}
-	h := &wire.Shift{Id: body.ID, Service: body.Service, Home: body.Home, From: body.From, To: body.To, Points: body.Points}
-	d.submitShift(c, &wire.ShiftCommand{Action: wire.ShiftCommand_ACTION_START, Shift: h})
+	s := &wire.Shift{Id: body.ID, Service: body.Service, Home: body.Home, From: body.From, To: body.To, Points: body.Points}
+	d.submitShift(c, &wire.ShiftCommand{Action: wire.ShiftCommand_ACTION_START, Shift: s})
 }
 
 func (d *Daemon) abortShift(c iris.Context) {
-	h := &wire.Shift{Id: c.Params().Get("id")}
-	d.submitShift(c, &wire.ShiftCommand{Action: wire.ShiftCommand_ACTION_ABORT, Shift: h, Reason: "an operator ended it"})
+	s := &wire.Shift{Id: c.Params().Get("id")}
+	d.submitShift(c, &wire.ShiftCommand{Action: wire.ShiftCommand_ACTION_ABORT, Shift: s, Reason: "an operator ended it"})
 }
 
 func (d *Daemon) submitShift(c iris.Context, command *wire.ShiftCommand) {
@@ -303,9 +304,9 @@
 		d.failWith(c, err)
 		return
 	}
-	for _, h := range v.state.Shifts() {
-		if h.Id == command.Shift.Id {
-			_ = c.JSON(d.shiftBody(h)) // the client sees a broken answer
+	for _, s := range v.state.Shifts() {
+		if s.Id == command.Shift.Id {
+			_ = c.JSON(d.shiftBody(s)) // the client notices a failed write
 		}
 	}
 }
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -10,12 +10,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// maxEntriesPerApply is how many committed entries are applied before the loop hears the other
-// replicas again: thousands of registration updates that come at once must not keep a leader
-// from its heartbeats.
+// maxEntriesPerApply bounds how many committed entries are applied before the loop reads messages
+// of other replicas again. Thousands of registration updates that arrive at once must not keep a
+// leader from sending heartbeats.
 const maxEntriesPerApply = 64
 
-// applyNext applies the committed entries that come next, up to maxApplied.
+// applyNext applies the next committed entries, at most maxEntriesPerApply.
 func (r *replica) applyNext() error {
 	n := min(len(r.committed), maxEntriesPerApply)
 	if n == 0 {
@@ -26,9 +26,9 @@
 	return r.apply(next)
 }
 
-// apply applies entries, those that carry commands together.
+// apply applies entries. Commands of several entries are applied in one call.
 func (r *replica) apply(entries []*wire.Entry) error {
-	var carried []*wire.Entry
+	var withCommands []*wire.Entry
 	var commands []*wire.Command
 	for _, e := range entries {
 		if e.Index <= r.applied || e.Kind != wire.EntryKind_ENTRY_KIND_COMMAND {
@@ -38,13 +38,13 @@
 		if err := proto.Unmarshal(e.Data, c); err != nil {
 			return fmt.Errorf("decoding committed entry %d: %w", e.Index, err)
 		}
-		carried = append(carried, e)
+		withCommands = append(withCommands, e)
 		commands = append(commands, c)
 	}
-	published := r.applyCommands(carried, commands)
+	published := r.applyCommands(withCommands, commands)
 	for _, e := range entries {
 		r.applied = max(r.applied, e.Index)
-		r.answerProposal(e, outcome{version: r.state.Version()}) // those that carry none
+		r.answerProposal(e, outcome{version: r.state.Version()}) // entries without a command
 	}
 	if len(published) > 0 {
 		r.publish(r.state, published)
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// applyCommands applies the commands of entries and returns those that changed the
-// state, as they are published. A document is published with the text that the
-// state holds after it, so that what follows one is applied by itself.
+// applyCommands applies the commands of entries and returns those that changed the state, in the
+// form in which they are published. A routes document is published with the text that the state
+// holds after it, so each group ends at a command that sets one.
 func (r *replica) applyCommands(entries []*wire.Entry, commands []*wire.Command) []*wire.Command {
 	var published []*wire.Command
 	for len(commands) > 0 {
@@ -80,42 +80,42 @@
 }
 
 func (r *replica) answerProposal(e *wire.Entry, o outcome) {
-	w, ok := r.waiting[e.Index]
+	proposal, ok := r.waiting[e.Index]
 	if !ok {
 		return
 	}
 	delete(r.waiting, e.Index)
-	if w.term != e.Term {
+	if proposal.term != e.Term {
 		o = outcome{err: &LeadershipLostError{}}
 	}
-	w.reply(o)
+	proposal.reply(o)
 }
 
-// failWaiting answers proposals that a deposed leader can no longer settle; those
-// that are committed are answered when they are applied.
+// failWaiting fails proposals that a deposed leader can no longer commit. Those already committed
+// are answered when they are applied.
 func (r *replica) failWaiting() {
-	settled := r.applied
+	lastCommitted := r.applied
 	if n := len(r.committed); n > 0 {
-		settled = r.committed[n-1].Index
+		lastCommitted = r.committed[n-1].Index
 	}
-	for index, w := range r.waiting {
-		if index > settled {
+	for index, proposal := range r.waiting {
+		if index > lastCommitted {
 			delete(r.waiting, index)
-			w.reply(outcome{err: &LeadershipLostError{}})
+			proposal.reply(outcome{err: &LeadershipLostError{}})
 		}
 	}
 }
 
-// answerReads answers the reads whose state is applied.
+// answerReads answers the reads for which enough entries have been applied.
 func (r *replica) answerReads() {
-	r.readsDue = slices.DeleteFunc(r.readsDue, func(a consensus.ReadResult) bool {
-		if a.Err == nil && a.Index > r.applied && len(r.committed) > 0 {
+	r.readsDue = slices.DeleteFunc(r.readsDue, func(result consensus.ReadResult) bool {
+		if result.Err == nil && result.Index > r.applied && len(r.committed) > 0 {
 			return false
 		}
-		if reply := r.reads[a.Token]; reply != nil {
-			reply <- readOutcome{r.state, a.Err}
+		if reply := r.reads[result.Token]; reply != nil {
+			reply <- readOutcome{r.state, result.Err}
 		}
-		delete(r.reads, a.Token)
+		delete(r.reads, result.Token)
 		return true
 	})
 }
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -7,7 +7,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// serveCall answers a question of another process.
+// serveCall answers a call from another process.
 func (d *Daemon) serveCall(ctx context.Context, _ string, request *wire.CallRequest) *wire.CallAnswer {
 	switch {
 	case request.Hello != nil:
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -12,14 +12,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// UnknownZoneError says that a zone is not part of the deployment.
+// UnknownZoneError reports an availability zone that is not part of the deployment.
 type UnknownZoneError struct{ Zone string }
 
 // Error implements error.
 func (e *UnknownZoneError) Error() string { return fmt.Sprintf("there is no zone %q", e.Zone) }
 
-// UnknownServiceError says that a target names a service that the document in force
-// does not have.
+// UnknownServiceError reports that a target names a service that the active routes document does
+// not define.
 type UnknownServiceError struct {
 	Service        string
 	DocumentNumber uint64
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("document %d has no service %q", e.DocumentNumber, e.Service)
 }
 
-// FutureStartError says that a target tells a start that lies ahead by more than
-// clocks differ.
+// FutureStartError reports that a target declares a start time further in the future than clock
+// differences explain.
 type FutureStartError struct{ Ahead time.Duration }
 
 // Error implements error.
@@ -39,24 +39,24 @@
 	return fmt.Sprintf("the target tells that it starts in %s", e.Ahead)
 }
 
-// maxStartAhead is how far ahead of this replica's time of day a target's start may lie.
-// Clocks of the users' deployments step by seconds. A update with a later start would
-// shut the target's own updates out until then.
+// maxStartAhead bounds how far a target's start time may lie ahead of this replica's time of day.
+// Clocks in the users' deployments step by seconds. A later start time would cause the target's
+// own updates to be ignored until that time.
 const maxStartAhead = time.Minute
 
-// NoDocumentError says that no document of routes has been put in force yet.
+// NoDocumentError reports that no routes document is active yet.
 type NoDocumentError struct{}
 
 // Error implements error.
 func (*NoDocumentError) Error() string { return "no document of routes is in force" }
 
-// Register takes a target's update. One that says nothing new is acknowledged
-// from what this replica knows, all others once a majority has stored them.
+// Register applies a registration update of a target. A redundant update is acknowledged from the
+// local state; any other is acknowledged once a majority has stored it.
 func (d *Daemon) Register(ctx context.Context, r *wire.Registration) error {
 	return d.register(ctx, &wire.RegistrationCommand{Registration: r})
 }
 
-// Deregister takes a target out for good.
+// Deregister removes a target for good.
 func (d *Daemon) Deregister(ctx context.Context, id string) error {
 	return d.register(ctx, &wire.RegistrationCommand{Registration: &wire.Registration{Id: id}, Leave: true})
 }
@@ -76,34 +76,34 @@
 	}
 	began := d.clock.Now()
 	err := d.registrations.submit(ctx, c, false)
-	line := d.process.Log.Info()
+	entry := d.process.Log.Info()
 	if err != nil {
-		line = d.process.Log.Warn().Err(err)
+		entry = d.process.Log.Warn().Err(err)
 	}
-	line.Str("kind", "registration").Str("target", r.Id).Str("service", r.Service).Str("address", r.Address).
+	entry.Str("kind", "registration").Str("target", r.Id).Str("service", r.Service).Str("address", r.Address).
 		Bool("draining", r.Draining).Bool("leaves", c.Leave).Int64("coldMillis", r.ColdMilli).Uint64("sequence", r.Sequence).Int64("born", r.BornUnixMilli).
-		Uint64("stateVersion", state.Version()).Dur("took", d.clock.Since(began)).Msg("registration committed")
+		Uint64("stateVersion", state.Version()).Dur("took", d.clock.Since(began)).Msg("registration update submitted")
 	return err
 }
 
-// checkUpdate reports an update that names no target which could be used.
+// checkUpdate rejects an update with a start time in the future or an unknown service.
 func (d *Daemon) checkUpdate(s steering.State, c *wire.RegistrationCommand) error {
 	if c.Leave {
 		return nil
 	}
-	born := time.UnixMilli(c.Registration.BornUnixMilli)
-	if ahead := time.Until(born); ahead > maxStartAhead { // time of day: targets tell their starts by it
+	startedAt := time.UnixMilli(c.Registration.BornUnixMilli)
+	if ahead := time.Until(startedAt); ahead > maxStartAhead { // time of day: targets state their start by it
 		return &FutureStartError{Ahead: ahead.Round(time.Second)}
 	}
 	return d.routes.checkService(s.Catalog().Document(), c.Registration.Service)
 }
 
-// maxRejectedLogsPerSecond bounds the log lines on registration updates that can't be used: a
-// few show what comes, the counter tells how many.
+// maxRejectedLogsPerSecond bounds the log lines for rejected registration updates: a few show what
+// arrives, and a counter has the total.
 const maxRejectedLogsPerSecond = 5
 
-// RecordRejectedUpdate counts a target's update that can't be used. Of those that come at once
-// some have a line in the log.
+// RecordRejectedUpdate counts a registration update that was rejected, and logs it unless too many
+// arrive at once.
 func (d *Daemon) RecordRejectedUpdate(id string, cause error) {
 	d.rejectedUpdates.Inc()
 	if !d.rejectedLogLimiter.Take(d.clock.Now()) {
@@ -112,8 +112,8 @@
 	d.process.Log.Warn().Str("kind", "registration").Str("target", id).Err(cause).Msg("registration update rejected")
 }
 
-// PutRoutes puts a document of routes in force. The text is what a read gives
-// back; between replicas and in the log it is packed.
+// PutRoutes activates a routes document. Reads return the text as given here; it is packed in the
+// log and between replicas.
 func (d *Daemon) PutRoutes(ctx context.Context, document catalog.Document, text []byte) error {
 	began := d.clock.Now()
 	err := document.Check()
@@ -123,16 +123,16 @@
 			Packed:     catalog.Pack(nil, &wire.RoutesDocument{Number: document.Number, Text: text}),
 		}})
 	}
-	line := d.process.Log.Info()
+	entry := d.process.Log.Info()
 	if err != nil {
-		line = d.process.Log.Warn().Err(err)
+		entry = d.process.Log.Warn().Err(err)
 	}
-	line.Str("kind", "routes").Uint64("number", document.Number).Uint64("base", document.Base).Int("bytes", len(text)).
-		Dur("took", d.clock.Since(began)).Msg("a document of routes was settled")
+	entry.Str("kind", "routes").Uint64("number", document.Number).Uint64("base", document.Base).Int("bytes", len(text)).
+		Dur("took", d.clock.Since(began)).Msg("routes document submitted")
 	return err
 }
 
-// Routes returns the text of the document of routes in force.
+// Routes returns the text of the active routes document.
 func (d *Daemon) Routes(ctx context.Context) ([]byte, error) {
 	document, err := d.Document(ctx)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return document.Text, nil
 }
 
-// Evacuate begins or ends the evacuation of a zone.
+// Evacuate starts the evacuation of an availability zone, or ends it with withdraw.
 func (d *Daemon) Evacuate(ctx context.Context, zone string, withdraw bool) error {
 	state, err := d.State(ctx)
 	if err != nil {
@@ -155,42 +155,42 @@
 	}
 	began := d.clock.Now()
 	err = d.Submit(ctx, &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: zone, Withdraw: withdraw}})
-	line := d.process.Log.Info()
+	entry := d.process.Log.Info()
 	if err != nil {
-		line = d.process.Log.Warn().Err(err)
+		entry = d.process.Log.Warn().Err(err)
 	}
-	line.Str("kind", "evacuation").Str("zone", zone).Bool("withdraw", withdraw).Dur("took", d.clock.Since(began)).Msg("an evacuation was settled")
+	entry.Str("kind", "evacuation").Str("zone", zone).Bool("withdraw", withdraw).Dur("took", d.clock.Since(began)).Msg("evacuation submitted")
 	return err
 }
 
 const (
-	// boxCountWindow is the time over which boxes are counted.
+	// boxCountWindow is the time within which a box must have reported to be counted.
 	boxCountWindow = 10 * time.Second
-	// maxLookupBoxes is the most that an answer may name (the users' bound).
+	// maxLookupBoxes is the maximum number of boxes in a lookup answer; the users set this bound.
 	maxLookupBoxes = 64
-	// lookupTTL is how long an answer may be kept. Callers keep some answers
-	// for three times as long, and a box that stops waits for that.
+	// lookupTTL is how long a lookup answer may be cached. Callers keep some answers three times
+	// as long, and a stopping box waits that long.
 	lookupTTL = time.Second
 )
 
-// BoxesFor returns the caller addresses of the entry boxes that a caller in a
-// region and zone is to use, and how long that may be kept.
+// BoxesFor returns the caller addresses of the entry boxes that a caller in the given region and
+// availability zone should use, and how long the answer may be cached.
 func (d *Daemon) BoxesFor(region, zone string) ([]string, time.Duration) {
 	if !d.lookupsReady() {
 		return nil, d.lookupAnswerTTL()
 	}
-	near := lookup.Nearest(d.serving.get(d.clock.Now(), d.listServingBoxes), region, zone)
-	if len(near) > maxLookupBoxes {
-		near = near[:maxLookupBoxes]
+	nearest := lookup.Nearest(d.serving.get(d.clock.Now(), d.listServingBoxes), region, zone)
+	if len(nearest) > maxLookupBoxes {
+		nearest = nearest[:maxLookupBoxes]
 	}
-	return near, d.lookupAnswerTTL()
+	return nearest, d.lookupAnswerTTL()
 }
 
-// listServingBoxes returns the boxes that serve callers by their latest reports.
+// listServingBoxes returns the boxes that serve callers according to their latest reports.
 func (d *Daemon) listServingBoxes() []lookup.BoxLocation {
 	var out []lookup.BoxLocation
-	fresh := lookup.ReportValidity(len(d.Boxes(boxCountWindow)))
-	for _, b := range d.Boxes(fresh) {
+	validity := lookup.ReportValidity(len(d.Boxes(boxCountWindow)))
+	for _, b := range d.Boxes(validity) {
 		if b.CallerAddress != "" && !b.Stopping {
 			out = append(out, lookup.BoxLocation{Address: b.CallerAddress, Zone: b.Zone, Region: b.Region})
 		}
@@ -198,15 +198,15 @@
 	return out
 }
 
-// lookupsReady reports whether the boxes that serve are known well enough since
-// the start of this process.
+// lookupsReady reports whether enough boxes have reported since this process started for lookups
+// to be answered.
 func (d *Daemon) lookupsReady() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.startupGate.Ready(d.clock.Now())
 }
 
-// collectReport takes the reports of boxes.
+// collectReport processes reports of boxes.
 func (d *Daemon) collectReport(r *wire.Report) {
 	d.publisher.Collect(r)
 	d.applyLimitUpdates(r.Limits)
@@ -221,8 +221,8 @@
 	d.startupGate.BoxReported(d.clock.Now())
 }
 
-// publishedCommand returns a command that led to a state as publishers take it: the
-// document with the text that the state holds, to be made a difference.
+// publishedCommand returns a command in the form that the publisher needs: a routes document is
+// replaced by the one in the resulting state, from which the publisher computes a delta.
 func publishedCommand(c *wire.Command, s steering.State) *wire.Command {
 	if c.GetRoutes() == nil {
 		return c
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -21,8 +21,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// addCatalogHandlers adds the calls for routes, evacuations and targets, which any
-// replica answers: it has the leader settle what changes something.
+// addCatalogHandlers adds the handlers for routes, evacuations and targets. Any replica serves
+// them and has the leader commit changes.
 func (d *Daemon) addCatalogHandlers(app *iris.Application) {
 	app.Get("/v1/routes", d.getRoutes)
 	app.Put("/v1/routes", d.authorized, d.putRoutes)
@@ -38,7 +38,7 @@
 	app.Delete("/v1/quarantine/{digest}", d.authorized, d.deleteQuarantined)
 }
 
-// decodeRoutes reads a document of routes in the deployment's format.
+// decodeRoutes parses a routes document in the deployment's format.
 func (d *Daemon) decodeRoutes(text []byte) (catalog.Document, error) {
 	if d.config.DecodeRoutes == nil {
 		return catalog.ParseDocument(text)
@@ -46,9 +46,9 @@
 	return d.config.DecodeRoutes(text)
 }
 
-// getRoutes answers with the document in force: as it was written if the query
-// says text=true, else in the project's format without keys. What was written holds
-// the keys of workspaces, so that it needs the operators' token.
+// getRoutes answers with the active routes document: as it was written if the query says
+// text=true, otherwise in the project's format without keys. The original text contains the keys
+// of workspaces and therefore needs the operators' token.
 func (d *Daemon) getRoutes(c iris.Context) {
 	asWritten := c.URLParam("text") == "true"
 	if asWritten && !d.hasToken(c) {
@@ -70,7 +70,7 @@
 		text = document.Text()
 	}
 	c.ContentType("application/json")
-	_, _ = c.Write(text) // the client sees a broken answer
+	_, _ = c.Write(text) // the client notices a failed write
 }
 
 func (d *Daemon) putRoutes(c iris.Context) {
@@ -88,7 +88,7 @@
 
 func (d *Daemon) getEvacuations(c iris.Context) {
 	if state, ok := d.catalogState(c); ok {
-		_ = c.JSON(evacuations(state)) // the client sees a broken answer
+		_ = c.JSON(evacuations(state)) // the client notices a failed write
 	}
 }
 
@@ -124,10 +124,11 @@
 			Leaving:    d.targetLimits.view(catalog.IncarnationOf(r).String()).isLeaving,
 		})
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
-// reportedLimit returns what this replica knows of a target's limit, nil for none.
+// reportedLimit returns what this replica knows of a target's rate limit, or nil if the target has
+// none.
 func (d *Daemon) reportedLimit(r *wire.Registration) *operator.TargetLimit {
 	known := d.targetLimits.view(catalog.IncarnationOf(r).String())
 	if known.limit == targetstatus.NoLimit {
@@ -177,11 +178,10 @@
 		fail(c, http.StatusServiceUnavailable, operator.CodeNotKnown, "no entry box has reported yet")
 		return
 	}
-	_ = c.JSON(operator.Gateways{Addresses: addresses, TTLMillis: ttl.Milliseconds()}) // the client sees a broken answer
+	_ = c.JSON(operator.Gateways{Addresses: addresses, TTLMillis: ttl.Milliseconds()}) // the client notices a failed write
 }
 
-// catalogState reads the catalog as this replica knows it, which may be a
-// moment behind the leader.
+// catalogState reads the catalog of this replica, which may lag slightly behind the leader's.
 func (d *Daemon) catalogState(c iris.Context) (s catalog.State, ok bool) {
 	state, err := d.State(c.Request().Context())
 	if err != nil {
@@ -191,11 +191,11 @@
 	return state.Catalog(), true
 }
 
-// withSubmitTimeout runs an order for as long as an operator waits.
-func (d *Daemon) withSubmitTimeout(c iris.Context, order func(ctx context.Context) error) error {
+// withSubmitTimeout runs an operation with the timeout for operators' changes.
+func (d *Daemon) withSubmitTimeout(c iris.Context, operation func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), submitTimeout)
 	defer cancel()
-	return order(ctx)
+	return operation(ctx)
 }
 
 func (d *Daemon) answerCatalogCall(c iris.Context, err error, body any) {
@@ -203,17 +203,17 @@
 		d.failCatalogCall(c, err)
 		return
 	}
-	_ = c.JSON(body) // the client sees a broken answer
+	_ = c.JSON(body) // the client notices a failed write
 }
 
-// failCatalogCall answers an error of the catalog's calls.
+// failCatalogCall answers with the status and code that fit an error of a catalog call.
 func (d *Daemon) failCatalogCall(c iris.Context, err error) {
 	var invalid *catalog.InvalidError
 	var refused *RefusedError
 	var zone *UnknownZoneError
 	var service *UnknownServiceError
-	var birth *FutureStartError
-	var none *NoDocumentError
+	var futureStart *FutureStartError
+	var noDocument *NoDocumentError
 	var busy *batch.BusyError
 	switch {
 	case errors.As(err, &invalid):
@@ -222,9 +222,9 @@
 		fail(c, http.StatusConflict, operator.CodeConflict, err.Error())
 	case errors.As(err, &refused):
 		fail(c, http.StatusBadRequest, operator.CodeInvalid, err.Error())
-	case errors.As(err, &service), errors.As(err, &birth):
+	case errors.As(err, &service), errors.As(err, &futureStart):
 		fail(c, http.StatusBadRequest, operator.CodeInvalid, err.Error())
-	case errors.As(err, &zone), errors.As(err, &none):
+	case errors.As(err, &zone), errors.As(err, &noDocument):
 		fail(c, http.StatusNotFound, operator.CodeNotFound, err.Error())
 	case errors.As(err, &busy):
 		c.Header("Retry-After", strconv.Itoa(int(math.Ceil(busy.RetryAfter.Seconds()))))
@@ -234,8 +234,8 @@
 	}
 }
 
-// isZone reports whether a zone is part of the deployment: named by the
-// settings file or tree, or by a target.
+// isZone reports whether an availability zone is part of the deployment: named by the settings
+// file, the settings tree or a target.
 func (d *Daemon) isZone(s steering.State, zone string) bool {
 	if slices.Contains(d.config.Zones, zone) {
 		return true
@@ -248,7 +248,7 @@
 	return slices.ContainsFunc(s.Catalog().Targets(), func(r *wire.Registration) bool { return r.Zone == zone })
 }
 
-// lookupAnswerTTL is how long the answer of a look-up may be kept.
+// lookupAnswerTTL returns how long a lookup answer may be cached.
 func (d *Daemon) lookupAnswerTTL() time.Duration {
 	if d.config.LookupTTL <= 0 {
 		return lookupTTL
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -38,7 +38,7 @@
 	transport    *transport
 	publisher    *relay.Publishing
 	permitIssuer *permitIssuer
-	// targetLimits are about targets that name limits.
+	// targetLimits issues permits for targets that report a rate limit.
 	targetLimits  *targetLimits
 	routes        *routesDecoder
 	targetIndex   targetIndex
@@ -46,38 +46,39 @@
 	evidence      *evidence
 	leadership    *leaderWatch
 	serving       servingBoxes
-	// rejectedUpdates counts registration updates that can't be used, and unreadLines
-	// bounds their log lines.
+	// rejectedUpdates counts registration updates that were rejected, and rejectedLogLimiter
+	// bounds the log lines about them.
 	rejectedUpdates    prometheus.Counter
 	rejectedLogLimiter *process.LineLimit
 	operators          net.Listener
 	extraServices      []process.Service
 
 	started time.Time
-	// lastContact is when a leader was last lastContact of, in nanoseconds after started;
-	// negative for never. It does not depend on the time of day.
+	// lastContact is the time of the last contact with a leader, in nanoseconds after started, or
+	// noContact. It does not depend on the time of day.
 	lastContact atomic.Int64
 
-	// What the leader has been told of the boxes; the watch worker owns both.
+	// reportedTo is the leader that reports are sent to, and filter selects what has changed
+	// since. Only refreshView uses them.
 	reportedTo string
 	filter     *relay.ReportFilter
 
 	mu           sync.Mutex
 	addresses    map[string]string
 	joining      map[string]*wire.Replica
-	discovered   []string // addresses of replicas that others told of
+	discovered   []string // addresses of replicas learned from other replicas
 	repairs      map[string]consensus.RepairStep
 	laggingSince map[string]time.Time
-	shiftReasons map[string]string // why a shift waits
+	shiftReasons map[string]string // why a shift is waiting, by shift id
 	startupGate  *lookup.StartupGate
 }
 
-// Open recovers the replica and listens. Run must follow.
+// Open recovers the replica and starts to listen. Run must be called afterwards.
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
 	if err := journal.MakeDir(c.Folder); err != nil {
-		return nil, fmt.Errorf("making the data folder: %w", err)
+		return nil, fmt.Errorf("creating the data directory: %w", err)
 	}
 	events := c.Folder
 	if c.Seeded {
@@ -89,7 +90,7 @@
 	}
 	j, found, err := journal.Open(c.Folder, c.Name, journal.OSFiles())
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("opening the data folder: %w", err), p.Close())
+		return nil, errors.Join(fmt.Errorf("opening the data directory: %w", err), p.Close())
 	}
 	p.Time = c.Clock
 	d := &Daemon{
@@ -113,7 +114,7 @@
 
 func (d *Daemon) open(network link.Network, found *journal.Recovered) error {
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(found.ID + d.process.Incarnation)) // a hash takes every write
+	_, _ = seed.Write([]byte(found.ID + d.process.Incarnation)) // hash writes never fail
 	cc := consensus.Config{ElectionTimeout: d.config.ElectionTimeout, Seed: seed.Sum64()}
 	r, err := openReplica(d.clock.Now, cc, d.journal, found, d.config.SnapshotEvery)
 	if err != nil {
@@ -140,14 +141,14 @@
 	d.registrations.commit = d.commitUpdates
 	d.permitIssuer = &permitIssuer{bound: d.config.LimitBound, routes: d.routes}
 	d.permitIssuer.setState(r.state)
-	secure, err := d.config.TLS()
+	tlsConfig, err := d.config.TLS()
 	if err != nil {
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
 	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.LinkRefused}
 	listen := cmp.Or(d.config.PeerListen, d.config.PeerAddress)
-	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, secure); err != nil {
+	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, tlsConfig); err != nil {
 		return err
 	}
 	if d.operators, err = net.Listen("tcp", d.config.OperatorAddress); err != nil {
@@ -158,13 +159,13 @@
 	return nil
 }
 
-// connectReplica gives the replica's loop its ways out.
+// connectReplica sets the callbacks of the replica's loop and registers metrics.
 func (d *Daemon) connectReplica(id string) {
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
-	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
+	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Registration updates of targets that were rejected.").WithLabelValues()
 	d.rejectedLogLimiter = process.NewLineLimit(maxRejectedLogsPerSecond)
-	settled := d.process.Counter("changes_settled_total", "Changes that got a verdict, by verdict.", "verdict")
+	settled := d.process.Counter("changes_settled_total", "Changes that received a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
 		d.transport.send(d.addressOf(m.To), m)
@@ -182,7 +183,7 @@
 	d.replica.onNotice = func(n consensus.Notice) {
 		d.leadership.notify()
 		if n.Leader != "" {
-			d.recordContact(0) // what subscribers are told would else lag by viewInterval
+			d.recordContact(0) // otherwise subscribers would learn of it up to viewInterval later
 		}
 		detail := fmt.Sprintf("%s in term %d: %s", n.Role, n.Term, n.Reason)
 		d.process.StateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
@@ -193,11 +194,11 @@
 			settled.WithLabelValues(verdictName(v.Kind)).Inc()
 		}
 	}
-	d.process.Gauge("quarantine_suspects", "Requests under which targets ended, as boxes told.", func() float64 { return float64(d.evidence.len()) })
-	d.process.Gauge("target_limits", "Targets that name how much they take from all boxes together.", func() float64 { return float64(d.targetLimits.limitedCount()) })
+	d.process.Gauge("quarantine_suspects", "Requests that crashed targets, as reported by boxes.", func() float64 { return float64(d.evidence.len()) })
+	d.process.Gauge("target_limits", "Targets that report a rate limit for all boxes together.", func() float64 { return float64(d.targetLimits.limitedCount()) })
 	d.process.Gauge("control_bytes_sent", "Bytes sent to other processes.", func() float64 { return float64(d.node.Control.Sent.Load()) })
 	d.process.Gauge("control_bytes_received", "Bytes received from other processes.", func() float64 { return float64(d.node.Control.Received.Load()) })
-	d.process.Gauge("control_age_seconds", "Age of the update of a leader with a quorum; a replica that is cut off shows it growing.", func() float64 { return d.controlAge().Seconds() })
+	d.process.Gauge("control_age_seconds", "Time since the last contact with a leader that has a quorum; it grows on a replica that is cut off.", func() float64 { return d.controlAge().Seconds() })
 }
 
 func (d *Daemon) recordApplied(c *wire.Command, result steering.Result) {
@@ -214,13 +215,13 @@
 	}
 }
 
-// PeerAddress is where the replica listens for other processes.
+// PeerAddress returns the address at which the replica listens for other processes.
 func (d *Daemon) PeerAddress() string { return d.node.Address() }
 
-// OperatorAddress is where the replica listens for operators.
+// OperatorAddress returns the address at which the replica listens for operators.
 func (d *Daemon) OperatorAddress() string { return d.operators.Addr().String() }
 
-// AddHandler serves a further interface on an address once Run is called.
+// AddHandler serves an additional HTTP handler on an address once Run is called.
 func (d *Daemon) AddHandler(name, address string, h http.Handler) error {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -231,13 +232,13 @@
 	return nil
 }
 
-// Run serves until the context ends or the disk fails, and then closes.
+// Run serves until the context ends or the disk fails, and then closes the daemon.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.process.Log.Info().Str("kind", "start").Str("incarnation", d.process.Incarnation).Str("replica", d.replica.id).
 		Strs("peers", d.config.Peers).Bool("mayForm", d.config.MayForm).Msg("control replica starts")
-	loop, stopLoop := context.WithCancel(context.Background())
+	loopCtx, stopLoop := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
-	go func() { failed <- d.replica.run(loop) }()
+	go func() { failed <- d.replica.run(loopCtx) }()
 
 	root := d.process.Supervisor()
 	root.Add(process.Service{Name: "publishing", Run: d.publisher.Run})
@@ -252,8 +253,8 @@
 	for _, s := range d.extraServices {
 		root.Add(s)
 	}
-	tree, stopTree := context.WithCancel(ctx)
-	ended := root.ServeBackground(tree)
+	servicesCtx, stopServices := context.WithCancel(ctx)
+	ended := root.ServeBackground(servicesCtx)
 
 	var err error
 	select {
@@ -262,7 +263,7 @@
 	case err = <-failed:
 		failed <- err
 	}
-	stopTree()
+	stopServices()
 	<-ended
 	stopLoop()
 	<-failed
@@ -272,7 +273,7 @@
 
 const transferTimeout = time.Second
 
-// transferLeadership gives leadership away before a planned stop.
+// transferLeadership hands leadership to another replica before a planned stop.
 func (d *Daemon) transferLeadership(failed chan error) {
 	ctx, cancel := context.WithTimeout(context.Background(), transferTimeout)
 	defer cancel()
@@ -280,7 +281,7 @@
 	if err != nil || v.status.Role != consensus.Leader {
 		return
 	}
-	_ = d.replica.inbox.put(ctx, leadershipTransfer{}) // what follows sees that it still leads
+	_ = d.replica.inbox.put(ctx, leadershipTransfer{}) // the loop below sees if this replica still leads
 	for ctx.Err() == nil {
 		v, err := d.replica.view(ctx)
 		if err != nil || v.status.Role != consensus.Leader {
@@ -301,7 +302,7 @@
 	return errors.Join(err, d.journal.Close(), d.process.Close())
 }
 
-// every runs a function at an interval until the context ends.
+// every returns a service that runs a function at an interval until the context ends.
 func (d *Daemon) every(interval time.Duration, f func(ctx context.Context)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		ticker := time.NewTicker(interval)
@@ -317,7 +318,7 @@
 	}
 }
 
-// controlAge returns how long ago a leader with a quorum was heard of.
+// controlAge returns the time since the last contact with a leader that has a quorum.
 func (d *Daemon) controlAge() time.Duration {
 	at := d.lastContact.Load()
 	if at == noContact {
@@ -326,7 +327,7 @@
 	return max(d.clock.Since(d.started)-time.Duration(at), 0)
 }
 
-// recordContact notes that a leader was heard of some time ago.
+// recordContact records contact with a leader some time ago.
 func (d *Daemon) recordContact(ago time.Duration) {
 	d.lastContact.Store(int64(max(d.clock.Since(d.started)-ago, 0)))
 }
@@ -367,7 +368,7 @@
 
 const viewInterval = 200 * time.Millisecond
 
-// refreshView keeps the age of the leader's update and passes reports to the leader.
+// refreshView updates the control age and membership, and forwards reports of boxes to the leader.
 func (d *Daemon) refreshView(ctx context.Context) {
 	v, err := d.replica.view(ctx)
 	if err != nil {
--- a/internal/control/fulldisk.go
+++ b/internal/control/fulldisk.go
@@ -10,11 +10,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// diskProbeInterval is how often a replica whose disk is full looks for room. Others
-// elect a leader after 0.8 s without its update.
+// diskProbeInterval is how often a replica with a full disk checks for free space. Other replicas
+// elect a leader after 0.8 s without a message from it.
 const diskProbeInterval = 100 * time.Millisecond
 
-// FullDiskError says that a replica can store nothing because its disk is full.
+// FullDiskError reports that a replica can store nothing because its disk is full.
 type FullDiskError struct{ Cause error }
 
 // Error implements error.
@@ -22,38 +22,37 @@
 	return fmt.Sprintf("this replica can store nothing, its disk is full: %v", e.Cause)
 }
 
-// Unwrap returns what the disk said.
+// Unwrap returns the error of the disk.
 func (e *FullDiskError) Unwrap() error { return e.Cause }
 
-// DiskError says that a replica could not store what must be durable.
+// DiskError reports that a replica failed to store data that must be durable.
 type DiskError struct{ Cause error }
 
 // Error implements error.
 func (e *DiskError) Error() string { return fmt.Sprintf("replica stops, its disk failed: %v", e.Cause) }
 
-// Unwrap returns what the disk said.
+// Unwrap returns the error of the disk.
 func (e *DiskError) Unwrap() error { return e.Cause }
 
-// isFull reports whether a disk refused a write for want of room, which passes. A
-// disk that fails otherwise ends the replica: what it holds is not known.
+// isFull reports whether a write failed for lack of space, which is temporary. Any other disk
+// error ends the replica, because the state on the disk is unknown.
 func isFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// pause has the replica take no part while its disk is full. What the machine has
-// decided and not stored must not be acted on: nothing is sent, so that others elect
-// a leader, and no vote counts that was not stored. What was applied is kept and goes
-// on being shown.
+// pause stops the replica from taking part in consensus while its disk is full. Output of the
+// state machine that was not stored must not be acted on: nothing is sent, so that the others
+// elect a leader, and no unstored vote counts. The applied state is kept and still served.
 func (r *replica) pause(cause error) {
-	var failed *DiskError
-	if errors.As(cause, &failed) {
-		cause = failed.Cause
+	var diskErr *DiskError
+	if errors.As(cause, &diskErr) {
+		cause = diskErr.Cause
 	}
 	r.diskFull = &FullDiskError{cause}
 	r.nextDiskProbe = r.now().Add(diskProbeInterval)
 	for token, reply := range r.proposing {
 		delete(r.proposing, token)
-		reply(outcome{err: &LeadershipLostError{}}) // what was being stored may be there after all
+		reply(outcome{err: &LeadershipLostError{}}) // the entry may have been stored after all
 	}
 	r.failWaiting()
 	for token, reply := range r.reads {
@@ -63,8 +62,8 @@
 	r.onDiskChange(r.diskFull)
 }
 
-// reject takes a message while the disk is full. Another replica may lead, which
-// this one would not know of.
+// reject answers a message while the disk is full. The errors name no leader, since another
+// replica may lead without this one knowing.
 func (r *replica) reject(m message) {
 	switch m := m.(type) {
 	case proposal:
@@ -82,7 +81,7 @@
 	}
 }
 
-// tick tells the machine of the time, or looks for room on the disk.
+// tick advances the state machine's time, or checks for free space if the disk is full.
 func (r *replica) tick() (consensus.Output, error) {
 	if r.diskFull == nil {
 		return r.machine.Handle(r.now(), consensus.Tick{}), nil
@@ -98,15 +97,15 @@
 	return consensus.Output{}, err
 }
 
-// resume goes on from what the disk holds, like a replica that starts, but for what
-// was applied already.
+// resume continues from the contents of the disk, like a replica that starts, except that applied
+// entries stay applied.
 func (r *replica) resume() error {
 	found, err := r.journal.Reopen()
 	if err != nil {
-		return fmt.Errorf("opening the journal again: %w", err)
+		return fmt.Errorf("reopening the journal: %w", err)
 	}
 	if err := r.journal.Append(found.HardState, nil); err != nil {
-		return fmt.Errorf("looking for room on the disk: %w", err)
+		return fmt.Errorf("checking the disk for free space: %w", err)
 	}
 	stored := consensus.Stored{HardState: found.HardState, Snapshot: found.Snapshot, Entries: found.Entries}
 	machine, err := consensus.New(r.now(), r.config, stored)
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// recordDisk tells that the disk is full or has room again.
+// recordDisk records an event when the disk becomes full or has space again.
 func (d *Daemon) recordDisk(full *FullDiskError) {
 	if full != nil {
 		d.process.StateChange(&wire.TimelineEvent{Kind: "diskFull", Box: d.replica.id, Detail: "takes no part until there is room: " + full.Cause.Error()})
--- a/internal/control/inbox.go
+++ b/internal/control/inbox.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// consensusQueueSize is how many messages of other replicas wait for the loop, orderRoom
-	// how many orders and questions, and updateRoom how many batches of registration updates, of
-	// which no more are under way at once than updateBatches allows. Each has a line of its
-	// own, so that no number of updates keeps heartbeats, votes or operators' changes from
-	// the loop.
+	// consensusQueueSize bounds the queued messages of other replicas, requestQueueSize the queued
+	// requests, and updateQueueSize the queued batches of registration updates, of which at most
+	// as many are in flight as updateBatches allows. The queues are separate so that no number of
+	// updates delays heartbeats, votes or operators' changes.
 	consensusQueueSize = 1024
 	requestQueueSize   = 1024
 	updateQueueSize    = 16
 )
 
-// queuedMessage is an input of the loop.
+// queuedMessage is an input that waits for the loop.
 type queuedMessage struct {
-	message message
-	// queuedAt is when it came.
+	message  message
 	queuedAt time.Time
-	// caller ends when nobody waits for what becomes of it any more; nil for never.
+	// caller ends when nobody waits for the result any longer. It is nil for messages without a
+	// caller.
 	caller context.Context
 }
 
-// abandoned reports whether its asker has gone.
+// abandoned reports whether the caller has stopped waiting.
 func (a queuedMessage) abandoned() bool { return a.caller != nil && a.caller.Err() != nil }
 
 // inbox holds the inputs that wait for the replica's loop.
@@ -46,7 +45,7 @@
 	}
 }
 
-// queue returns where a message waits.
+// queue returns the queue for a message.
 func (i inbox) queue(m message) chan queuedMessage {
 	switch m.(type) {
 	case receivedMessage:
@@ -57,8 +56,8 @@
 	return i.requests
 }
 
-// put hands a message to the loop, for which it waits until the context ends. A
-// message that still waits then is not handled.
+// put queues a message and blocks until there is space or the context ends. A message still queued
+// when its context ends is not handled.
 func (i inbox) put(ctx context.Context, m message) error {
 	select {
 	case i.queue(m) <- queuedMessage{m, i.clock.Now(), ctx}:
@@ -68,7 +67,7 @@
 	}
 }
 
-// tryPut hands a message to the loop if there is room for it.
+// tryPut queues a message if there is space.
 func (i inbox) tryPut(m message) (taken bool) {
 	select {
 	case i.queue(m) <- queuedMessage{message: m, queuedAt: i.clock.Now()}:
@@ -78,12 +77,12 @@
 	}
 }
 
-// next returns what waits, messages of other replicas before orders and those before
+// next returns the next queued message: messages of other replicas first, then requests, then
 // updates.
 func (i inbox) next() (a queuedMessage, ok bool) {
-	for _, line := range []chan queuedMessage{i.consensus, i.requests, i.updates} {
+	for _, queue := range []chan queuedMessage{i.consensus, i.requests, i.updates} {
 		select {
-		case a := <-line:
+		case a := <-queue:
 			return a, true
 		default:
 		}
@@ -91,7 +90,7 @@
 	return queuedMessage{}, false
 }
 
-// inputKind names an input for metrics.
+// inputKind returns the label value of an input for metrics.
 func inputKind(m message) string {
 	switch m.(type) {
 	case receivedMessage:
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// leaderWatch tells of each change of the leader, as far as this replica knows.
+// leaderWatch notifies waiters whenever this replica learns of a change of the leader.
 type leaderWatch struct {
 	mu      sync.Mutex
 	changed chan struct{}
@@ -13,7 +13,7 @@
 
 func newLeaderWatch() *leaderWatch { return &leaderWatch{changed: make(chan struct{})} }
 
-// notify tells of a change.
+// notify ends the contexts returned by untilChange.
 func (l *leaderWatch) notify() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -21,8 +21,8 @@
 	l.changed = make(chan struct{})
 }
 
-// untilChange returns a context that ends with the next change as well. Its function must
-// be called and waits for what watches the change.
+// untilChange returns a context that also ends at the next change of the leader. The returned
+// function must be called; it ends the context and waits for the goroutine that watches.
 func (l *leaderWatch) untilChange(ctx context.Context) (context.Context, func()) {
 	l.mu.Lock()
 	changed := l.changed
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -15,15 +15,15 @@
 	membershipInterval = 200 * time.Millisecond
 	callTimeout        = time.Second
 	repairInterval     = 200 * time.Millisecond
-	// maxDiscovered bounds the addresses of replicas that are remembered: three
-	// generations of the nine replicas of the largest deployment.
+	// maxDiscovered bounds the remembered addresses of replicas: three generations of the nine
+	// replicas in the largest deployment.
 	maxDiscovered = 27
 )
 
-// maintainMembership gives a replica on an empty disk a membership. When all the configured
-// replicas are empty they maintainMembership the first membership, each for itself and all
-// the same. When one of them already has a membership, this replica either is
-// part of it or has lost its disk, and then asks to be taken in.
+// maintainMembership provides a replica on an empty disk with a membership. If all configured
+// replicas are empty, each of them forms the first membership by itself, and all arrive at the
+// same one. If one of them already has a membership, this replica either is part of it or has lost
+// its disk and asks to join.
 func (d *Daemon) maintainMembership(ctx context.Context) error {
 	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
@@ -47,46 +47,45 @@
 }
 
 func (d *Daemon) findMembership(ctx context.Context, v view) {
-	hellos := d.helloAll(ctx)
-	for _, h := range hellos {
+	answers := d.helloAll(ctx)
+	for _, h := range answers {
 		if !h.Formed {
 			continue
 		}
 		if len(v.membership.Voters) == 0 && d.isInitialMembership(h) {
-			_ = d.replica.inbox.put(ctx, bootstrap{h.Membership}) // sought again if the context ends
+			_ = d.replica.inbox.put(ctx, bootstrap{h.Membership}) // retried at the next interval
 			return
 		}
 		d.askToJoin(ctx)
 		return
 	}
-	if len(v.membership.Voters) > 0 || len(hellos) < len(d.config.Peers)-1 || !d.mayBootstrap() {
+	if len(v.membership.Voters) > 0 || len(answers) < len(d.config.Peers)-1 || !d.mayBootstrap() {
 		return
 	}
 	first := &wire.Membership{Voters: []*wire.Replica{{Id: d.replica.id, Address: d.config.PeerAddress}}}
-	for address, h := range hellos {
+	for address, h := range answers {
 		if slices.Contains(d.config.Peers, address) {
 			first.Voters = append(first.Voters, &wire.Replica{Id: h.Id, Address: address})
 		}
 	}
 	slices.SortFunc(first.Voters, func(a, b *wire.Replica) int { return strings.Compare(a.Id, b.Id) })
 	d.process.StateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
-	_ = d.replica.inbox.put(ctx, bootstrap{first}) // sought again if the context ends
+	_ = d.replica.inbox.put(ctx, bootstrap{first}) // retried at the next interval
 }
 
-// mayBootstrap reports whether this replica may take part in the first membership.
+// mayBootstrap reports whether this replica may take part in forming the first membership.
 func (d *Daemon) mayBootstrap() bool {
 	return !d.config.Seeded || d.config.MayForm && slices.Contains(d.config.Peers, d.config.PeerAddress)
 }
 
-// isInitialMembership reports whether another replica has just formed the first
-// membership, this one included, and nothing has been changed since.
+// isInitialMembership reports whether another replica has just formed a first membership that
+// includes this one, and nothing has changed since.
 func (d *Daemon) isInitialMembership(h *wire.HelloAnswer) bool {
 	m := h.Membership
 	return h.Version == 0 && len(m.Learners) == 0 && len(m.Voters) == len(d.config.Peers) && addressOf(m, d.replica.id) != ""
 }
 
-// askToRejoin asks to be taken in again when the others have gone on without
-// this replica.
+// askToRejoin asks to join if the other replicas have removed this one.
 func (d *Daemon) askToRejoin(ctx context.Context) {
 	for _, h := range d.helloAll(ctx) {
 		if h.Formed && h.Leader != "" && addressOf(h.Membership, d.replica.id) == "" {
@@ -96,8 +95,8 @@
 	}
 }
 
-// knownReplicas returns the addresses at which other replicas may be found:
-// those configured, those of the membership and those heard of from others.
+// knownReplicas returns the addresses at which other replicas may be found: those configured,
+// those in the membership and those learned from other replicas.
 func (d *Daemon) knownReplicas() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -110,7 +109,7 @@
 	return slices.DeleteFunc(out, func(a string) bool { return a == d.config.PeerAddress })
 }
 
-// addDiscovered notes the replicas of a membership that another replica told.
+// addDiscovered remembers the addresses in a membership received from another replica.
 func (d *Daemon) addDiscovered(m *wire.Membership) {
 	if !d.config.Seeded || m == nil {
 		return
@@ -127,7 +126,7 @@
 	}
 }
 
-// helloAll asks the other known replicas who they are, all at once.
+// helloAll calls all other known replicas in parallel and returns their answers by address.
 func (d *Daemon) helloAll(ctx context.Context) map[string]*wire.HelloAnswer {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -141,7 +140,7 @@
 		go func() {
 			answer, err := d.node.Call(ctx, address, &wire.CallRequest{Hello: &wire.HelloRequest{}})
 			if err != nil {
-				answers <- helloFrom{address, nil} // asked again at the next interval
+				answers <- helloFrom{address, nil} // retried at the next interval
 				return
 			}
 			answers <- helloFrom{address, answer.Hello}
@@ -165,7 +164,7 @@
 	done := make(chan struct{}, len(known))
 	for _, address := range known {
 		go func() {
-			// Asked again at the next interval until it is taken in.
+			// Retried at the next interval until this replica is a member.
 			_, _ = d.node.Call(ctx, address, &wire.CallRequest{Join: &wire.JoinRequest{Replica: self}})
 			done <- struct{}{}
 		}()
@@ -175,8 +174,8 @@
 	}
 }
 
-// repair takes joining replicas in and, in a seeded membership, lets lost ones
-// go, one change of the membership at a time.
+// repair adds joining replicas and, in a seeded membership, removes lost ones, with one membership
+// change at a time.
 func (d *Daemon) repair(ctx context.Context) {
 	v, err := d.replica.view(ctx)
 	if err != nil || v.status.Role != consensus.Leader {
@@ -210,7 +209,7 @@
 func (d *Daemon) changeMembership(ctx context.Context, next *wire.Membership) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A step that fails is tried again at the next interval.
+	// A failed step is retried at the next interval.
 	_ = d.replica.changeMembership(ctx, next)
 }
 
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -6,7 +6,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// message is one input of the replica's loop.
+// message is an input of the replica's loop.
 type message interface{ input() }
 
 type proposal struct {
@@ -14,14 +14,14 @@
 	reply   chan<- outcome
 }
 
-// updateBatch is registration updates that are proposed together. The outcome of each comes
-// on reply, which has room for all of them, with its place among the updates.
+// updateBatch is a batch of registration updates that are proposed together. The outcome of each
+// is sent on reply, which has capacity for all of them.
 type updateBatch struct {
 	updates []*wire.Command
 	reply   chan<- updateOutcome
 }
 
-// updateOutcome is what became of the update at a place of a batch.
+// updateOutcome is the outcome of the update at an index of a batch.
 type updateOutcome struct {
 	index int
 	err   error
@@ -51,7 +51,7 @@
 func (bootstrap) input()          {}
 func (leadershipTransfer) input() {}
 
-// outcome is what became of a proposed command.
+// outcome is the outcome of a proposed command.
 type outcome struct {
 	result  steering.Result
 	version uint64
@@ -63,15 +63,15 @@
 	err   error
 }
 
-// view is the replica as it is now.
+// view is a snapshot of the replica's status and state.
 type view struct {
 	status     consensus.Status
 	state      steering.State
 	membership *wire.Membership
 }
 
-// LeadershipLostError says that a command was taken but its place in the log went to
-// another; whether it is in the log elsewhere is not known here.
+// LeadershipLostError reports that a proposed command was replaced in the log by an entry of
+// another leader. Whether it is elsewhere in the log is unknown to this replica.
 type LeadershipLostError struct{}
 
 // Error implements error.
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -12,8 +12,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// permitIssuer hosts the issuer of a replica. It needs no leader: the parts of limits do
-// not move, so it goes on while the replica is cut off.
+// permitIssuer issues permits under the limits of workspaces. It needs no leader: a replica's
+// share of a limit depends only on the number of replicas, so it continues while the replica is
+// cut off.
 type permitIssuer struct {
 	bound  quota.Bound
 	routes *routesDecoder
@@ -22,25 +23,25 @@
 	issuer *quota.Issuer
 }
 
-// setState takes the state that was applied last. It does not wait.
+// setState sets the state that was applied last. It does not block.
 func (p *permitIssuer) setState(s steering.State) { p.state.Store(&s) }
 
-// setReplicaCount tells how many replicas there are.
+// setReplicaCount sets the number of replicas from a membership.
 func (p *permitIssuer) setReplicaCount(now time.Time, m *wire.Membership) {
-	parts := len(m.GetVoters()) + len(m.GetLearners())
-	if parts == 0 {
+	count := len(m.GetVoters()) + len(m.GetLearners())
+	if count == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.issuer == nil {
-		p.issuer = quota.NewIssuer(p.bound, parts)
+		p.issuer = quota.NewIssuer(p.bound, count)
 	}
-	p.issuer.SetReplicaCount(now, parts)
+	p.issuer.SetReplicaCount(now, count)
 	p.refresh(now)
 }
 
-// refresh takes the limits of the document in force.
+// refresh takes over the limits of the active routes document. The lock is held.
 func (p *permitIssuer) refresh(now time.Time) {
 	s := p.state.Load()
 	if s == nil {
@@ -52,24 +53,24 @@
 	}
 	d, err := p.routes.decodeOnce(text)
 	if err != nil {
-		return // told of by read; the limits before stay in force
+		return // logged by decodeOnce; the previous limits stay in effect
 	}
 	p.issuer.SetLimits(now, text.Number, d.Workspaces)
 }
 
-// issue answers a box.
+// issue answers a permit request of a box.
 func (p *permitIssuer) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
-	asks := make([]quota.SubjectRequest, 0, len(r.Asks))
+	requests := make([]quota.SubjectRequest, 0, len(r.Asks))
 	for _, a := range r.Asks {
-		asks = append(asks, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
+		requests = append(requests, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.issuer == nil {
-		return &wire.PermitAnswer{Behind: true} // its part is not known without the membership
+		return &wire.PermitAnswer{Behind: true} // its share is unknown without the membership
 	}
 	p.refresh(now)
-	grants, err := p.issuer.Issue(now, r.Number, asks)
+	grants, err := p.issuer.Issue(now, r.Number, requests)
 	if err != nil {
 		return &wire.PermitAnswer{Behind: true} // StaleLimitsError: no permits are issued under outdated limits
 	}
@@ -86,14 +87,14 @@
 	return out
 }
 
-// servePermits answers the requests of one box until its stream ends.
+// servePermits answers the permit requests of one box until its stream ends.
 func (d *Daemon) servePermits(ctx context.Context, _ string, m *link.Messages) {
 	stop := context.AfterFunc(ctx, func() { _ = m.Close() })
 	defer stop()
 	for {
 		r := &wire.PermitRequest{}
 		if err := m.Read(r); err != nil {
-			return // the box has left, or opens another stream
+			return // the box has disconnected or opens another stream
 		}
 		if err := m.Write(d.answerPermits(r)); err != nil {
 			return
@@ -101,7 +102,7 @@
 	}
 }
 
-// answerPermits answers a request for permits of workspaces or of targets.
+// answerPermits answers a permit request for workspaces or for targets.
 func (d *Daemon) answerPermits(r *wire.PermitRequest) *wire.PermitAnswer {
 	if len(r.TargetAsks) > 0 {
 		return &wire.PermitAnswer{Grants: d.issueForTargets(r.TargetAsks)}
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	// quarantineInterval is how often a leader looks what is due. Evidence is looked at
-	// at once.
+	// quarantineInterval is how often a leader checks for pending changes. New evidence triggers a
+	// check at once.
 	quarantineInterval = 200 * time.Millisecond
-	// quarantineSubmitTimeout bounds the wait for one order: what was not settled is due again.
+	// quarantineSubmitTimeout bounds the wait for the changes of one check. Changes that were not
+	// committed are pending again.
 	quarantineSubmitTimeout = 2 * time.Second
-	// supportCheckValidity is for how long it counts that all replicas know the orders, and
-	// versionsTimeout bounds the question: several round trips between regions.
+	// supportCheckValidity is how long the result of asking all replicas for quarantine support
+	// counts, and supportCheckTimeout bounds the calls: several round trips between regions.
 	supportCheckValidity = 10 * time.Second
 	supportCheckTimeout  = 400 * time.Millisecond
 )
 
-// evidence hosts the ledger of requests under which targets ended.
+// evidence hosts the store of evidence against requests that crashed targets.
 type evidence struct {
-	// hello asks another replica who it is.
+	// hello asks another replica for its identity and features.
 	hello func(ctx context.Context, address string) (*wire.HelloAnswer, error)
-	// supportedAt is when all replicas that answered knew the orders, and refused when one
-	// did not. Only the loop uses both.
+	// supportedAt is when all replicas that answered supported quarantine commands, and
+	// unsupportedAt when one did not. Only the worker runQuarantine uses them.
 	supportedAt, unsupportedAt time.Time
 
 	mu      sync.Mutex
@@ -51,18 +52,18 @@
 	}
 }
 
-// record takes what a box tells.
+// record stores the evidence that a box sends.
 func (s *evidence) record(now time.Time, e *wire.Evidence) {
 	ago := func(milli int64) time.Time { return now.Add(-time.Duration(max(milli, 0)) * time.Millisecond) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range e.Ends {
-		end := quarantine.Crash{
+		crash := quarantine.Crash{
 			Caller: quarantine.Caller(r.Caller), Incarnation: r.Life, Route: r.Route, Service: r.Service,
 			Began: ago(r.BeganAgoMilli), Ended: ago(r.EndedAgoMilli),
 		}
-		copy(end.Request[:], r.Digest)
-		s.store.RecordCrash(now, end)
+		copy(crash.Request[:], r.Digest)
+		s.store.RecordCrash(now, crash)
 	}
 	for _, a := range e.Answers {
 		var d quarantine.Digest
@@ -72,7 +73,8 @@
 	s.wake()
 }
 
-// pendingChanges returns what is due, given the list in force; wall is the time of day.
+// pendingChanges returns the pending changes to the active quarantine list; wall is the time of
+// day.
 func (s *evidence) pendingChanges(now, wall time.Time, list []*wire.Quarantined) []quarantine.ListChange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,13 +90,13 @@
 	return s.store.Len()
 }
 
-// serveEvidence takes what a box tells of requests under which targets ended.
+// serveEvidence stores the evidence that a box sends about requests that crashed targets.
 func (d *Daemon) serveEvidence(e *wire.Evidence) *wire.CallAnswer {
 	d.evidence.record(d.clock.Now(), e)
 	return &wire.CallAnswer{}
 }
 
-// runQuarantine has what is due put on the list, while this replica leads.
+// runQuarantine submits pending changes to the quarantine list while this replica leads.
 func (d *Daemon) runQuarantine(ctx context.Context) error {
 	ticker := time.NewTicker(quarantineInterval)
 	defer ticker.Stop()
@@ -109,34 +111,35 @@
 	}
 }
 
-// applyQuarantineChanges looks what is due, also where another replica leads: what left the
-// list is forgotten by all.
+// applyQuarantineChanges computes the pending changes and submits them if this replica leads. It
+// computes them on followers too, so that every replica drops the evidence of requests that have
+// left the list.
 func (d *Daemon) applyQuarantineChanges(ctx context.Context) {
 	if d.evidence.len() > 0 && !d.allReplicasSupportQuarantine(ctx) {
 		return
 	}
-	wall := time.Now() // time of day: boxes go by it too
-	orders := d.evidence.pendingChanges(d.clock.Now(), wall, d.latest().Catalog().Quarantined())
-	if len(orders) == 0 {
+	wall := time.Now() // time of day: boxes compare expiry times with it too
+	changes := d.evidence.pendingChanges(d.clock.Now(), wall, d.latest().Catalog().Quarantined())
+	if len(changes) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantineSubmitTimeout)
 	defer cancel()
 	v, err := d.replica.view(ctx)
 	if err != nil || v.status.Role != consensus.Leader {
-		return // the leader knows as much
+		return // the leader has the same evidence
 	}
-	for _, o := range orders {
-		if !d.submitListChange(ctx, o) {
+	for _, change := range changes {
+		if !d.submitListChange(ctx, change) {
 			return
 		}
 	}
 }
 
-// allReplicasSupportQuarantine reports whether no replica is known that does not know the orders. One of
-// the version before passes over them, and its state would differ from the others' for
-// good; while there is one, each box holds requests by itself. A replica that does not
-// answer is not waited for.
+// allReplicasSupportQuarantine reports whether no replica is known to lack support for quarantine
+// commands. A replica of the previous version ignores them, so its state would differ from the
+// others' permanently; while there is one, each box quarantines requests on its own evidence.
+// Replicas that do not answer are not waited for.
 func (d *Daemon) allReplicasSupportQuarantine(ctx context.Context) bool {
 	s := d.evidence
 	now := d.clock.Now()
@@ -152,7 +155,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, supportCheckTimeout)
 	defer cancel()
-	before := make(chan string)
+	results := make(chan string)
 	asked := 0
 	for _, r := range slices.Concat(v.membership.GetVoters(), v.membership.GetLearners()) {
 		if r.Id == d.replica.id {
@@ -162,58 +165,59 @@
 		go func() {
 			answer, err := s.hello(ctx, r.Address)
 			if err != nil || answer.GetTakesQuarantine() {
-				before <- ""
+				results <- ""
 				return
 			}
-			before <- r.Address
+			results <- r.Address
 		}()
 	}
-	var old []string
+	var unsupported []string
 	for range asked {
-		if address := <-before; address != "" {
-			old = append(old, address)
+		if address := <-results; address != "" {
+			unsupported = append(unsupported, address)
 		}
 	}
-	if len(old) == 0 {
+	if len(unsupported) == 0 {
 		s.supportedAt = now
 		return true
 	}
 	s.unsupportedAt = now
-	d.process.Log.Warn().Str("kind", "quarantine").Strs("replicas", old).Msg("no request is held by all: replicas of an earlier version don't know such orders")
+	d.process.Log.Warn().Str("kind", "quarantine").Strs("replicas", unsupported).Msg("requests are not quarantined at all boxes: replicas of an earlier version don't support it")
 	return false
 }
 
-// askHello asks another replica who it is.
+// askHello asks another replica for its identity and features.
 func (d *Daemon) askHello(ctx context.Context, address string) (*wire.HelloAnswer, error) {
 	answer, err := d.node.Call(ctx, address, &wire.CallRequest{Hello: &wire.HelloRequest{}})
 	return answer.GetHello(), err
 }
 
-// submitListChange has an order settled and reports whether that is known.
-func (d *Daemon) submitListChange(ctx context.Context, o quarantine.ListChange) bool {
-	command := &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}
+// submitListChange submits a change to the quarantine list and reports whether it is known to be
+// committed.
+func (d *Daemon) submitListChange(ctx context.Context, change quarantine.ListChange) bool {
+	command := &wire.QuarantineCommand{Request: change.Entry.Message(), Release: change.Release}
 	_, err := d.replica.submit(ctx, &wire.Command{Quarantine: command})
-	line := d.process.Log.Warn()
+	entry := d.process.Log.Warn()
 	if err != nil {
-		line = line.Err(err)
+		entry = entry.Err(err)
 	}
-	line.Str("kind", "quarantine").Str("digest", o.Entry.Request.String()).Str("action", actionName(o)).Str("reason", o.Reason).
-		Str("route", o.Entry.Route).Str("service", o.Entry.Service).Bool("allCallers", o.Entry.Caller == quarantine.AnyCaller).
-		Strs("endedTargets", o.Entry.CrashedTargets).Time("until", o.Entry.Until).Msg("a request under which targets ended")
+	entry.Str("kind", "quarantine").Str("digest", change.Entry.Request.String()).Str("action", actionName(change)).Str("reason", change.Reason).
+		Str("route", change.Entry.Route).Str("service", change.Entry.Service).Bool("allCallers", change.Entry.Caller == quarantine.AnyCaller).
+		Strs("endedTargets", change.Entry.CrashedTargets).Time("until", change.Entry.Until).Msg("quarantine list change submitted")
 	return err == nil
 }
 
-func actionName(o quarantine.ListChange) string {
+func actionName(change quarantine.ListChange) string {
 	switch {
-	case o.Release:
+	case change.Release:
 		return "release"
-	case o.Entry.Held:
+	case change.Entry.Held:
 		return "hold"
 	}
 	return "watch"
 }
 
-// getQuarantine lists the requests that are watched or held.
+// getQuarantine lists the requests on probation and in quarantine.
 func (d *Daemon) getQuarantine(c iris.Context) {
 	state, ok := d.catalogState(c)
 	if !ok {
@@ -226,15 +230,15 @@
 			EndedTargets: e.CrashedTargets, UntilUnixMilli: e.Until.UnixMilli(),
 		})
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
-// releaseCommand lets a request go, whoever the caller.
+// releaseCommand returns the command that releases a request for all callers.
 func releaseCommand(d quarantine.Digest) *wire.QuarantineCommand {
 	return &wire.QuarantineCommand{Request: &wire.Quarantined{Digest: d[:]}, Release: true, Every: true}
 }
 
-// deleteQuarantined lets a request go, for all callers.
+// deleteQuarantined releases a request for all callers.
 func (d *Daemon) deleteQuarantined(c iris.Context) {
 	digest, err := quarantine.ParseDigest(c.Params().Get("digest"))
 	if err != nil {
@@ -256,6 +260,6 @@
 		return
 	}
 	d.process.Log.Warn().Str("kind", "quarantine").Str("digest", digest.String()).Str("action", "release").
-		Str("reason", "an operator asked for it").Msg("a request under which targets ended")
-	_ = c.JSON(operator.Quarantined{Digest: digest.String()}) // the client sees a broken answer
+		Str("reason", "an operator asked for it").Msg("quarantined request released")
+	_ = c.JSON(operator.Quarantined{Digest: digest.String()}) // the client notices a failed write
 }
--- a/internal/control/registrationcalls.go
+++ b/internal/control/registrationcalls.go
@@ -11,7 +11,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// commitUpdates has the leader settle updates, and returns the outcome of each.
+// commitUpdates has the leader commit updates and returns the outcome of each.
 func (d *Daemon) commitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
 	ctx, done := d.leadership.untilChange(ctx)
 	defer done()
@@ -29,7 +29,7 @@
 	return d.forwardUpdates(ctx, address, batch)
 }
 
-// repeatError returns an error for each of some updates.
+// repeatError returns a slice that holds an error count times.
 func repeatError(count int, err error) []error {
 	out := make([]error, count)
 	for i := range out {
@@ -38,37 +38,38 @@
 	return out
 }
 
-// forwardUpdates has the leader settle updates for this replica. Those that came from another
-// one are not handed on again.
+// forwardUpdates has the leader commit updates. Updates that another replica forwarded to this one
+// are not forwarded again.
 func (d *Daemon) forwardUpdates(ctx context.Context, leader string, batch []*pendingUpdate) []error {
 	out := repeatError(len(batch), &consensus.NotLeaderError{})
 	request := &wire.WordsRequest{}
-	var places []int
+	var positions []int
 	now := d.clock.Now()
 	for i, update := range batch {
 		if update.forwarded {
 			continue
 		}
-		places = append(places, i)
+		positions = append(positions, i)
 		request.Words = append(request.Words, &wire.WaitingWord{Word: update.command, LeftMilli: update.deadline.Sub(now).Milliseconds()})
 	}
-	if len(places) == 0 {
+	if len(positions) == 0 {
 		return out
 	}
 	answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Words: request})
-	var earlier *link.RemoteError
-	if errors.As(err, &earlier) {
+	var remote *link.RemoteError
+	if errors.As(err, &remote) {
 		d.forwardOneByOne(ctx, leader, batch, out)
 		return out
 	}
-	for n, i := range places {
+	for n, i := range positions {
 		out[i] = updateError(answer.GetWords(), n, err)
 	}
 	return out
 }
 
-// forwardOneByOne hands updates on to a leader of an earlier version, which takes no updates
-// together: one that knows them answers each, and no error for all.
+// forwardOneByOne forwards updates to a leader of an earlier version, which does not support
+// batches. A leader that supports them reports an outcome for each update instead of one error for
+// the call.
 func (d *Daemon) forwardOneByOne(ctx context.Context, leader string, batch []*pendingUpdate, out []error) {
 	var running sync.WaitGroup
 	for i, update := range batch {
@@ -82,35 +83,35 @@
 	running.Wait()
 }
 
-// UpdateRefusedError says why the leader did not settle an update.
+// UpdateRefusedError reports why the leader did not commit an update.
 type UpdateRefusedError struct{ Reason string }
 
 // Error implements error.
 func (e *UpdateRefusedError) Error() string { return "the leader did not settle it: " + e.Reason }
 
-func updateError(a *wire.WordsAnswer, place int, err error) error {
+func updateError(a *wire.WordsAnswer, index int, err error) error {
 	switch {
 	case err != nil:
 		return err
-	case place < len(a.GetSettled()) && a.Settled[place]:
+	case index < len(a.GetSettled()) && a.Settled[index]:
 		return nil
 	}
 	return &UpdateRefusedError{a.GetFailure()}
 }
 
-// serveUpdates settles updates for another replica.
+// serveUpdates commits updates on behalf of another replica.
 func (d *Daemon) serveUpdates(ctx context.Context, request *wire.WordsRequest) *wire.CallAnswer {
 	out := &wire.WordsAnswer{Settled: make([]bool, len(request.Words))}
 	replies := make([]<-chan error, len(request.Words))
-	for i, asked := range request.Words {
-		if asked.Word.GetRegistration() == nil {
+	for i, waiting := range request.Words {
+		if waiting.Word.GetRegistration() == nil {
 			out.Failure = "a update without content"
 			continue
 		}
-		left := time.Duration(asked.LeftMilli) * time.Millisecond
-		asker, cancel := context.WithTimeout(ctx, left)
-		reply, err := d.registrations.enqueue(asker, asked.Word, true)
-		cancel() // its deadline is what counts
+		remaining := time.Duration(waiting.LeftMilli) * time.Millisecond
+		callerCtx, cancel := context.WithTimeout(ctx, remaining)
+		reply, err := d.registrations.enqueue(callerCtx, waiting.Word, true)
+		cancel() // enqueue only reads the deadline of the context
 		if err != nil {
 			out.Failure = err.Error()
 			continue
@@ -134,8 +135,7 @@
 	return &wire.CallAnswer{Words: out}
 }
 
-// submitUpdates has updates proposed together and waits for their outcomes until the
-// context ends.
+// submitUpdates proposes updates together and waits for their outcomes until the context ends.
 func (r *replica) submitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
 	out := repeatError(len(batch), &UnavailableError{Cause: errNotCommitted})
 	commands := make([]*wire.Command, len(batch))
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -12,12 +12,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// updateBatches bounds what registration updates take of a replica. A update by itself costs the
-// leader a message to each of eight replicas, their answers and a call; a batch pays that
-// once. What is under way is what an operator's document waits behind at most. NominalDuration
-// and MinTimeLeft are a round trip between regions to the leader, one to a quorum and a sync.
-// MinInterval is that of updates to subscribers (package relay): settled sooner, an update
-// is not told sooner.
+// updateBatches bounds the resources that registration updates use at a replica. An update in a
+// batch of its own costs the leader a message to each of eight replicas, their answers and a call;
+// a larger batch pays that once. An operator's document waits at most behind the batches in
+// flight. NominalDuration and MinTimeLeft allow for a round trip between regions to the leader,
+// one to a quorum and a sync. MinInterval equals the interval of updates to subscribers (package
+// relay): committing an update sooner would not publish it sooner.
 var updateBatches = batch.Config{
 	MaxItems:        64,
 	MaxInFlight:     4,
@@ -26,26 +26,27 @@
 	MinTimeLeft:     150 * time.Millisecond,
 }
 
-// pendingUpdate is a target's update whose askers wait for what becomes of it.
+// pendingUpdate is a registration update whose callers wait for the outcome.
 type pendingUpdate struct {
 	key     updateKey
 	command *wire.RegistrationCommand
-	// deadline is when its first asker gives up. Who joined it later and still waits
-	// then tells it again.
+	// deadline is when the first caller gives up. A caller that joined later and still waits then
+	// submits the update again.
 	deadline time.Time
-	// forwarded tells that another replica has handed it on: it isn't handed on again.
+	// forwarded is set if another replica forwarded the update. It is not forwarded again.
 	forwarded bool
-	// replies have room for one outcome each; the lock of updates guards them.
+	// replies have capacity for one outcome each. The lock of the queue guards them.
 	replies []chan<- error
 }
 
-// updateKey tells an update that comes again while it waits.
+// updateKey identifies an update that is submitted again while it is pending.
 type updateKey struct {
 	id       string
 	born     int64
 	sequence uint64
 	leave    bool
-	// forwarded updates don't join those that were told here, which are handed on.
+	// forwarded keeps updates from other replicas apart from those submitted here, since only the
+	// latter are forwarded.
 	forwarded bool
 }
 
@@ -54,19 +55,19 @@
 	return updateKey{r.Id, r.BornUnixMilli, r.Sequence, c.Leave, forwarded}
 }
 
-// registrationQueue has registration updates settled by the leader, in batches. A update that is told
-// again while it waits is settled once.
+// registrationQueue has the leader commit registration updates in batches. An update that is
+// submitted again while it is pending is committed once.
 type registrationQueue struct {
-	// commit tries to have updates settled and returns the outcome of each.
+	// commit attempts to commit a batch and returns the outcome of each update.
 	commit func(ctx context.Context, batch []*pendingUpdate) []error
-	// onExpired is told of updates that are onExpired go as their askers had gone.
+	// onExpired is called with the number of updates dropped because their callers gave up.
 	onExpired func(count int)
 
 	mu      sync.Mutex
 	batcher *batch.Batcher[*pendingUpdate]
 	pending map[updateKey]*pendingUpdate
 	clock   *boottime.Clock
-	// wakeup holds a token when a batch may begin.
+	// wakeup holds a token when a batch may start.
 	wakeup chan struct{}
 }
 
@@ -79,11 +80,11 @@
 	}
 }
 
-// errNotCommitted says that no leader settled an update while its asker waited.
+// errNotCommitted reports that no leader committed an update before its deadline.
 var errNotCommitted = errors.New("not settled in time")
 
-// submit has an update settled and waits for it until the context ends. The error is that
-// of the last try, a batch.BusyError or the context's.
+// submit queues an update and waits for its outcome until the context ends. The error is that of
+// the last attempt, a batch.BusyError or the context's error.
 func (q *registrationQueue) submit(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) error {
 	reply, err := q.enqueue(ctx, c, forwarded)
 	if err != nil {
@@ -97,10 +98,11 @@
 	}
 }
 
-// defaultUpdateTimeout bounds how long an update is tried for an asker that names no time.
+// defaultUpdateTimeout bounds the attempts to commit an update if the caller's context has no
+// deadline.
 const defaultUpdateTimeout = 4 * time.Second
 
-// enqueue has an update settled; what becomes of it comes on the channel.
+// enqueue queues an update. Its outcome is sent on the returned channel.
 func (q *registrationQueue) enqueue(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) (<-chan error, error) {
 	now := q.clock.Now()
 	deadline, ok := q.clock.Deadline(ctx)
@@ -111,8 +113,8 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	key := newUpdateKey(c, forwarded)
-	if known := q.pending[key]; known != nil {
-		known.replies = append(known.replies, reply)
+	if existing := q.pending[key]; existing != nil {
+		existing.replies = append(existing.replies, reply)
 		return reply, nil
 	}
 	update := &pendingUpdate{key: key, command: c, deadline: deadline, forwarded: forwarded, replies: []chan<- error{reply}}
@@ -131,52 +133,52 @@
 	}
 }
 
-// run begins batches until the context ends, and waits for those under way.
+// run starts batches until the context ends, and then waits for those in flight.
 func (q *registrationQueue) run(ctx context.Context) error {
 	ended := make(chan time.Duration)
-	underWay := 0
+	inFlight := 0
 	for {
 		for {
-			begin := q.next(q.clock.Now())
-			if len(begin) == 0 {
+			batch := q.next(q.clock.Now())
+			if len(batch) == 0 {
 				break
 			}
-			underWay++
-			go func() { ended <- q.runBatch(ctx, begin) }()
+			inFlight++
+			go func() { ended <- q.runBatch(ctx, batch) }()
 		}
 		timer := time.NewTimer(q.untilNext(q.clock.Now()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			for range underWay {
+			for range inFlight {
 				<-ended
 			}
 			return ctx.Err()
 		case <-q.wakeup:
 		case <-timer.C:
 		case took := <-ended:
-			underWay--
+			inFlight--
 			q.recordDone(took)
 		}
 		timer.Stop()
 	}
 }
 
-// next returns the batch to begin now and answers the updates that are let go.
+// next returns the batch to start now and fails the updates whose deadline is too close.
 func (q *registrationQueue) next(now time.Time) []*pendingUpdate {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	begin, late := q.batcher.Next(now)
-	for _, update := range late {
+	ready, expired := q.batcher.Next(now)
+	for _, update := range expired {
 		q.answer(update, &UnavailableError{Cause: errNotCommitted})
 	}
-	if len(late) > 0 {
-		q.onExpired(len(late))
+	if len(expired) > 0 {
+		q.onExpired(len(expired))
 	}
-	return begin
+	return ready
 }
 
-// idleInterval is how long nothing is looked for while no update waits.
+// idleInterval is the timer interval while no update is queued.
 const idleInterval = time.Minute
 
 func (q *registrationQueue) untilNext(now time.Time) time.Duration {
@@ -195,7 +197,7 @@
 	q.batcher.Done(took)
 }
 
-// answer tells the askers of an update what became of it. Its lock is held.
+// answer sends the outcome of an update to its callers. The lock is held.
 func (q *registrationQueue) answer(update *pendingUpdate, err error) {
 	delete(q.pending, update.key)
 	for _, reply := range update.replies {
@@ -203,8 +205,8 @@
 	}
 }
 
-// runBatch tries a batch until each update is settled or its askers have gone, and returns
-// how long that took.
+// runBatch attempts to commit a batch until every update is committed or its deadline has passed,
+// and returns how long that took.
 func (q *registrationQueue) runBatch(ctx context.Context, batch []*pendingUpdate) time.Duration {
 	began := q.clock.Now()
 	for len(batch) > 0 {
@@ -221,7 +223,7 @@
 	return q.clock.Since(began)
 }
 
-// commitOnce tries until the last asker has gone.
+// commitOnce makes one attempt, bounded by the latest deadline in the batch.
 func (q *registrationQueue) commitOnce(ctx context.Context, batch []*pendingUpdate) []error {
 	last := slices.MaxFunc(batch, func(a, b *pendingUpdate) int { return a.deadline.Compare(b.deadline) })
 	ctx, cancel := q.clock.WithDeadline(ctx, last.deadline)
@@ -229,16 +231,15 @@
 	return q.commit(ctx, batch)
 }
 
-// resolve answers the updates that are settled or whose time is over, and returns the
-// others.
-func (q *registrationQueue) resolve(ctx context.Context, batch []*pendingUpdate, outcomes []error) (left []*pendingUpdate) {
+// resolve answers the updates that are committed or will not be retried, and returns the others.
+func (q *registrationQueue) resolve(ctx context.Context, batch []*pendingUpdate, outcomes []error) (remaining []*pendingUpdate) {
 	now := q.clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, update := range batch {
 		err := outcomes[i]
 		if err != nil && ctx.Err() == nil && !update.forwarded && update.deadline.After(now.Add(leaderRetryDelay)) {
-			left = append(left, update)
+			remaining = append(remaining, update)
 			continue
 		}
 		if err != nil {
@@ -246,5 +247,5 @@
 		}
 		q.answer(update, err)
 	}
-	return left
+	return remaining
 }
--- a/internal/control/replica.go
+++ b/internal/control/replica.go
@@ -1,6 +1,5 @@
-// Package control is the daemon of a control replica: it hosts the replicated
-// log, accepts operators' changes, publishes the state to the entry boxes and
-// takes shifts forward.
+// Package control implements a control replica: it hosts the replicated log, accepts operators'
+// changes, publishes the state to the entry boxes and advances shifts.
 package control
 
 import (
@@ -17,7 +16,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// replyFunc takes the outcome of a proposed command. It does not wait.
+// replyFunc receives the outcome of a proposed command. It must not block.
 type replyFunc func(outcome)
 
 type waitingProposal struct {
@@ -25,7 +24,7 @@
 	reply replyFunc
 }
 
-// replica hosts the consensus state machine. Its loop owns all fields.
+// replica hosts the consensus state machine. The goroutine of its loop owns all fields.
 type replica struct {
 	id            string
 	config        consensus.Config
@@ -36,11 +35,11 @@
 	applied       uint64
 	snapshot      uint64
 	snapshotEvery uint64
-	// committed are entries that are not applied yet, and readsDue the reads that
-	// wait for some of them.
+	// committed holds committed entries that have not been applied yet, and readsDue the reads
+	// that wait for some of them.
 	committed []*wire.Entry
 	readsDue  []consensus.ReadResult
-	// proposed are commands that are handed to the machine together.
+	// proposed holds commands that will be passed to the state machine together.
 	proposed []consensus.Propose
 
 	now       func() time.Time
@@ -56,27 +55,28 @@
 	onNotice  func(consensus.Notice)
 	onApplied func(*wire.Command, steering.Result)
 	onSynced  func(time.Duration)
-	// onDequeued is told how long an input onDequeued for the loop, and whether its asker had
-	// gone meanwhile, so that it was not handled.
+	// onDequeued receives how long an input waited for the loop, and whether its caller had given
+	// up by then, in which case it was not handled.
 	onDequeued func(kind string, wait time.Duration, abandoned bool)
-	// onDiskChange is told that the onDiskChange is full, and with nil that it has room again.
+	// onDiskChange is called with an error when the disk becomes full, and with nil when it has
+	// space again.
 	onDiskChange func(*FullDiskError)
 
-	// diskFull tells that the disk takes nothing; room is looked for at nextLook.
+	// diskFull is set while the disk is full; the next check for free space is at nextDiskProbe.
 	diskFull      *FullDiskError
 	nextDiskProbe time.Time
 }
 
-// maxInputsPerSync is how many inputs one sync serves at most.
+// maxInputsPerSync bounds the inputs that share one sync of the journal.
 const maxInputsPerSync = 256
 
-// openReplica recovers a replica from its data folder.
-func openReplica(now func() time.Time, c consensus.Config, j *journal.Journal, found *journal.Recovered, every int) (*replica, error) {
+// openReplica recovers a replica from its data directory.
+func openReplica(now func() time.Time, c consensus.Config, j *journal.Journal, found *journal.Recovered, interval int) (*replica, error) {
 	r := &replica{
 		id:            found.ID,
 		config:        c,
 		journal:       j,
-		snapshotEvery: uint64(every),
+		snapshotEvery: uint64(interval),
 		now:           now,
 		inbox:         newInbox(),
 		proposing:     make(map[uint64]replyFunc),
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// run is the loop. It returns when the context ends or the disk fails: a
-// replica that can't sync must not go on. A full disk is waited for.
+// run is the loop. It returns when the context ends or the disk fails, because a replica that
+// can't sync must not continue. If the disk is full, it waits for free space.
 func (r *replica) run(ctx context.Context) error {
 	tick := time.NewTimer(r.untilTick())
 	defer tick.Stop()
@@ -143,14 +143,14 @@
 	}
 }
 
-// closed is a channel that can be read at any time.
+// closed is a closed channel, from which a receive never blocks.
 var closed = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// applyReady can be read while committed entries wait to be applied.
+// applyReady returns a channel that is ready while committed entries wait to be applied.
 func (r *replica) applyReady() <-chan struct{} {
 	if len(r.committed) == 0 {
 		return nil
@@ -160,8 +160,8 @@
 
 const ticksPerElection = 20
 
-// untilTick returns when the machine must be told of the time again: sooner
-// than usual if it is about to ask for votes.
+// untilTick returns the time until the state machine's next tick: the usual interval, or less if
+// an election is due sooner.
 func (r *replica) untilTick() time.Duration {
 	timeout := r.config.ElectionTimeout
 	if timeout == 0 {
@@ -177,8 +177,8 @@
 	return usual
 }
 
-// drain handles an input and those that already wait, so that one sync serves
-// them all and commands travel together.
+// drain handles an input and those already queued, so that they share one sync and their commands
+// are proposed together.
 func (r *replica) drain(a queuedMessage) consensus.Output {
 	return r.drainInbox(r.dispatchQueued(a))
 }
@@ -194,8 +194,8 @@
 	return out.Merge(r.proposeQueued())
 }
 
-// dispatchQueued takes an input that has waited. One whose asker has gone is dropped:
-// the asker has asked again, and doing both would add to what made it wait.
+// dispatchQueued handles an input from a queue. It is dropped if its caller has given up: the
+// caller has retried, and handling both would add to the load that delayed it.
 func (r *replica) dispatchQueued(a queuedMessage) consensus.Output {
 	abandoned := a.abandoned()
 	r.onDequeued(inputKind(a.message), r.clock.Since(a.queuedAt), abandoned)
@@ -205,10 +205,10 @@
 	return r.dispatch(a.message)
 }
 
-// handle takes one message and proposes what it asks for.
+// handle handles one message and proposes the resulting commands.
 func (r *replica) handle(m message) consensus.Output { return r.dispatch(m).Merge(r.proposeQueued()) }
 
-// dispatch takes a message. Commands wait for propose.
+// dispatch handles a message. Commands are queued for proposeQueued.
 func (r *replica) dispatch(m message) consensus.Output {
 	if r.diskFull != nil {
 		r.reject(m)
@@ -242,7 +242,7 @@
 	return consensus.Output{}
 }
 
-// queueProposal has a command proposed with the next ones.
+// queueProposal queues a command to be proposed with others.
 func (r *replica) queueProposal(c *wire.Command, reply replyFunc) {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -254,7 +254,7 @@
 	r.proposed = append(r.proposed, consensus.Propose{Token: r.lastToken, Data: data})
 }
 
-// proposeQueued hands the commands that were kept to the machine.
+// proposeQueued proposes the queued commands.
 func (r *replica) proposeQueued() consensus.Output {
 	if len(r.proposed) == 0 {
 		return consensus.Output{}
@@ -264,7 +264,7 @@
 	return r.machine.Handle(r.now(), consensus.ProposeBatch{Proposals: proposals})
 }
 
-// bootstrap gives a replica on an empty disk its first membership.
+// bootstrap sets the first membership of a replica on an empty disk.
 func (r *replica) bootstrap(now time.Time, m *wire.Membership) consensus.Output {
 	if len(r.machine.Membership().Voters) > 0 {
 		return consensus.Output{}
@@ -284,7 +284,8 @@
 	return consensus.Output{HardState: hs, Snapshot: s}
 }
 
-// handleOutput does what an output asks for. If the disk has no room, the replica rests.
+// handleOutput carries out an output of the state machine. If the disk is full, the replica
+// pauses.
 func (r *replica) handleOutput(out consensus.Output) error {
 	err := r.performOutput(out)
 	if !isFull(err) {
@@ -294,8 +295,8 @@
 	return nil
 }
 
-// performOutput stores what must be durable, then does all else. Messages go out
-// before anything is applied, so that the others hear of it while this one does.
+// performOutput stores what must be durable before anything else. Messages are sent before entries
+// are applied, so that the others work on them in the meantime.
 func (r *replica) performOutput(out consensus.Output) error {
 	if out.NeedsSync() {
 		if err := r.store(out); err != nil {
@@ -351,8 +352,7 @@
 	r.waiting[p.Index] = waitingProposal{p.Term, reply}
 }
 
-// compact takes a snapshot when enough entries have been applied since the
-// last one.
+// compact takes a snapshot once enough entries have been applied since the last one.
 func (r *replica) compact() error {
 	if r.applied < r.snapshot+r.snapshotEvery {
 		return nil
--- a/internal/control/requests.go
+++ b/internal/control/requests.go
@@ -9,11 +9,11 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// call sends a message to the loop and waits for the answer.
-func call[T any](ctx context.Context, r *replica, question func(chan<- T) message) (T, error) {
+// call sends a message to the loop and waits for the reply.
+func call[T any](ctx context.Context, r *replica, request func(chan<- T) message) (T, error) {
 	var zero T
 	reply := make(chan T, 1)
-	if err := r.inbox.put(ctx, question(reply)); err != nil {
+	if err := r.inbox.put(ctx, request(reply)); err != nil {
 		return zero, err
 	}
 	select {
@@ -43,8 +43,8 @@
 	return errors.Join(err, o.err)
 }
 
-// deliver hands a consensus message to the loop; a full inbox drops it, as a
-// network may.
+// deliver queues a consensus message for the loop. It is dropped if the queue is full, as on a
+// lossy network.
 func (r *replica) deliver(m *wire.ConsensusMessage) { _ = r.inbox.tryPut(receivedMessage{m}) }
 
 func addressOf(m *wire.Membership, id string) string {
--- a/internal/control/routesdecoder.go
+++ b/internal/control/routesdecoder.go
@@ -8,7 +8,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// routesDecoder reads the document of routes that a state holds, each once.
+// routesDecoder decodes the routes document of a state and caches the last one.
 type routesDecoder struct {
 	decode  func(text []byte) (catalog.Document, error)
 	onError func(number uint64, err error)
@@ -18,30 +18,31 @@
 	err     error
 }
 
-// decodeOnce returns a document. One that can't be decodeOnce is told of once.
-func (f *routesDecoder) decodeOnce(text *wire.RoutesDocument) (catalog.Document, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if text == f.source {
-		return f.decoded, f.err
+// decodeOnce returns the decoded document. It calls onError once for a document that can't be
+// decoded.
+func (r *routesDecoder) decodeOnce(document *wire.RoutesDocument) (catalog.Document, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if document == r.source {
+		return r.decoded, r.err
 	}
-	f.source = text
-	f.decoded, f.err = f.decode(text.GetText())
-	if f.err != nil {
-		f.onError(text.GetNumber(), f.err)
+	r.source = document
+	r.decoded, r.err = r.decode(document.GetText())
+	if r.err != nil {
+		r.onError(document.GetNumber(), r.err)
 	}
-	return f.decoded, f.err
+	return r.decoded, r.err
 }
 
-// checkService reports a service that the document in force does not have. Before
-// there is one, or where it can't be read, any service may be named.
-func (f *routesDecoder) checkService(text *wire.RoutesDocument, name string) error {
-	if text == nil {
+// checkService reports a service that the active routes document does not define. Any service is
+// accepted if there is no document or it can't be decoded.
+func (r *routesDecoder) checkService(document *wire.RoutesDocument, name string) error {
+	if document == nil {
 		return nil
 	}
-	d, err := f.decodeOnce(text)
+	d, err := r.decodeOnce(document)
 	if err != nil {
-		return nil // told of by read
+		return nil // logged by decodeOnce
 	}
 	if slices.ContainsFunc(d.Services, func(s catalog.Service) bool { return s.Name == name }) {
 		return nil
@@ -51,5 +52,5 @@
 
 func (d *Daemon) logInvalidRoutes(number uint64, err error) {
 	d.process.Log.Error().Str("kind", "routes").Uint64("number", number).Err(err).
-		Msg("can't read the document of routes; the limits and services before stay in force")
+		Msg("cannot decode the routes document; the previous limits and services stay in effect")
 }
--- a/internal/control/servingboxes.go
+++ b/internal/control/servingboxes.go
@@ -8,12 +8,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// servingListTTL is for how long the list of boxes that serve is kept for look-ups, unless
-// a report changes it: a twentieth of the time for which callers keep an answer. Look-ups
-// come more often, and each would make the list anew.
+// servingListTTL is how long the list of serving boxes is cached for lookups unless a report
+// changes it: a twentieth of the time for which callers cache an answer. Lookups are more frequent
+// than that, and each would otherwise rebuild the list.
 const servingListTTL = 50 * time.Millisecond
 
-// servingBoxes keeps the boxes that serve callers.
+// servingBoxes caches the list of boxes that serve callers.
 type servingBoxes struct {
 	mu        sync.Mutex
 	listedAt  time.Time
@@ -21,7 +21,7 @@
 	addresses map[string]bool
 }
 
-// get returns the list, made anew by a function if it is old.
+// get returns the cached list, rebuilt with fill if it has expired.
 func (s *servingBoxes) get(now time.Time, fill func() []lookup.BoxLocation) []lookup.BoxLocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,8 @@
 	return s.list
 }
 
-// invalidateIfChanged takes a report: one of a box that stops or is new makes the list old.
+// invalidateIfChanged drops the cached list if a box reports that it is stopping or reports for
+// the first time.
 func (s *servingBoxes) invalidateIfChanged(b *wire.BoxReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/control/shifts.go
+++ b/internal/control/shifts.go
@@ -12,8 +12,8 @@
 
 const planInterval = 250 * time.Millisecond
 
-// planShifts takes running shifts forward while this replica leads. A new
-// leader begins with no readings and so waits for fresh ones.
+// planShifts advances running shifts while this replica leads. A new leader has no measurements
+// and therefore waits for new ones.
 func (d *Daemon) planShifts(ctx context.Context) error {
 	planner := shift.NewPlanner(d.clock.Now())
 	led := false
@@ -44,35 +44,35 @@
 	}
 }
 
-// observe sums the boxes' reports to readings of regions. A reading is as old
-// as the oldest report in it, and a zone without one makes the region's
-// capacity smaller, never larger.
+// observe aggregates the boxes' reports to measurements per service and region. A measurement is
+// as old as its oldest report. A missing report from an availability zone makes the capacity of
+// the region smaller, never larger.
 func (d *Daemon) observe(p *shift.Planner, t settings.Tree) {
-	type place struct{ service, region string }
+	type serviceRegion struct{ service, region string }
 	regionOf := make(map[string]string)
 	for _, z := range t.Zones() {
 		regionOf[z.Name] = z.Region
 	}
-	readings := make(map[place]*shift.Measurement)
+	measurements := make(map[serviceRegion]*shift.Measurement)
 	now := d.clock.Now()
 	for _, b := range d.publisher.Reports() {
 		at := now.Add(-time.Duration(b.AgeMilli) * time.Millisecond)
 		for _, pool := range b.Pools {
-			k := place{pool.Service, regionOf[b.Zone]}
-			r := readings[k]
-			if r == nil {
-				r = &shift.Measurement{Service: k.service, Region: k.region, At: at}
-				readings[k] = r
+			key := serviceRegion{pool.Service, regionOf[b.Zone]}
+			measurement := measurements[key]
+			if measurement == nil {
+				measurement = &shift.Measurement{Service: key.service, Region: key.region, At: at}
+				measurements[key] = measurement
 			}
-			r.Capacity += float64(pool.Capacity)
-			r.InUse += float64(pool.Busy)
-			if at.Before(r.At) {
-				r.At = at
+			measurement.Capacity += float64(pool.Capacity)
+			measurement.InUse += float64(pool.Busy)
+			if at.Before(measurement.At) {
+				measurement.At = at
 			}
 		}
 	}
-	for _, r := range readings {
-		p.Observe(*r)
+	for _, measurement := range measurements {
+		p.Observe(*measurement)
 	}
 }
 
@@ -88,8 +88,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	// A step whose outcome is not known is numbered, so planning it again
-	// can't carry it out twice.
+	// Steps are numbered, so planning a step again after an unknown outcome can't apply it twice.
 	_, _ = d.replica.submit(ctx, &wire.Command{Shift: decision.Command})
 }
 
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// silentAfter is when a box or replica that does not report needs a look:
-	// two refreshes and the way through the relays.
+	// silentAfter is how long a box or replica may be silent before it needs attention: two
+	// refresh intervals and the delay of the relays.
 	silentAfter = 2*relay.RefreshInterval + 2*time.Second
-	// lagAfter is for how long a box may lack the present version.
+	// lagAfter is how long a box may lag behind the current version before it needs attention.
 	lagAfter = 3 * time.Second
 )
 
@@ -38,7 +38,7 @@
 		d.failWith(c, &consensus.NotLeaderError{Leader: v.status.Leader})
 		return
 	}
-	_ = c.JSON(d.status(v)) // the client sees a broken answer
+	_ = c.JSON(d.status(v)) // the client notices a failed write
 }
 
 func (d *Daemon) status(v view) operator.Status {
@@ -95,7 +95,7 @@
 	return out
 }
 
-// boxes returns every entry box of the settings with what it last reported.
+// boxes returns every entry box in the settings with its latest report.
 func (d *Daemon) boxes(v view) []operator.Box {
 	reports := make(map[string]*wire.BoxReport)
 	for _, b := range d.publisher.Reports() {
@@ -136,7 +136,7 @@
 	return out
 }
 
-// attention lists what a person should look at.
+// attention lists the conditions that need an operator's attention.
 func attention(s operator.Status) []string {
 	var out []string
 	if s.CutOff {
@@ -165,7 +165,7 @@
 	return out
 }
 
-// getTimeline asks every known process for its events and merges them.
+// getTimeline collects the events of all known processes and merges them.
 func (d *Daemon) getTimeline(c iris.Context) {
 	filter := &wire.TimelineRequest{
 		Request: c.URLParam("request"),
@@ -195,7 +195,7 @@
 			Detail:        e.Detail,
 		})
 	}
-	_ = c.JSON(out) // the client sees a broken answer
+	_ = c.JSON(out) // the client notices a failed write
 }
 
 func (d *Daemon) processAddresses(v view) []string {
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -15,25 +15,24 @@
 )
 
 const (
-	// leaderCallTimeout bounds what is done for an asker that does not tell how long
-	// it waits: a round trip between regions to the leader, one to a quorum and a sync
-	// take about 150 ms.
+	// leaderCallTimeout bounds the work for a caller that states no deadline. A round trip between
+	// regions to the leader, one to a quorum and a sync take about 150 ms.
 	leaderCallTimeout = 600 * time.Millisecond
-	// leaderRetryDelay is the wait before the leader is asked again or sought anew.
+	// leaderRetryDelay is the delay before the leader is called or looked up again.
 	leaderRetryDelay = 50 * time.Millisecond
 )
 
-// RefusedError says that the replicated state refused a command.
+// RefusedError reports that the replicated state machine rejected a command.
 type RefusedError struct {
 	Reason string
-	// Conflict tells that the command was made against another version.
+	// Conflict is set if the command was based on another version.
 	Conflict bool
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// UnavailableError says that no leader settled a command or read in time.
+// UnavailableError reports that no leader completed a command or read in time.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -41,15 +40,14 @@
 	return fmt.Sprintf("no leader answered in time: %v", e.Cause)
 }
 
-// Unwrap returns what went wrong last.
+// Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Submit has a command settled by the leader, wherever that is. It returns nil
-// once a majority has stored the command, a RefusedError if the state refused
-// it, or an UnavailableError if its fate is not known when the context ends.
-// The commands of the catalog may be repeated without harm, so a try whose
-// fate is not known is repeated once the leader has changed. Before, it may still be
-// settled, and doing it twice would add to what it waits for.
+// Submit has the leader, on whichever replica it runs, commit a command. It returns nil once a
+// majority has stored the command, a RefusedError if the state machine rejected it, or an
+// UnavailableError if the outcome is unknown when the context ends. Catalog commands are
+// idempotent, so an attempt with an unknown outcome is repeated once the leader has changed. Until
+// then it may still be committed, and repeating it would add to the load that it waits for.
 func (d *Daemon) Submit(ctx context.Context, c *wire.Command) error {
 	return d.withLeader(ctx, func(ctx context.Context, leader string) error {
 		if leader == "" {
@@ -66,7 +64,7 @@
 	})
 }
 
-// Document reads the document of routes in force through a quorum.
+// Document reads the active routes document through a quorum.
 func (d *Daemon) Document(ctx context.Context) (*wire.RoutesDocument, error) {
 	var document *wire.RoutesDocument
 	err := d.withLeader(ctx, func(ctx context.Context, leader string) error {
@@ -85,7 +83,7 @@
 	return document, err
 }
 
-// documentOf returns the document that an answer holds, or nil.
+// documentOf returns the document in an answer, or nil if there is none.
 func documentOf(a *wire.ReadAnswer) (*wire.RoutesDocument, error) {
 	if a.GetPacked() == nil {
 		return a.GetDocument(), nil
@@ -93,8 +91,8 @@
 	return catalog.Unpack(nil, a.Packed)
 }
 
-// withLeader runs try until it succeeds, is refused or the context ends. The
-// leader's address is empty where this replica leads.
+// withLeader calls try until it succeeds, is refused or the context ends. The leader's address is
+// empty if this replica leads.
 func (d *Daemon) withLeader(ctx context.Context, try func(ctx context.Context, leader string) error) error {
 	for {
 		err := d.tryLeader(ctx, try)
@@ -110,7 +108,7 @@
 	}
 }
 
-// tryLeader runs try until it ends, the context does or the leader changes.
+// tryLeader calls try once. Its context also ends when the leader changes.
 func (d *Daemon) tryLeader(ctx context.Context, try func(ctx context.Context, leader string) error) error {
 	ctx, done := d.leadership.untilChange(ctx)
 	defer done()
@@ -128,8 +126,8 @@
 	return try(ctx, address)
 }
 
-// remainingMilli is how much longer a context lasts, for the process that is asked; zero
-// if it has no end.
+// remainingMilli returns the milliseconds until the deadline of a context, to be sent with a call,
+// or zero if it has none.
 func (d *Daemon) remainingMilli(ctx context.Context) int64 {
 	deadline, ok := d.clock.Deadline(ctx)
 	if !ok {
@@ -138,16 +136,16 @@
 	return max(d.clock.Until(deadline).Milliseconds(), 1)
 }
 
-// withCallerTimeout returns a context that ends when the asker of another process gives up.
-func withCallerTimeout(ctx context.Context, leftMilli int64) (context.Context, context.CancelFunc) {
-	left := time.Duration(leftMilli) * time.Millisecond
-	if left <= 0 {
-		left = leaderCallTimeout
+// withCallerTimeout returns a context that ends when the caller in another process gives up.
+func withCallerTimeout(ctx context.Context, remainingMilli int64) (context.Context, context.CancelFunc) {
+	remaining := time.Duration(remainingMilli) * time.Millisecond
+	if remaining <= 0 {
+		remaining = leaderCallTimeout
 	}
-	return context.WithTimeout(ctx, left)
+	return context.WithTimeout(ctx, remaining)
 }
 
-// submitError turns the outcome of a submitted command into an error.
+// submitError returns the error of a submitted command.
 func submitError(o outcome, err error) error {
 	if err != nil {
 		return err
@@ -159,7 +157,7 @@
 	return &RefusedError{Reason: o.result.Err.Error(), Conflict: errors.As(o.result.Err, &conflict)}
 }
 
-// serveSubmit settles a command for another replica.
+// serveSubmit commits a command on behalf of another replica.
 func (d *Daemon) serveSubmit(ctx context.Context, request *wire.CallRequest) *wire.CallAnswer {
 	ctx, cancel := withCallerTimeout(ctx, request.LeftMilli)
 	defer cancel()
@@ -174,7 +172,7 @@
 	return &wire.CallAnswer{Submit: &wire.SubmitAnswer{}}
 }
 
-// serveRead reads the document of routes for another replica.
+// serveRead reads the routes document on behalf of another replica.
 func (d *Daemon) serveRead(ctx context.Context, request *wire.CallRequest) *wire.CallAnswer {
 	ctx, cancel := withCallerTimeout(ctx, request.LeftMilli)
 	defer cancel()
@@ -189,7 +187,7 @@
 	return &wire.CallAnswer{Read: &wire.ReadAnswer{Packed: catalog.Pack(nil, document)}}
 }
 
-// latest returns the state that was applied last, without asking the loop for it.
+// latest returns the state that was applied last, without a request to the loop.
 func (d *Daemon) latest() steering.State {
 	if s := d.permitIssuer.state.Load(); s != nil {
 		return *s
@@ -197,21 +195,22 @@
 	return steering.State{}
 }
 
-// State returns the state as this replica knows it, which may be behind.
+// State returns the state of this replica, which may lag behind the leader's.
 func (d *Daemon) State(ctx context.Context) (steering.State, error) {
 	v, err := d.replica.view(ctx)
 	return v.state, err
 }
 
-// Boxes returns the entry boxes that reported within a time, with their age.
+// Boxes returns the entry boxes that reported within the given time, with the age of their
+// reports.
 func (d *Daemon) Boxes(within time.Duration) []*wire.BoxReport {
 	return d.publisher.Fresh(within)
 }
 
-// Log returns the log of the process.
+// Log returns the logger of the process.
 func (d *Daemon) Log() zerolog.Logger { return d.process.Log }
 
-// AddSeeds adds control replicas by which others are found.
+// AddSeeds adds addresses of control replicas through which others are discovered.
 func (d *Daemon) AddSeeds(seeds []string) {
 	m := &wire.Membership{}
 	for _, address := range seeds {
--- a/internal/control/targetindex.go
+++ b/internal/control/targetindex.go
@@ -7,16 +7,16 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// targetIndex knows by their ids the targets of the state that was applied last, so
-// that an update which says nothing new, as nearly all do, costs the same at any number of
-// targets and nothing of the replica's loop.
+// targetIndex indexes the targets of the last applied state by id. Nearly all registration updates
+// are redundant; with the index, detecting one costs the same for any number of targets and does
+// not involve the replica's loop.
 type targetIndex struct {
 	mu      sync.Mutex
 	state   catalog.State
 	targets map[string]*wire.Registration
 }
 
-// isRedundant reports whether a state holds what a target's update says.
+// isRedundant reports whether a state already holds the contents of an update.
 func (x *targetIndex) isRedundant(s catalog.State, r *wire.Registration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -30,12 +30,12 @@
 		x.targets = make(map[string]*wire.Registration)
 	}
 	if s.SharesTargets(x.state) {
-		x.state = s // so that no earlier document is kept in memory
+		x.state = s // releases earlier routes documents from memory
 		return
 	}
 	changed, ended := s.TargetsSince(x.state)
-	for _, l := range ended {
-		delete(x.targets, l.ID)
+	for _, incarnation := range ended {
+		delete(x.targets, incarnation.ID)
 	}
 	for _, r := range changed {
 		x.targets[r.Id] = r
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// maxLimitLogsPerSecond bounds the log lines on limits of targets.
+	// maxLimitLogsPerSecond bounds the log lines on rate limits of targets.
 	maxLimitLogsPerSecond = 20
-	// pruneLimitsInterval is how often targets whose lives are over are forgotten.
+	// pruneLimitsInterval is how often targets whose incarnation has ended are dropped.
 	pruneLimitsInterval = 10 * time.Second
 )
 
-// targetLimits hosts a replica's issuer of permits of targets that name limits, and what it
-// knows of those limits. It needs no leader and keeps nothing on disk: boxes tell each
-// replica what targets told them, and each ask tells it again.
+// targetLimits issues permits for targets that report a rate limit, and holds what this replica
+// knows of those limits. It needs no leader and stores nothing on disk: boxes pass on to each
+// replica what targets reported to them, and each permit request repeats it.
 type targetLimits struct {
 	clock      *boottime.Clock
 	mu         sync.Mutex
 	issuer     *quota.TargetIssuer
 	logLimiter *process.LineLimit
-	// prunedAt is when lives that are over were forgotten last.
+	// prunedAt is when ended incarnations were last dropped.
 	prunedAt time.Time
 }
 
@@ -36,7 +36,7 @@
 	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), logLimiter: process.NewLineLimit(maxLimitLogsPerSecond)}
 }
 
-// setReplicas takes the membership.
+// setReplicas sets the addresses of the replicas from a membership.
 func (t *targetLimits) setReplicas(now time.Time, m *wire.Membership) {
 	var addresses []string
 	for _, list := range [][]*wire.Replica{m.GetVoters(), m.GetLearners()} {
@@ -49,30 +49,30 @@
 	t.issuer.SetReplicas(now, addresses)
 }
 
-// apply takes registration updates and returns the changes.
+// apply applies updates of rate limits and returns what changed.
 func (t *targetLimits) apply(now time.Time, updates []*wire.TargetLimit) (changes []targetstatus.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range updates {
-		if c, changed := t.issuer.Apply(now, targetstatus.UpdateOf(now, w)); changed {
+	for _, update := range updates {
+		if c, changed := t.issuer.Apply(now, targetstatus.UpdateOf(now, update)); changed {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
-// issue answers what a box asks for targets.
-func (t *targetLimits) issue(now time.Time, asks []*wire.TargetPermitAsk) []quota.Grant {
-	list := make([]quota.SubjectRequest, 0, len(asks))
-	for _, a := range asks {
-		list = append(list, quota.SubjectRequest{Subject: a.GetLimit().GetLife(), Count: int(a.Count)})
+// issue grants or denies a box's permit requests for targets.
+func (t *targetLimits) issue(now time.Time, requests []*wire.TargetPermitAsk) []quota.Grant {
+	subjects := make([]quota.SubjectRequest, 0, len(requests))
+	for _, a := range requests {
+		subjects = append(subjects, quota.SubjectRequest{Subject: a.GetLimit().GetLife(), Count: int(a.Count)})
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.issuer.Issue(now, list)
+	return t.issuer.Issue(now, subjects)
 }
 
-// since returns the limits that changed after a change, for subscribers.
+// since returns the limits that changed after the given change number, for subscribers.
 func (t *targetLimits) since(change uint64) ([]*wire.TargetLimit, uint64) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -81,7 +81,7 @@
 	return targetstatus.Messages(now, updates), last
 }
 
-// prune forgets targets whose lives are over.
+// prune drops targets whose incarnation has ended.
 func (t *targetLimits) prune(now time.Time, s steering.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,22 +89,22 @@
 		return
 	}
 	t.prunedAt = now
-	lives := make(map[string]bool, len(s.Catalog().Targets()))
+	current := make(map[string]bool, len(s.Catalog().Targets()))
 	for _, r := range s.Catalog().Targets() {
-		lives[catalog.IncarnationOf(r).String()] = true
+		current[catalog.IncarnationOf(r).String()] = true
 	}
-	t.issuer.Prune(now, func(life string) bool { return lives[life] })
+	t.issuer.Prune(now, func(incarnation string) bool { return current[incarnation] })
 }
 
-// view returns what is known view one target.
+// view returns what is known of a target incarnation.
 func (t *targetLimits) view(target string) (known targetView) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.issuer.Targets()
-	return targetView{r.Limit(target), r.ReceivedAt(target), r.IsLeaving(target), t.issuer.Counters(target)}
+	targets := t.issuer.Targets()
+	return targetView{targets.Limit(target), targets.ReceivedAt(target), targets.IsLeaving(target), t.issuer.Counters(target)}
 }
 
-// targetView is what a replica knows of one target from its answers.
+// targetView is what a replica knows of one target from its responses.
 type targetView struct {
 	limit      float64
 	receivedAt time.Time
@@ -118,7 +118,7 @@
 	return t.issuer.Targets().LimitedCount()
 }
 
-// applyLimitUpdates takes what targets told boxes and has the subscribers told.
+// applyLimitUpdates applies what targets reported to boxes and publishes changes to subscribers.
 func (d *Daemon) applyLimitUpdates(updates []*wire.TargetLimit) {
 	if len(updates) == 0 {
 		return
@@ -138,30 +138,30 @@
 		return
 	}
 	if c.Leaving {
-		d.process.Log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation).Msg("a box reported that a target leaves")
+		d.process.Log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation).Msg("a box reported that a target is shutting down")
 	}
 	if !c.LimitChanged() {
 		return
 	}
-	line := d.process.Log.Info().Str("kind", "targetLimit").Str("target", c.Incarnation)
+	entry := d.process.Log.Info().Str("kind", "targetLimit").Str("target", c.Incarnation)
 	if c.Before < targetstatus.NoLimit {
-		line = line.Float64("before", c.Before)
+		entry = entry.Float64("before", c.Before)
 	}
 	if c.After < targetstatus.NoLimit {
-		line = line.Float64("perSecond", c.After)
+		entry = entry.Float64("perSecond", c.After)
 	}
-	line.Msg("a box reported that a target's rate limit changed")
+	entry.Msg("a box reported that a target's rate limit changed")
 }
 
-// issueForTargets answers what a box asks for targets.
-func (d *Daemon) issueForTargets(asks []*wire.TargetPermitAsk) []*wire.PermitGrant {
-	updates := make([]*wire.TargetLimit, 0, len(asks))
-	for _, a := range asks {
+// issueForTargets grants or denies a box's permit requests for targets.
+func (d *Daemon) issueForTargets(requests []*wire.TargetPermitAsk) []*wire.PermitGrant {
+	updates := make([]*wire.TargetLimit, 0, len(requests))
+	for _, a := range requests {
 		if a.Limit != nil {
 			updates = append(updates, a.Limit)
 			updates = append(updates, a.Further...)
 		}
 	}
 	d.applyLimitUpdates(updates)
-	return grantMessages(d.targetLimits.issue(d.clock.Now(), asks))
+	return grantMessages(d.targetLimits.issue(d.clock.Now(), requests))
 }
--- a/internal/control/tls.go
+++ b/internal/control/tls.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// tlsListener puts TLS on a listener if it is configured. The configuration
-// is fetched for every connection, so that keys can be renewed.
+// tlsListener wraps a listener in TLS if it is configured. The configuration is fetched for every
+// connection, so that keys can be renewed.
 func tlsListener(l net.Listener, secure func() (*tls.Config, error)) net.Listener {
 	if secure == nil {
 		return l
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,8 +14,8 @@
 	redialDelay = 100 * time.Millisecond
 )
 
-// transport sends consensus messages. Each address has an outbox and a worker;
-// what does not fit into an outbox is dropped and sent again by the protocol.
+// transport sends consensus messages. Each address has an outbox and a worker. Messages that do
+// not fit into an outbox are dropped; the protocol sends them again.
 type transport struct {
 	node     *link.Node
 	running  sync.WaitGroup
@@ -37,20 +37,20 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	box := t.outboxes[address]
-	if box == nil {
-		box = make(chan *wire.ConsensusMessage, outboxSize)
-		t.outboxes[address] = box
+	queue := t.outboxes[address]
+	if queue == nil {
+		queue = make(chan *wire.ConsensusMessage, outboxSize)
+		t.outboxes[address] = queue
 		t.running.Add(1)
-		go t.runOutbox(address, box)
+		go t.runOutbox(address, queue)
 	}
 	select {
-	case box <- m:
+	case queue <- m:
 	default:
 	}
 }
 
-func (t *transport) runOutbox(address string, box <-chan *wire.ConsensusMessage) {
+func (t *transport) runOutbox(address string, outbox <-chan *wire.ConsensusMessage) {
 	defer t.running.Done()
 	var stream *link.Messages
 	defer func() {
@@ -62,14 +62,14 @@
 		select {
 		case <-t.ctx.Done():
 			return
-		case m := <-box:
+		case m := <-outbox:
 			stream = t.deliver(stream, address, m)
 		}
 	}
 }
 
-// deliver writes a message, opening a stream first if there is none. It
-// returns the stream to use next, or nil after a failure.
+// deliver writes a message and opens a stream first if there is none. It returns the stream to use
+// next, or nil after a failure.
 func (t *transport) deliver(stream *link.Messages, address string, m *wire.ConsensusMessage) *link.Messages {
 	if stream == nil {
 		opened, err := t.node.Consensus(t.ctx, address)
@@ -93,7 +93,7 @@
 	}
 }
 
-// close ends the workers and waits for them.
+// close stops the workers and waits for them.
 func (t *transport) close() {
 	t.cancel()
 	t.running.Wait()
--- a/internal/control/workspaces.go
+++ b/internal/control/workspaces.go
@@ -13,8 +13,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// usage returns what the issuer knows of workspaces and the number of the document
-// that it goes by; zero if it does not issue yet.
+// usage returns the issuer's usage per workspace and the number of the routes document whose
+// limits it applies, or zero if it does not issue permits yet.
 func (p *permitIssuer) usage(now time.Time) (number uint64, out []*wire.WorkspaceUsage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 	return &wire.WorkspacesAnswer{Number: number, AgeMilli: d.controlAge().Milliseconds(), Workspaces: list}
 }
 
-// getWorkspaces sums what all replicas know of workspaces.
+// getWorkspaces answers with the usage of workspaces summed over all replicas.
 func (d *Daemon) getWorkspaces(c iris.Context) {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), readTimeout)
 	defer cancel()
@@ -67,11 +67,11 @@
 	}
 	running.Wait()
 	slices.Sort(missing)
-	_ = c.JSON(operator.Workspaces{Workspaces: sumWorkspaces(answers), Missing: missing}) // the client sees a broken answer
+	_ = c.JSON(operator.Workspaces{Workspaces: sumWorkspaces(answers), Missing: missing}) // the client notices a failed write
 }
 
-// sumWorkspaces sums the answers of replicas by workspace. Limits are those of the
-// latest document that any of them goes by.
+// sumWorkspaces sums the answers of replicas per workspace. Limits are those of the latest routes
+// document that any replica applies.
 func sumWorkspaces(answers map[string]*wire.WorkspacesAnswer) []operator.WorkspaceUsage {
 	var latest uint64
 	for _, a := range answers {
