--- a/internal/control/boxes_test.go
+++ b/internal/control/boxes_test.go
@@ -12,7 +12,7 @@
 	"ledgesill.dev/ledgesill/pkg/steering"
 )
 
-// box is one entry box.
+// box is a simulated entry box.
 type box struct {
 	sim      *simulation
 	name     string
@@ -67,13 +67,13 @@
 	}
 	v := out.State.Version()
 	if v < b.highest {
-		sim.addProblem("%s puts version %d in force after %d", b.name, v, b.highest)
+		sim.addProblem("%s activates version %d after version %d", b.name, v, b.highest)
 	}
 	b.highest = max(b.highest, v)
 	b.pub.SetState(*out.State, out.Commands)
 }
 
-// stepBox carries updates over the box's subscription.
+// stepBox transfers updates over the box's subscription.
 func (sim *simulation) stepBox(b *box) {
 	if !b.alive {
 		if !sim.now.Before(b.downTo) {
--- a/internal/control/burst_test.go
+++ b/internal/control/burst_test.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// wideLinkBytes is what all links between the replicas together carry: 1 Gbit/s.
+	// wideLinkBytes is the bandwidth of all links between the replicas together, in bytes per
+	// second: 1 Gbit/s.
 	wideLinkBytes = 1_000_000_000 / 8
-	// targetCallTimeout is how long a target waits for an answer, and targetPause how
-	// long it rests before it tells the next replica.
+	// targetCallTimeout is how long a target waits for an answer, and targetRetryDelay how long it
+	// waits before it calls the next replica.
 	targetCallTimeout = 900 * time.Millisecond
 	targetRetryDelay  = 100 * time.Millisecond
-	// maxBurstAckTime bounds the acknowledgement of a document while updates of
-	// targets come at once.
+	// maxBurstAckTime bounds the time until a document is acknowledged during a burst of
+	// registration updates.
 	maxBurstAckTime = time.Second
 )
 
-// burst is registration updates that come at one moment.
+// burst describes registration updates that arrive at the same moment.
 type burst struct {
 	targets int
-	// commandTime is the time of a replica's loop for one command.
+	// commandTime is how long a replica's loop takes for one command.
 	commandTime time.Duration
 }
 
-// Guards against a leader that is deposed, and a document that is not acknowledged, while many
-// targets change at once.
+// Guards against a burst of registration updates that deposes the leader or delays the
+// acknowledgement of a document, as happens when many targets are replaced at once.
 func TestDocumentIsAcknowledgedWhileTargetsAreReplaced(t *testing.T) {
 	for _, b := range []burst{
 		{300, 2 * time.Millisecond},
@@ -50,10 +51,11 @@
 	}
 }
 
-// checkBurst has the replicas checkBurst a burst and an operator's document.
+// checkBurst sends a burst and a document, and checks how fast both are committed, how often
+// commands are applied, and that the term stays the same.
 func (s *slowReplicas) checkBurst(t *testing.T, b burst) {
 	t.Helper()
-	settled := s.slowDown(b.commandTime)
+	applied := s.slowDown(b.commandTime)
 	term := s.term(t)
 	began := time.Now()
 	var updates sync.WaitGroup
@@ -66,30 +68,30 @@
 	all := time.Since(began)
 	time.Sleep(quiescenceWait)
 	needed := len(s.daemons) * (b.targets + 1)
-	t.Logf("document after %v, all updates after %v, %d commands settled of %d needed, term %d after %d", took, all, settled(), needed, s.term(t), term)
+	t.Logf("document acknowledged after %v, all updates committed after %v; %d commands applied, %d needed; term %d, was %d", took, all, applied(), needed, s.term(t), term)
 	if took > maxBurstAckTime {
 		t.Errorf("the document was acknowledged after %v, want at most %v", took, maxBurstAckTime)
 	}
-	if most := needed + needed/10; settled() > most {
-		t.Errorf("%d commands were settled, want at most %d", settled(), most)
+	if limit := needed + needed/10; applied() > limit {
+		t.Errorf("%d commands were applied, want at most %d", applied(), limit)
 	}
 	if s.term(t) != term {
-		t.Errorf("the replicas are in term %d, were in %d", s.term(t), term)
+		t.Errorf("the replicas are in term %d, want %d as before the burst", s.term(t), term)
 	}
-	if most := time.Duration(b.targets)*b.commandTime*3/2 + 2*time.Second; all > most {
-		t.Errorf("all updates were settled after %v, want at most %v", all, most)
+	if limit := time.Duration(b.targets)*b.commandTime*3/2 + 2*time.Second; all > limit {
+		t.Errorf("all updates were committed after %v, want at most %v", all, limit)
 	}
 }
 
-// slowDown has each replica's loop take a time for each command, and returns what
-// counts the commands that were settled.
-func (s *slowReplicas) slowDown(takes time.Duration) (settled func() int) {
+// slowDown delays each replica's loop for every command, and returns a function that counts the
+// commands applied.
+func (s *slowReplicas) slowDown(delay time.Duration) (applied func() int) {
 	var mu sync.Mutex
 	count := 0
 	for _, d := range s.daemons {
 		before := d.replica.onApplied
 		d.replica.onApplied = func(c *wire.Command, result steering.Result) {
-			time.Sleep(takes)
+			time.Sleep(delay)
 			mu.Lock()
 			count++
 			mu.Unlock()
@@ -103,14 +105,14 @@
 	}
 }
 
-// register has a target register replicas of itself, one after the other, until one answers.
+// register registers a target, trying one replica after another until one answers.
 func (s *slowReplicas) register(ctx context.Context, i int) {
-	for at := i; ctx.Err() == nil; at++ {
+	for attempt := i; ctx.Err() == nil; attempt++ {
 		update := &wire.Registration{
-			Id: fmt.Sprint("t", i), Address: fmt.Sprint("a", i), Service: "s", Zone: "z", Slots: 9, Sequence: uint64(at - i + 1), ColdMilli: 3000,
+			Id: fmt.Sprint("t", i), Address: fmt.Sprint("a", i), Service: "s", Zone: "z", Slots: 9, Sequence: uint64(attempt - i + 1), ColdMilli: 3000,
 		}
 		call, cancel := context.WithTimeout(ctx, targetCallTimeout)
-		err := s.daemons[at%len(s.daemons)].Register(call, update)
+		err := s.daemons[attempt%len(s.daemons)].Register(call, update)
 		cancel()
 		if err == nil {
 			return
@@ -119,20 +121,20 @@
 	}
 }
 
-// putUntilAcknowledged puts a document as an operator does and returns how long that
-// took.
+// putUntilAcknowledged puts a document the way an operator does, with retries, and returns how
+// long that took.
 func (s *slowReplicas) putUntilAcknowledged(t *testing.T) time.Duration {
 	t.Helper()
 	began := time.Now()
-	for at := 0; ; at++ {
+	for attempt := 0; ; attempt++ {
 		ctx, cancel := context.WithTimeout(t.Context(), targetCallTimeout)
-		err := s.daemons[at%len(s.daemons)].PutRoutes(ctx, catalog.Document{Number: 1}, operatorsText(100))
+		err := s.daemons[attempt%len(s.daemons)].PutRoutes(ctx, catalog.Document{Number: 1}, operatorsText(100))
 		cancel()
 		if err == nil {
 			return time.Since(began)
 		}
 		if time.Since(began) > time.Minute {
-			t.Fatalf("the document is not acknowledged: %v", err)
+			t.Fatalf("the document was not acknowledged: %v", err)
 		}
 		time.Sleep(targetRetryDelay)
 	}
@@ -145,7 +147,7 @@
 		return err == nil && v.status.Role == consensus.Leader
 	})
 	if i < 0 {
-		t.Fatal("no replica leads")
+		t.Fatal("no leader")
 	}
 	v, err := s.daemons[i].replica.view(t.Context())
 	if err != nil {
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -144,7 +144,7 @@
 	return document.Text, nil
 }
 
-// Evacuate starts the evacuation of an availability zone, or ends it with withdraw.
+// Evacuate starts the evacuation of an availability zone, or ends it if withdraw is set.
 func (d *Daemon) Evacuate(ctx context.Context, zone string, withdraw bool) error {
 	state, err := d.State(ctx)
 	if err != nil {
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -398,6 +398,6 @@
 	defer cancel()
 	address := addressOf(v.membership, v.status.Leader)
 	if _, err := d.node.Call(ctx, address, &wire.CallRequest{Report: report}); err != nil {
-		d.reportedTo = "" // tell it all again
+		d.reportedTo = "" // report everything again
 	}
 }
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -10,25 +10,26 @@
 	"ledgesill.dev/ledgesill/pkg/journal"
 )
 
-// fakeFile is a file whose unsynced bytes a crash may tear.
+// fakeFile is a file whose unsynced bytes may be torn by a crash.
 type fakeFile struct {
 	data   []byte
 	synced int
-	// lost is set after a failed sync: as on a real machine, what was not
-	// synced then is gone, whatever is synced later.
+	// lost is set after a failed sync: as on a real machine, bytes that were unsynced then are
+	// lost even if a later sync succeeds.
 	lost     bool
 	lostFrom int
 }
 
-// fakeDisk is a folder on a disk that keeps only what was synced: bytes by
-// File.Sync, names by SyncDir.
+// fakeDisk is a directory on a disk that keeps only what was synced: contents by File.Sync, names
+// by SyncDir.
 type fakeDisk struct {
 	random  *rand.Rand
 	names   map[string]*fakeFile
 	durable map[string]*fakeFile
-	// tearWrites has a write that fails leave half of its bytes.
+	// tearWrites makes a failing write leave half of its bytes.
 	tearWrites bool
-	// beforeOperation is called ahead of every operation; an error makes it fail.
+	// beforeOperation is called before every operation. If it returns an error, the operation
+	// fails.
 	beforeOperation func(operation, name string) error
 }
 
@@ -123,8 +124,8 @@
 	}, nil
 }
 
-// crash keeps what was synced, and of what was not a torn part: some of the
-// bytes, the last of them damaged.
+// crash keeps synced bytes. With torn, a random part of the unsynced bytes is kept as well,
+// possibly with the last byte damaged.
 func (d *fakeDisk) crash(torn bool) {
 	d.names = make(map[string]*fakeFile, len(d.durable))
 	for name, f := range d.durable {
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -18,13 +18,12 @@
 	faultPairs = flag.Bool("fault-pairs", false, "also run every pair of faults")
 )
 
-// fault is one row of the matrix: what is done to the node or box at which the
-// step is reached.
+// fault is a row of the matrix: what happens to the node or box that reaches the step.
 type fault struct {
 	name   string
 	onBox  func(sim *simulation, b *box)
 	onNode func(sim *simulation, n *node)
-	// prepare runs before the traffic begins.
+	// prepare runs before the operators continue to send changes.
 	prepare func(sim *simulation, o *operators)
 }
 
@@ -43,8 +42,8 @@
 	return f
 }
 
-// diskFault makes the next operation of a kind fail. If the replica goes on in
-// spite of it, it crashes a moment later.
+// diskFault makes the next operation of a kind fail. If the replica continues anyway, it is
+// crashed 500 ms later.
 func diskFault(operation string) fault {
 	return fault{onNode: func(sim *simulation, n *node) {
 		sim.crashAt[n] = sim.now.Add(500 * time.Millisecond)
@@ -60,8 +59,8 @@
 	}}
 }
 
-// fullDiskFault has a disk take no bytes for a while; one write leaves half of its
-// bytes.
+// fullDiskFault makes a disk reject writes for a while. The first rejected write leaves half of
+// its bytes.
 func fullDiskFault(length time.Duration) fault {
 	return fault{onNode: func(sim *simulation, n *node) {
 		until := sim.now.Add(length)
@@ -120,8 +119,7 @@
 	}
 }
 
-// secondLoss takes a node's disk and, as soon as its repair is finished,
-// another node's.
+// secondLoss wipes a node's disk and, as soon as its repair is finished, another node's.
 func secondLoss(sim *simulation, n *node) {
 	sim.loseDisk(n, 500*time.Millisecond)
 	id := n.id()
@@ -137,11 +135,11 @@
 	panic(crashed{n})
 }
 
-// step is one column of the matrix: when the fault strikes.
+// step is a column of the matrix: the moment at which the fault occurs.
 type step struct {
 	name  string
 	onBox bool
-	// provoke brings the step about if plain traffic does not.
+	// provoke causes the step if ordinary traffic does not reach it.
 	provoke func(sim *simulation)
 }
 
@@ -168,7 +166,7 @@
 	}
 }
 
-// runCell runs one or two faults at a step and returns what went wrong.
+// runCell runs one or two faults at a step and returns the problems found.
 func runCell(t *testing.T, seed uint64, s step, first fault, second *fault) []string {
 	sim := newSimulation(t, seed)
 	o := newOperators(sim)
@@ -191,7 +189,7 @@
 	return sim.problems
 }
 
-// recovered reports whether nothing is left to come from the faults.
+// recovered reports whether all effects of the faults are over.
 func recovered(sim *simulation) bool {
 	for _, n := range sim.nodes {
 		if !n.alive || n.frozen || n.awaitsJoin {
@@ -206,8 +204,8 @@
 	return len(sim.joining) == 0
 }
 
-// armFaults arms the faults: the first when the step is next reached, the second
-// when it is reached again elsewhere.
+// armFaults installs hooks that trigger the first fault when the step is reached next, and the
+// second when it is reached again at another node.
 func armFaults(sim *simulation, s step, first fault, second *fault) *bool {
 	struck := false
 	left := []fault{first}
@@ -238,7 +236,7 @@
 			f.onBox(sim, b)
 			return
 		}
-		// A fault of control strikes the leader while the box takes an update.
+		// A fault of a control node hits the leader while the box applies an update.
 		if n := sim.leader(); n != nil && f.onNode != nil {
 			guarded(n, func() { f.onNode(sim, n) })
 		}
@@ -246,7 +244,7 @@
 	return &struck
 }
 
-// cell is one place of the table.
+// cell is a cell of the table.
 type cell struct {
 	row, step string
 	run       func(seed uint64) []string
@@ -263,7 +261,7 @@
 	}
 }
 
-// cells lists the matrix row by row.
+// cells lists the cells of the matrix row by row.
 func cells(t *testing.T) []*cell {
 	var out []*cell
 	add := func(row string, first fault, second *fault) {
@@ -287,7 +285,7 @@
 	return out
 }
 
-// runAll runs the cells on all processors; the order has no influence on them.
+// runAll runs the cells in parallel. They do not depend on each other.
 func runAll(list []*cell) {
 	work := make(chan *cell)
 	var running sync.WaitGroup
@@ -305,8 +303,8 @@
 	running.Wait()
 }
 
-// TestFaultMatrix runs every fault at every step and compares the table with
-// the golden file. With -fault-pairs every pair of faults is run as well.
+// TestFaultMatrix runs every fault at every step and compares the table with the golden file. With
+// -fault-pairs it also runs every pair of faults.
 func TestFaultMatrix(t *testing.T) {
 	list := cells(t)
 	runAll(list)
--- a/internal/control/fulldisk_test.go
+++ b/internal/control/fulldisk_test.go
@@ -13,9 +13,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Replicas whose disks were full for 4 s ended at each write and started again, eight
-// times. Cause: any error of the disk ended a replica. The fault matrix alone does not
-// show it: a replica that ends and starts again keeps all that it acknowledged too.
+// Guards against a replica that exits on a full disk: any disk error used to end it, so replicas
+// with disks full for 4 s exited at each write and restarted, eight times. The fault matrix does
+// not detect this, because a replica that restarts also keeps all that it acknowledged.
 func TestReplicaWaitsForDiskSpace(t *testing.T) {
 	disk := newFakeDisk(1)
 	j, found, err := journal.Open("folder", "a", disk.files())
@@ -27,26 +27,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []bool
+	var reported []bool
 	sent := 0
 	r.send = func(*wire.ConsensusMessage) { sent++ }
 	r.publish = func(steering.State, []*wire.Command) {}
 	r.onNotice = func(consensus.Notice) {}
 	r.onApplied = func(*wire.Command, steering.Result) {}
 	r.onSynced = func(time.Duration) {}
-	r.onDiskChange = func(full *FullDiskError) { told = append(told, full != nil) }
+	r.onDiskChange = func(full *FullDiskError) { reported = append(reported, full != nil) }
 	carryOut := func(out consensus.Output) {
 		t.Helper()
 		if err := r.handleOutput(out); err != nil {
-			t.Fatalf("the replica ends: %v", err)
+			t.Fatalf("the replica stopped: %v", err)
 		}
 	}
-	pass := func(length time.Duration) {
+	advance := func(length time.Duration) {
 		t.Helper()
 		for end := now.Add(length); now.Before(end); now = now.Add(50 * time.Millisecond) {
 			out, err := r.tick()
 			if err != nil {
-				t.Fatalf("the replica ends: %v", err)
+				t.Fatalf("the replica stopped: %v", err)
 			}
 			carryOut(out)
 		}
@@ -59,12 +59,12 @@
 		case o := <-reply:
 			return o
 		default:
-			t.Fatalf("the order for %s is not answered", zone)
+			t.Fatalf("the command for %s was not answered", zone)
 			return outcome{}
 		}
 	}
 	carryOut(r.handle(bootstrap{&wire.Membership{Voters: []*wire.Replica{{Id: r.id, Address: "a"}}}}))
-	pass(3 * time.Second)
+	advance(3 * time.Second)
 	if o := propose("z1"); o.err != nil {
 		t.Fatal(o.err)
 	}
@@ -77,24 +77,24 @@
 	}
 	var lost *LeadershipLostError
 	if o := propose("z2"); !errors.As(o.err, &lost) {
-		t.Errorf("what was being stored: %v", o.err)
+		t.Errorf("command whose write failed: %v", o.err)
 	}
 	before := sent
-	pass(4 * time.Second)
+	advance(4 * time.Second)
 	var notLeader *consensus.NotLeaderError
 	if o := propose("z3"); !errors.As(o.err, &notLeader) || sent != before {
 		t.Errorf("while the disk is full: %v, %d messages", o.err, sent-before)
 	}
 	if zones := r.state.Catalog().Evacuated(); len(zones) != 1 || zones[0] != "z1" {
-		t.Errorf("it shows %v", zones)
+		t.Errorf("evacuated zones %v, want z1 only", zones)
 	}
 	disk.tearWrites = false
 	disk.beforeOperation = func(string, string) error { return nil }
-	pass(4 * time.Second)
+	advance(4 * time.Second)
 	if o := propose("z4"); o.err != nil {
-		t.Errorf("once there is room: %v", o.err)
+		t.Errorf("after the disk has space again: %v", o.err)
 	}
-	if len(told) != 2 || !told[0] || told[1] {
-		t.Errorf("told %v", told)
+	if len(reported) != 2 || !reported[0] || reported[1] {
+		t.Errorf("onDiskChange received %v, want full and then not full", reported)
 	}
 }
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -15,16 +15,16 @@
 	answerTimeout = 1200 * time.Millisecond
 )
 
-// operators are two operators who change the same keys, race each other with
-// equal base versions and resend what was not answered, and one who reads.
+// operators simulates two operators that change the same keys, race each other with equal base
+// versions and resend unanswered changes, and one that reads.
 type operators struct {
 	sim          *simulation
-	knownVersion uint64 // settings version that the operators know
+	knownVersion uint64 // settings version known to the operators
 	made         int
 	open         []*openChange
 	nextAt       time.Time
 	verdicts     map[string]*wire.Verdict
-	accepted     map[uint64]string // version to id
+	accepted     map[uint64]string // change id by version
 	acked        uint64            // highest acknowledged version
 	reads        []*openRead
 	duplicates   bool // send every change to two nodes
@@ -39,7 +39,7 @@
 	sentAt         time.Time
 }
 
-// newDuplicateReply is where the answer to a doubled change comes.
+// newDuplicateReply creates the channel for the answer to a duplicate of the change.
 func (c *openChange) newDuplicateReply() chan outcome {
 	c.duplicateReply = make(chan outcome, 1)
 	return c.duplicateReply
@@ -54,7 +54,7 @@
 	return &operators{sim: sim, verdicts: make(map[string]*wire.Verdict), accepted: make(map[uint64]string), pause: changePause}
 }
 
-// step starts new changes and takes answers.
+// step sends new changes and processes answers.
 func (o *operators) step() {
 	if !o.sim.now.Before(o.nextAt) && len(o.open) < 2 {
 		o.nextAt = o.sim.now.Add(o.pause)
@@ -84,7 +84,7 @@
 	o.open = append(o.open, c)
 }
 
-// send gives a change to the leader or, now and then, to any node.
+// send sends a change to the leader or, in a quarter of the cases, to any node.
 func (o *operators) send(c *openChange) {
 	n := o.sim.leader()
 	if n == nil || o.sim.random.IntN(4) == 0 {
@@ -95,7 +95,7 @@
 	c.reply = make(chan outcome, 1)
 	o.propose(n, c.change, c.reply)
 	if o.duplicates {
-		// The same change again, to another node and to the same one.
+		// Send the same change again, to any node and to the same one.
 		o.propose(o.sim.nodes[o.sim.random.IntN(len(o.sim.nodes))], c.change, make(chan outcome, 1))
 		if n.alive {
 			o.propose(n, c.change, c.newDuplicateReply())
@@ -116,13 +116,13 @@
 	o.sim.handleOutput(n, n.replica.handle(proposal{&wire.Command{Change: c}, reply}))
 }
 
-// pollVerdict reports whether a change has got its verdict.
+// pollVerdict reports whether a change has received its verdict.
 func (o *operators) pollVerdict(c *openChange) bool {
 	select {
 	case got := <-c.reply:
 		o.sim.reachStep("answer", c.node)
 		if !c.node.alive {
-			break // the answer was lost with the node
+			break // the answer was lost in the crash
 		}
 		if got.err != nil {
 			var lost *LeadershipLostError
@@ -146,7 +146,7 @@
 	return false
 }
 
-// pollDuplicate takes the answer to a doubled change, which must be the same.
+// pollDuplicate processes the answer to a duplicate, which must be the same.
 func (o *operators) pollDuplicate(c *openChange) {
 	select {
 	case got := <-c.duplicateReply:
@@ -157,10 +157,10 @@
 	}
 }
 
-// verdict checks that each id has one verdict and each version one change.
+// verdict checks that each change has one verdict and each version one change.
 func (o *operators) verdict(v *wire.Verdict) {
 	if before, ok := o.verdicts[v.Id]; ok && (before.Kind != v.Kind || before.Version != v.Version) {
-		o.sim.addProblem("change %s is %s at %d and %s at %d", v.Id, before.Kind, before.Version, v.Kind, v.Version)
+		o.sim.addProblem("change %s has two verdicts: %s at version %d and %s at version %d", v.Id, before.Kind, before.Version, v.Kind, v.Version)
 	}
 	o.verdicts[v.Id] = v
 	o.knownVersion = max(o.knownVersion, v.Version)
@@ -168,7 +168,7 @@
 		return
 	}
 	if other, ok := o.accepted[v.Version]; ok && other != v.Id {
-		o.sim.addProblem("version %d is both %s and %s", v.Version, other, v.Id)
+		o.sim.addProblem("version %d was given to both %s and %s", v.Version, other, v.Id)
 	}
 	o.accepted[v.Version] = v.Id
 	o.acked = max(o.acked, v.Version)
@@ -184,15 +184,15 @@
 	o.reads = append(o.reads, r)
 }
 
-// checkReads checks that no read that is given as fresh misses a change that
-// was acknowledged before the read began.
+// checkReads checks that no read reported as fresh lacks a change that was acknowledged before the
+// read began.
 func (o *operators) checkReads() {
 	var open []*openRead
 	for _, r := range o.reads {
 		select {
 		case got := <-r.reply:
 			if got.err == nil && got.state.SettingsVersion() < r.floor {
-				o.sim.addProblem("a fresh read gives version %d after %d was acknowledged", got.state.SettingsVersion(), r.floor)
+				o.sim.addProblem("a fresh read returned version %d after version %d was acknowledged", got.state.SettingsVersion(), r.floor)
 			}
 		default:
 			open = append(open, r)
@@ -204,7 +204,7 @@
 	o.reads = open
 }
 
-// run lets the world and the operators go on.
+// run advances the simulation and the operators.
 func (o *operators) run(length time.Duration, until func() bool) bool {
 	return o.sim.run(length, func() bool {
 		o.step()
@@ -212,9 +212,9 @@
 	}) || until == nil
 }
 
-// checkRecovery heals everything and checks that the system is whole again: a change
-// is accepted, nothing that was acknowledged is lost, and it is in force at
-// every box within the three seconds that the users ask for.
+// checkRecovery ends all faults and checks that the system recovers: a change is accepted, no
+// acknowledged change is lost, and a new change is active at every box within the three seconds
+// that the users require.
 func (o *operators) checkRecovery() {
 	sim := o.sim
 	sim.hook = func(string, *node) {}
@@ -226,7 +226,7 @@
 	}
 	before := len(o.accepted)
 	if !o.run(15*time.Second, func() bool { return len(o.accepted) > before+1 && sim.leader() != nil }) {
-		sim.addProblem("no change is accepted within 15 s after the fault")
+		sim.addProblem("no change was accepted within 15 s after the fault")
 		return
 	}
 	sim.run(5*time.Second, nil)
@@ -244,23 +244,23 @@
 	o.checkActive()
 }
 
-// checkHalted checks a system that has lost two of its three disks before the
-// first was repaired: it accepts nothing more and says that it is cut off.
+// checkHalted checks a system that lost two of its three disks before the first was repaired: it
+// accepts no more changes and reports that it is cut off.
 func (o *operators) checkHalted() {
 	before := len(o.accepted)
 	o.run(8*time.Second, nil)
 	if len(o.accepted) != before {
-		o.sim.addProblem("a change is accepted though a majority of the disks is lost")
+		o.sim.addProblem("a change was accepted although a majority of the disks is lost")
 	}
 	for _, n := range o.sim.nodes {
 		if n.alive && !n.replica.machine.Status(o.sim.now).CutOff {
-			o.sim.addProblem("%s does not say that it is cut off", n.name)
+			o.sim.addProblem("%s does not report that it is cut off", n.name)
 		}
 	}
 }
 
-// checkRetained checks that every acknowledged change is still known, unless so
-// many came after it that the memory of verdicts has let it go.
+// checkRetained checks that every acknowledged change is still known, unless so many changes
+// followed that its verdict was dropped.
 func (o *operators) checkRetained(s steering.State) {
 	o.checkHistory(s)
 	forgotten := s.Encode().ForgottenVersion
@@ -270,28 +270,28 @@
 		}
 		v, ok := s.Verdict(id)
 		if !ok || v.Version != version || v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED {
-			o.sim.addProblem("acknowledged change %s at version %d is lost", id, version)
+			o.sim.addProblem("acknowledged change %s at version %d was lost", id, version)
 		}
 	}
 }
 
-// checkHistory checks that each accepted change was made against the one before
-// it, and that no operator was told another verdict than the one in the log.
+// checkHistory checks that each accepted change was based on the one before it, and that no
+// operator received a verdict that differs from the one in the log.
 func (o *operators) checkHistory(s steering.State) {
 	var last uint64
 	for _, a := range s.History() {
 		if last != 0 && a.Change.BaseVersion != last {
-			o.sim.addProblem("change %s made against %d was accepted after %d", a.Change.Id, a.Change.BaseVersion, last)
+			o.sim.addProblem("change %s based on version %d was accepted after version %d", a.Change.Id, a.Change.BaseVersion, last)
 		}
 		last = a.Version
 		v := o.verdicts[a.Change.Id]
 		if v != nil && (v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED || v.Version != a.Version) {
-			o.sim.addProblem("change %s was accepted at %d and its operator was told %s at %d", a.Change.Id, a.Version, v.Kind, v.Version)
+			o.sim.addProblem("change %s was accepted at version %d, but its operator received %s at version %d", a.Change.Id, a.Version, v.Kind, v.Version)
 		}
 	}
 }
 
-// checkActive makes one more change and waits for it at every box.
+// checkActive sends one more change and waits until it is active at every box.
 func (o *operators) checkActive() {
 	sim := o.sim
 	before := o.acked
@@ -315,7 +315,7 @@
 		for _, b := range sim.boxes {
 			if b.follower.State().Version() < version {
 				up, _ := b.follower.Upstream()
-				sim.addProblem("%s has version %d and not %d 3 s later, its upstream is %q", b.name, b.follower.State().Version(), version, up.Name)
+				sim.addProblem("%s has version %d, want %d after 3 s; its upstream is %q", b.name, b.follower.State().Version(), version, up.Name)
 			}
 		}
 	}
--- a/internal/control/packed_test.go
+++ b/internal/control/packed_test.go
@@ -16,14 +16,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// soleReplica is a replica that is the only voter, with what it has published.
+// soleReplica is a replica that is the only voter, with a publisher for its state.
 type soleReplica struct {
 	replica   *replica
 	publisher *distribution.Publisher
 	results   []steering.Result
 }
 
-// openSoleReplica starts a replica on a disk that holds a state and commands after it.
+// openSoleReplica starts a replica on a disk that holds a state and a log of commands.
 func openSoleReplica(t *testing.T, state steering.State, commands ...*wire.Command) *soleReplica {
 	t.Helper()
 	disk := newFakeDisk(1)
@@ -58,7 +58,7 @@
 	r.onApplied = func(_ *wire.Command, result steering.Result) { l.results = append(l.results, result) }
 	r.onSynced = func(time.Duration) {}
 	r.onDiskChange = func(*FullDiskError) {}
-	now = now.Add(3 * time.Second) // nobody leads: it is elected
+	now = now.Add(3 * time.Second) // without a leader, it is elected
 	if err := r.handleOutput(r.machine.Handle(now, consensus.Tick{})); err != nil {
 		t.Fatal(err)
 	}
@@ -74,33 +74,33 @@
 	return &wire.Command{Routes: &wire.RoutesCommand{BaseNumber: base, Packed: packed}}
 }
 
-// TestLogWithPlainAndPackedDocuments starts a replica on a snapshot and a log
-// that hold texts as they were always written, followed by packed ones.
+// TestLogWithPlainAndPackedDocuments starts a replica on a snapshot and a log that hold plain
+// documents, as earlier versions write them, followed by packed ones.
 func TestLogWithPlainAndPackedDocuments(t *testing.T) {
 	state := stateWith(t, operatorsText(1400))
 	texts := [][]byte{operatorsText(1401), operatorsText(1402), operatorsText(1403)}
 	l := openSoleReplica(t, state, plainCommand(1, 2, texts[0]), packedCommand(2, 3, texts[1]), packedCommand(3, 4, texts[2]))
 	document := l.replica.state.Catalog().Document()
 	if document.GetNumber() != 4 || !bytes.Equal(document.Text, texts[2]) {
-		t.Fatalf("document %d of %d bytes is in force: %v", document.GetNumber(), len(document.GetText()), l.results)
+		t.Fatalf("document %d of %d bytes is active: %v", document.GetNumber(), len(document.GetText()), l.results)
 	}
 	update := l.publisher.Update(state.Version(), 0)
 	for i, c := range update.Commands {
 		if base := c.GetRoutes().GetPacked().GetBase(); base != uint64(i+1) {
-			t.Errorf("command %d is published as a difference to document %d", i, base)
+			t.Errorf("command %d is published as a delta to document %d", i, base)
 		}
 	}
 	box, _, err := distribution.Advance(state, update)
 	if err != nil || !bytes.Equal(box.Catalog().Document().GetText(), texts[2]) {
-		t.Errorf("a box holds another document: %v", err)
+		t.Errorf("a box holds a different document: %v", err)
 	}
 	if len(update.Commands) != len(texts) || proto.Size(update) > len(texts[0])/10 {
-		t.Errorf("boxes get %d commands of %d bytes", len(update.Commands), proto.Size(update))
+		t.Errorf("boxes receive %d commands of %d bytes", len(update.Commands), proto.Size(update))
 	}
 }
 
-// TestInvalidPackedDocumentIsRejected checks that a replica goes on after a document that
-// it can't unpack.
+// TestInvalidPackedDocumentIsRejected checks that a replica continues after a document that it
+// can't unpack.
 func TestInvalidPackedDocumentIsRejected(t *testing.T) {
 	state := stateWith(t, []byte("one"))
 	broken := packedCommand(1, 2, []byte("two"))
@@ -112,15 +112,15 @@
 	}
 	var refused *RefusedError
 	if err := submitError(outcome{result: l.results[0]}, nil); !errors.As(err, &refused) || refused.Conflict {
-		t.Errorf("the operator is told %v", err)
+		t.Errorf("the operator receives %v", err)
 	}
 	if text := l.replica.state.Catalog().Document().GetText(); string(text) != "three" {
-		t.Errorf("%q is in force", text)
+		t.Errorf("%q is active", text)
 	}
 }
 
-// TestPlainAndPackedAnswersAreRead checks that a replica reads the document from a
-// leader that packs it and from one that does not.
+// TestPlainAndPackedAnswersAreRead checks that a replica reads the document from a leader that
+// packs it and from one that does not.
 func TestPlainAndPackedAnswersAreRead(t *testing.T) {
 	document := &wire.RoutesDocument{Number: 3, Text: []byte("text")}
 	for name, a := range map[string]*wire.ReadAnswer{
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -47,15 +47,15 @@
 	if s == nil {
 		return
 	}
-	text := s.Catalog().Document()
-	if text.GetNumber() == p.issuer.DocumentNumber() {
+	document := s.Catalog().Document()
+	if document.GetNumber() == p.issuer.DocumentNumber() {
 		return
 	}
-	d, err := p.routes.decodeOnce(text)
+	d, err := p.routes.decodeOnce(document)
 	if err != nil {
 		return // logged by decodeOnce; the previous limits stay in effect
 	}
-	p.issuer.SetLimits(now, text.Number, d.Workspaces)
+	p.issuer.SetLimits(now, document.Number, d.Workspaces)
 }
 
 // issue answers a permit request of a box.
--- a/internal/control/permits_test.go
+++ b/internal/control/permits_test.go
@@ -18,8 +18,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Permits need no leader: a replica issues its part of the limits of the document that
-// it has, and none to a box whose document is newer.
+// A replica issues its share of the limits in its routes document without a leader, and issues
+// nothing to a box whose document is newer.
 func TestReplicaIssuesItsShare(t *testing.T) {
 	now := time.Now()
 	document := &routesDecoder{
@@ -28,29 +28,30 @@
 		},
 		onError: func(uint64, error) {},
 	}
-	p := &permitIssuer{routes: document}
-	p.bound.Window = 5 * time.Second
+	issuer := &permitIssuer{routes: document}
+	issuer.bound.Window = 5 * time.Second
 	state, _ := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
-	p.setState(state)
-	ask := &wire.PermitRequest{Number: 1, Asks: []*wire.PermitAsk{{Workspace: "w", Count: 100}}}
-	if answer := p.issue(now, ask); !answer.Behind {
+	issuer.setState(state)
+	request := &wire.PermitRequest{Number: 1, Asks: []*wire.PermitAsk{{Workspace: "w", Count: 100}}}
+	if answer := issuer.issue(now, request); !answer.Behind {
 		t.Errorf("before the membership is known: %v", answer)
 	}
-	p.setReplicaCount(now, &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}}, Learners: []*wire.Replica{{Id: "c"}}})
-	if answer := p.issue(now.Add(time.Minute), ask); answer.Grants[0].Count != 10 {
-		t.Errorf("got %v; its part is a third", answer)
+	issuer.setReplicaCount(now, &wire.Membership{Voters: []*wire.Replica{{Id: "a"}, {Id: "b"}}, Learners: []*wire.Replica{{Id: "c"}}})
+	if answer := issuer.issue(now.Add(time.Minute), request); answer.Grants[0].Count != 10 {
+		t.Errorf("got %v; its share is a third", answer)
 	}
-	answer := p.issue(now, &wire.PermitRequest{Number: 2, Asks: ask.Asks})
+	answer := issuer.issue(now, &wire.PermitRequest{Number: 2, Asks: request.Asks})
 	if !answer.Behind || len(answer.Grants) > 0 {
 		t.Errorf("a box with a newer document got %v", answer)
 	}
 }
 
-// What comes free while the machine is suspended is there when it wakes, and no more.
+// Permits that become available during a suspension can be issued afterwards, up to the burst and
+// no more.
 func TestIssuerCountsASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asleep atomic.Int64
-		clock := boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
+		var suspended atomic.Int64
+		clock := boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 		p, err := process.New("a", io.Discard, zerolog.Disabled, "")
 		if err != nil {
 			t.Fatal(err)
@@ -64,15 +65,16 @@
 		if answer := d.answerPermits(request); answer.Grants[0].Count != 0 {
 			t.Errorf("at first: %v", answer)
 		}
-		asleep.Store(int64(time.Minute))
+		suspended.Store(int64(time.Minute))
 		if answer := d.answerPermits(request); answer.Grants[0].Count != 3 {
 			t.Errorf("after a suspension: %v, want the one permit and half a second's two", answer)
 		}
 	})
 }
 
-// A replica that has just started takes a target's limit from the ask, issues its part, and
-// has its subscribers told; one that hears by a report that the limit was taken back too.
+// A replica that has just started learns a target's limit from the permit request, issues its
+// share and publishes the limit to its subscribers. It also publishes that the limit was
+// withdrawn, which it learns from a report.
 func TestReplicaIssuesForARateLimitedTarget(t *testing.T) {
 	synctest.Test(t, testIssueForATarget)
 }
@@ -88,20 +90,20 @@
 		{Limit: &wire.TargetLimit{Life: "t", Limited: true, PerSecond: 40}, Count: 3},
 	}}
 	if answer := d.answerPermits(request); len(answer.Grants) != 1 || answer.Grants[0].Count != 0 {
-		t.Errorf("a bucket that is not empty: %v", answer)
+		t.Errorf("permits from a bucket that should be empty: %v", answer)
 	}
 	time.Sleep(200 * time.Millisecond)
 	if answer := d.answerPermits(request); answer.Grants[0].Count == 0 || answer.Grants[0].LifeMilli == 0 {
 		t.Errorf("got %v", answer)
 	}
-	told, last := d.targetLimits.since(0)
-	if len(told) != 1 || told[0].Life != "t" || told[0].PerSecond != 40 {
-		t.Errorf("subscribers are told %v", told)
+	published, last := d.targetLimits.since(0)
+	if len(published) != 1 || published[0].Life != "t" || published[0].PerSecond != 40 {
+		t.Errorf("subscribers receive %v", published)
 	}
 	time.Sleep(400 * time.Millisecond)
 	d.applyLimitUpdates([]*wire.TargetLimit{{Life: "t"}})
-	if told, _ := d.targetLimits.since(last); len(told) != 1 || told[0].Limited {
-		t.Errorf("subscribers are told %v", told)
+	if published, _ := d.targetLimits.since(last); len(published) != 1 || published[0].Limited {
+		t.Errorf("subscribers receive %v", published)
 	}
 	d.targetLimits.prune(boottime.Now(), steering.State{})
 	if known := d.targetLimits.view("t"); known.limit < targetstatus.NoLimit {
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -16,9 +16,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Boxes tell every replica of targets that ended under a request. The leader has it
-// watched, then held, within the time in which all boxes must know; an operator's update
-// lets it go at all replicas.
+// Boxes report targets that crashed under a request to every replica. The leader puts the request
+// on probation and then in quarantine, within the time in which all boxes must know. A release by
+// an operator reaches all replicas.
 func TestEvidenceQuarantinesARequest(t *testing.T) {
 	const bound = 2 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
@@ -34,63 +34,63 @@
 			}
 		}()
 		digest := quarantine.Request{Target: "/fatal"}.Digest()
-		tell := func(life int) {
+		sendEvidence := func(incarnation int) {
 			for _, d := range s.daemons {
 				d.serveEvidence(&wire.Evidence{Ends: []*wire.RunEnd{{
-					Digest: digest[:], Caller: 1, Life: fmt.Sprint(life), Route: "r", Service: "s", BeganAgoMilli: 90, EndedAgoMilli: 10,
+					Digest: digest[:], Caller: 1, Life: fmt.Sprint(incarnation), Route: "r", Service: "s", BeganAgoMilli: 90, EndedAgoMilli: 10,
 				}}})
 			}
 		}
-		want := func(held, watched int) {
+		check := func(held, onProbation int) {
 			t.Helper()
 			for _, d := range s.daemons {
-				gotHeld, gotWatched := 0, 0
+				gotHeld, gotOnProbation := 0, 0
 				for _, e := range quarantine.EntriesOf(d.latest().Catalog().Quarantined()) {
 					if e.Held {
 						gotHeld++
 					} else {
-						gotWatched++
+						gotOnProbation++
 					}
 				}
-				if gotHeld != held || gotWatched != watched {
-					t.Errorf("%s: %d held and %d watched, want %d and %d", d.config.Name, gotHeld, gotWatched, held, watched)
+				if gotHeld != held || gotOnProbation != onProbation {
+					t.Errorf("%s: %d quarantined and %d on probation, want %d and %d", d.config.Name, gotHeld, gotOnProbation, held, onProbation)
 				}
 			}
 		}
-		tell(1)
+		sendEvidence(1)
 		time.Sleep(bound)
-		want(0, 0)
-		tell(2)
-		tell(3)
+		check(0, 0)
+		sendEvidence(2)
+		sendEvidence(3)
 		time.Sleep(bound / 2)
-		want(0, 1)
+		check(0, 1)
 		time.Sleep(bound / 2)
-		want(1, 1)
+		check(1, 1)
 		if err := s.daemons[0].Submit(ctx, &wire.Command{Quarantine: releaseCommand(digest)}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(bound)
-		want(0, 0)
+		check(0, 0)
 	})
 }
 
-// A replica of the version before would pass over the orders and differ from the others
-// for good: while one answers, nothing is ordered.
+// A replica of the previous version ignores quarantine commands, so its state would differ from
+// the others' permanently. While one answers, no command is submitted.
 func TestNothingIsOrderedWhileAReplicaOfBeforeFollows(t *testing.T) {
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		digest := quarantine.Request{Target: "/fatal"}.Digest()
 		leader, old := s.leaderAndAnother(t)
-		before := true
-		ask := leader.evidence.hello
+		unsupported := true
+		callHello := leader.evidence.hello
 		leader.evidence.hello = func(ctx context.Context, address string) (*wire.HelloAnswer, error) {
-			answer, err := ask(ctx, address)
-			if address == old.config.Name && before && answer != nil {
+			answer, err := callHello(ctx, address)
+			if address == old.config.Name && unsupported && answer != nil {
 				answer.TakesQuarantine = false
 			}
 			return answer, err
 		}
-		for life := range 3 {
-			leader.serveEvidence(&wire.Evidence{Ends: []*wire.RunEnd{{Digest: digest[:], Caller: 1, Life: fmt.Sprint(life)}}})
+		for incarnation := range 3 {
+			leader.serveEvidence(&wire.Evidence{Ends: []*wire.RunEnd{{Digest: digest[:], Caller: 1, Life: fmt.Sprint(incarnation)}}})
 		}
 		listed := func() int {
 			leader.applyQuarantineChanges(context.Background())
@@ -98,17 +98,17 @@
 			return len(leader.latest().Catalog().Quarantined())
 		}
 		if n := listed(); n != 0 {
-			t.Fatalf("%d requests were ordered to be watched or held", n)
+			t.Fatalf("%d requests were listed while a replica lacks support", n)
 		}
-		before = false
+		unsupported = false
 		time.Sleep(supportCheckValidity)
 		if n := listed(); n != 1 {
-			t.Fatalf("%d requests are listed once all are renewed", n)
+			t.Fatalf("%d requests are listed after all replicas were upgraded, want 1", n)
 		}
 	})
 }
 
-// leaderAndAnother returns the replica that leads and one that does not.
+// leaderAndAnother returns the leader and a replica that does not lead.
 func (s *slowReplicas) leaderAndAnother(t *testing.T) (leader, another *Daemon) {
 	t.Helper()
 	for _, d := range s.daemons {
@@ -123,12 +123,12 @@
 		}
 	}
 	if leader == nil {
-		t.Fatal("no replica leads")
+		t.Fatal("no leader")
 	}
 	return leader, another
 }
 
-// Calls that name no digest get a clear error and change nothing.
+// A release with an invalid digest is answered with an error and changes nothing.
 func TestReleaseRejectsAnInvalidDigest(t *testing.T) {
 	d := &Daemon{}
 	app := iris.New()
--- a/internal/control/registrations_bench_test.go
+++ b/internal/control/registrations_bench_test.go
@@ -17,8 +17,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// openReplicas opens control replicas on the loopback network that form one quorum
-// and hold a state.
+// openReplicas opens control replicas on the loopback network that form one quorum and hold a
+// state.
 func openReplicas(b *testing.B, count int, state steering.State) []*Daemon {
 	b.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -79,7 +79,7 @@
 	}
 }
 
-// processorTime is what this process has used of all cores.
+// processorTime returns the CPU time that this process has used on all cores.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -88,8 +88,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkWordsAtOnce is what nine replicas take together for registration updates that
-// all join at the same moment, each at one of the replicas.
+// BenchmarkWordsAtOnce measures the CPU time that nine replicas use together for the registrations
+// of targets that all join at the same moment, each at one of the replicas.
 func BenchmarkWordsAtOnce(b *testing.B) {
 	for _, n := range []int{400, 1356, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -102,14 +102,14 @@
 				b.StartTimer()
 				var failed, calls int
 				var counting sync.Mutex
-				var telling sync.WaitGroup
+				var registering sync.WaitGroup
 				for i := range n {
-					telling.Go(func() {
-						at := i
+					registering.Go(func() {
+						replica := i
 						for {
 							ctx, cancel := context.WithTimeout(b.Context(), 900*time.Millisecond)
 							r := &wire.Registration{Id: fmt.Sprint("i", i), Address: fmt.Sprint("a", i), Service: "s", Zone: "z", Slots: 9, Sequence: 1}
-							err := daemons[at%len(daemons)].Register(ctx, r)
+							err := daemons[replica%len(daemons)].Register(ctx, r)
 							cancel()
 							counting.Lock()
 							calls++
@@ -120,12 +120,12 @@
 							if err == nil || b.Context().Err() != nil {
 								return
 							}
-							at++
+							replica++
 							time.Sleep(100 * time.Millisecond)
 						}
 					})
 				}
-				telling.Wait()
+				registering.Wait()
 				b.StopTimer()
 				took := processorTime() - used
 				b.ReportMetric(float64(took.Microseconds())/float64(n), "cpu-us/update")
--- a/internal/control/registrations_test.go
+++ b/internal/control/registrations_test.go
@@ -16,16 +16,16 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// runQueue runs a function in virtual time with updates that settle tries to settle.
-func runQueue(t *testing.T, settle func(context.Context, []*pendingUpdate) []error, run func(t *testing.T, w *registrationQueue)) {
+// runQueue runs a function in virtual time with a queue whose batches are passed to commit.
+func runQueue(t *testing.T, commit func(context.Context, []*pendingUpdate) []error, run func(t *testing.T, q *registrationQueue)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegistrationQueue()
-		w.commit = settle
+		q := newRegistrationQueue()
+		q.commit = commit
 		ctx, stop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- w.run(ctx) }()
-		run(t, w)
+		go func() { ended <- q.run(ctx) }()
+		run(t, q)
 		stop()
 		<-ended
 	})
@@ -36,77 +36,77 @@
 }
 
 func TestWordToldAgainWhileItWaitsIsSettledOnce(t *testing.T) {
-	settled := 0
-	settle := func(_ context.Context, batch []*pendingUpdate) []error {
+	committed := 0
+	commit := func(_ context.Context, batch []*pendingUpdate) []error {
 		time.Sleep(300 * time.Millisecond)
-		settled += len(batch)
+		committed += len(batch)
 		return make([]error, len(batch))
 	}
-	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
-		var telling sync.WaitGroup
+	runQueue(t, commit, func(t *testing.T, q *registrationQueue) {
+		var calls sync.WaitGroup
 		for range 3 {
-			telling.Go(func() {
-				if err := w.submit(t.Context(), registrationCommand("a", 1), false); err != nil {
+			calls.Go(func() {
+				if err := q.submit(t.Context(), registrationCommand("a", 1), false); err != nil {
 					t.Error(err)
 				}
 			})
 			time.Sleep(50 * time.Millisecond)
 		}
-		telling.Wait()
+		calls.Wait()
 	})
-	if settled != 1 {
-		t.Errorf("settled %d times", settled)
+	if committed != 1 {
+		t.Errorf("committed %d times, want 1", committed)
 	}
 }
 
-// A update is tried until its asker gives up, and no longer.
+// An update is retried until its caller gives up, and no longer.
 func TestWordIsTriedWhileItsAskerWaits(t *testing.T) {
-	var tries []time.Duration
+	var attempts []time.Duration
 	began := time.Time{}
-	settle := func(_ context.Context, batch []*pendingUpdate) []error {
-		tries = append(tries, time.Since(began))
+	commit := func(_ context.Context, batch []*pendingUpdate) []error {
+		attempts = append(attempts, time.Since(began))
 		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
+	runQueue(t, commit, func(t *testing.T, q *registrationQueue) {
 		began = time.Now()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if err := w.submit(ctx, registrationCommand("a", 1), false); err == nil {
-			t.Error("settled by nobody")
+		if err := q.submit(ctx, registrationCommand("a", 1), false); err == nil {
+			t.Error("no error although no leader committed the update")
 		}
 		time.Sleep(10 * time.Second)
 	})
-	if len(tries) < 10 {
-		t.Errorf("tried %d times in a second", len(tries))
+	if len(attempts) < 10 {
+		t.Errorf("%d attempts in a second, want at least 10", len(attempts))
 	}
-	if last := tries[len(tries)-1]; last > time.Second {
-		t.Errorf("tried after %v, the asker waited for 1 s", last)
+	if last := attempts[len(attempts)-1]; last > time.Second {
+		t.Errorf("attempt after %v, the caller waited 1 s", last)
 	}
 }
 
-// A update that another replica has handed on is not handed on again, so that no update
-// goes round among replicas that each hold the other to be the leader.
+// An update forwarded by another replica is not forwarded again, so that updates do not circulate
+// among replicas that each take the other for the leader.
 func TestForwardedWordIsTriedOnce(t *testing.T) {
-	tries := 0
-	settle := func(_ context.Context, batch []*pendingUpdate) []error {
-		tries++
+	attempts := 0
+	commit := func(_ context.Context, batch []*pendingUpdate) []error {
+		attempts++
 		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	runQueue(t, settle, func(t *testing.T, w *registrationQueue) {
+	runQueue(t, commit, func(t *testing.T, q *registrationQueue) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var unavailable *UnavailableError
-		if err := w.submit(ctx, registrationCommand("a", 1), true); !errors.As(err, &unavailable) {
+		if err := q.submit(ctx, registrationCommand("a", 1), true); !errors.As(err, &unavailable) {
 			t.Errorf("got %v", err)
 		}
 	})
-	if tries != 1 {
-		t.Errorf("tried %d times", tries)
+	if attempts != 1 {
+		t.Errorf("%d attempts, want 1", attempts)
 	}
 }
 
-// A leader of an earlier version, which knows no updates that are handed on together,
-// gets each by itself.
+// A leader of an earlier version does not support batches of updates and receives each update in a
+// call of its own.
 func TestWordsAreHandedOnSinglyToAnEarlierVersion(t *testing.T) {
 	var mu sync.Mutex
 	got := make(map[string]int)
@@ -134,12 +134,11 @@
 		t.Error(err)
 	}
 	if len(got) != 2 || got["a"] != 1 || got["c"] != 1 {
-		t.Errorf("the leader got %v", got)
+		t.Errorf("the leader received %v", got)
 	}
 }
 
-// newSoleLeader returns the only replica of a quorum, which leads and whose loop does
-// not run.
+// newSoleLeader returns the only replica of a quorum. It leads, and its loop does not run.
 func newSoleLeader(t *testing.T) *replica {
 	t.Helper()
 	j, found, err := journal.Open("folder", "a", newFakeDisk(1).files())
@@ -172,7 +171,7 @@
 	return r
 }
 
-// An order whose asker has gone while it waited for the loop is not done.
+// A request whose caller gave up while it was queued is not proposed.
 func TestOrderWithoutAskerIsNotProposed(t *testing.T) {
 	r := newSoleLeader(t)
 	var dropped []string
@@ -192,41 +191,42 @@
 	a, _ := r.inbox.next()
 	out := r.drain(a)
 	if len(out.Entries) != 1 || len(dropped) != 1 || dropped[0] != "order" {
-		t.Errorf("%d entries, dropped %v; want 1 and an order", len(out.Entries), dropped)
+		t.Errorf("%d entries, dropped inputs %v; want 1 entry and one dropped order", len(out.Entries), dropped)
 	}
 	if err := r.handleOutput(out); err != nil {
 		t.Fatal(err)
 	}
 	if o := <-reply; o.err != nil || !o.result.Changed {
-		t.Errorf("the other order: %+v", o)
+		t.Errorf("the other request: %+v", o)
 	}
 }
 
-// However many updates wait, messages of other replicas and orders are taken first.
+// Messages of other replicas and requests are handled before updates, however many updates are
+// queued.
 func TestWordsWaitBehindMessagesAndOrders(t *testing.T) {
 	i := newInbox()
 	for range updateQueueSize {
 		if !i.tryPut(updateBatch{}) {
-			t.Fatal("no room")
+			t.Fatal("the queue is full")
 		}
 	}
 	if i.tryPut(updateBatch{}) {
-		t.Error("updates took more than their room")
+		t.Error("more updates were queued than the queue holds")
 	}
 	if !i.tryPut(readRequest{}) || !i.tryPut(receivedMessage{}) {
-		t.Fatal("updates left no room for others")
+		t.Fatal("queued updates block the other queues")
 	}
 	var got []string
 	for a, ok := i.next(); ok && len(got) < 3; a, ok = i.next() {
 		got = append(got, inputKind(a.message))
 	}
 	if len(got) != 3 || got[0] != "consensus" || got[1] != "question" || got[2] != "words" {
-		t.Errorf("taken in the order %v", got)
+		t.Errorf("handled in the order %v", got)
 	}
 }
 
-// More committed entries than are applied at once are applied by the following turns,
-// and a read waits for those that it is to show.
+// If more entries are committed than are applied at once, the rest is applied in the following
+// iterations, and a read waits for the entries that it must reflect.
 func TestLongCommitIsAppliedInTurns(t *testing.T) {
 	r := newSoleLeader(t)
 	const count = 3*maxEntriesPerApply + 5
@@ -241,19 +241,19 @@
 		t.Fatal(err)
 	}
 	if n := len(r.state.Catalog().Targets()); n != maxEntriesPerApply {
-		t.Fatalf("%d targets after one turn, want %d", n, maxEntriesPerApply)
+		t.Fatalf("%d targets after one iteration, want %d", n, maxEntriesPerApply)
 	}
 	if err := r.handleOutput(r.handle(readRequest{read})); err != nil {
 		t.Fatal(err)
 	}
-	for turns := 0; len(r.committed) > 0; turns++ {
+	for iterations := 0; len(r.committed) > 0; iterations++ {
 		select {
 		case <-read:
-			t.Fatal("a read was answered by a state that lacks what was committed before it")
+			t.Fatal("a read was answered from a state that lacks entries committed before it")
 		default:
 		}
-		if turns > count/maxEntriesPerApply {
-			t.Fatalf("%d entries wait after %d turns", len(r.committed), turns)
+		if iterations > count/maxEntriesPerApply {
+			t.Fatalf("%d entries wait after %d iterations", len(r.committed), iterations)
 		}
 		if err := r.handleOutput(r.drainInbox(consensus.Output{})); err != nil {
 			t.Fatal(err)
--- a/internal/control/restarts_test.go
+++ b/internal/control/restarts_test.go
@@ -8,39 +8,39 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// restartSeeds is how many worlds TestLatestLifeIsKeptThroughCuts goes through.
+// restartSeeds is the number of simulations that TestLatestIncarnationIsKeptThroughCuts runs.
 const restartSeeds = 30
 
-// restartingTarget is a target that may start again under its id.
+// restartingTarget is a target that may restart under the same id.
 type restartingTarget struct {
 	id          string
 	incarnation int64
 	sequence    uint64
-	// acked is the latest life of which an update was acknowledged.
+	// acked is the latest incarnation of which an update was acknowledged.
 	acked int64
 }
 
-func (b *restartingTarget) update(life int64, sequence uint64) *wire.Command {
+func (b *restartingTarget) update(incarnation int64, sequence uint64) *wire.Command {
 	return &wire.Command{Registration: &wire.RegistrationCommand{Registration: &wire.Registration{
-		Id: b.id, Address: "at-" + b.id, Service: "s", Zone: "z1", Slots: 1, BornUnixMilli: life, Sequence: sequence,
+		Id: b.id, Address: "at-" + b.id, Service: "s", Zone: "z1", Slots: 1, BornUnixMilli: incarnation, Sequence: sequence,
 	}}}
 }
 
-// sentUpdates are updates that a node was given in one batch.
+// sentUpdates is a batch of updates that was sent to a node.
 type sentUpdates struct {
 	targets      []*restartingTarget
 	incarnations []int64
 	reply        chan updateOutcome
 }
 
-// restartRun has targets crash and start again, behind cuts too, while replicas are cut
-// off, killed and started. Words of former lives come late.
+// restartRun restarts targets, also while network cuts last, and cuts off, kills and restarts
+// replicas. Updates of earlier incarnations arrive late.
 type restartRun struct {
 	sim     *simulation
 	targets []*restartingTarget
 	sent    []sentUpdates
-	// held is the latest life of each target that each node's state has held since the
-	// node's start, which begins with its last snapshot.
+	// held is the latest incarnation of each target in each node's state since the node's start,
+	// at which the node restores its last snapshot.
 	held map[string]int64
 }
 
@@ -50,23 +50,23 @@
 	}
 	t := sentUpdates{reply: make(chan updateOutcome, 2*len(r.targets))}
 	batch := updateBatch{reply: t.reply}
-	add := func(b *restartingTarget, life int64, sequence uint64) {
-		batch.updates = append(batch.updates, b.update(life, sequence))
+	add := func(b *restartingTarget, incarnation int64, sequence uint64) {
+		batch.updates = append(batch.updates, b.update(incarnation, sequence))
 		t.targets = append(t.targets, b)
-		t.incarnations = append(t.incarnations, life)
+		t.incarnations = append(t.incarnations, incarnation)
 	}
 	for _, b := range r.targets {
 		b.sequence++
 		add(b, b.incarnation, b.sequence)
 		if late && b.incarnation > 1 {
-			add(b, b.incarnation-1, 1_000_000+b.sequence) // of the life before, said last
+			add(b, b.incarnation-1, 1_000_000+b.sequence) // late update of the previous incarnation
 		}
 	}
 	r.sim.handleOutput(n, n.replica.handle(batch))
 	r.sent = append(r.sent, t)
 }
 
-// recordAcks notes which updates were acknowledged.
+// recordAcks records which updates were acknowledged.
 func (r *restartRun) recordAcks() {
 	for _, t := range r.sent {
 		for len(t.reply) > 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// check checks that no node goes back to a former life.
+// check checks that no node returns to an earlier incarnation.
 func (r *restartRun) check() {
 	for _, n := range r.sim.nodes {
 		for _, b := range r.targets {
@@ -89,7 +89,7 @@
 			}
 			known, ok := n.replica.state.Catalog().Target(b.id)
 			if ok && known.BornUnixMilli < r.held[key] {
-				r.sim.addProblem("%s holds life %d of %s after life %d", n.name, known.BornUnixMilli, b.id, r.held[key])
+				r.sim.addProblem("%s holds incarnation %d of %s after incarnation %d", n.name, known.BornUnixMilli, b.id, r.held[key])
 			}
 			if ok {
 				r.held[key] = known.BornUnixMilli
@@ -142,11 +142,11 @@
 		}
 		for _, b := range r.targets {
 			if b.acked != b.incarnation {
-				sim.addProblem("no update of life %d of %s was acknowledged, the latest is %d", b.incarnation, b.id, b.acked)
+				sim.addProblem("no update of incarnation %d of %s was acknowledged, the latest acknowledged is %d", b.incarnation, b.id, b.acked)
 			}
 			for _, n := range sim.nodes {
 				if known, ok := n.replica.state.Catalog().Target(b.id); !ok || known.BornUnixMilli != b.incarnation {
-					sim.addProblem("%s holds life %d of %s, want %d", n.name, known.GetBornUnixMilli(), b.id, b.incarnation)
+					sim.addProblem("%s holds incarnation %d of %s, want %d", n.name, known.GetBornUnixMilli(), b.id, b.incarnation)
 				}
 			}
 		}
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -23,11 +23,10 @@
 	snapshotEvery  = 16
 )
 
-// crashed is what a hook panics with to end a replica in the middle of its
-// work.
+// crashed is the panic value with which a hook ends a replica in the middle of its work.
 type crashed struct{ node *node }
 
-// node is one control box: a disk, and while it is alive a replica.
+// node is a control box: a disk and, while it is alive, a replica.
 type node struct {
 	sim        *simulation
 	name       string
@@ -42,9 +41,9 @@
 	inbox      []*wire.ConsensusMessage
 	downTo     time.Time
 	nextAt     time.Time
-	awaitsJoin bool // not yet part of the membership
+	awaitsJoin bool // not yet in the membership
 	heardAt    time.Time
-	// aloneSince is when the node was last in touch with another.
+	// aloneSince is when the node could last reach another or be reached.
 	aloneSince time.Time
 }
 
@@ -54,8 +53,8 @@
 	message  *wire.ConsensusMessage
 }
 
-// simulation hosts three control boxes and six entry boxes in three availability
-// zones, in virtual time and with fakes for disks and network.
+// simulation runs three control boxes and six entry boxes in three availability zones, in virtual
+// time and with fake disks and networks.
 type simulation struct {
 	t        *testing.T
 	random   *rand.Rand
@@ -64,7 +63,7 @@
 	nodes    []*node
 	boxes    []*box
 	queue    []packet
-	blocked  map[[2]string]time.Time // one-way between zones, until
+	blocked  map[[2]string]time.Time // by sending and receiving zone: the end of the cut
 	hook     func(step string, n *node)
 	boxHook  func(step string, b *box)
 	joining  map[string]*wire.Replica
@@ -73,7 +72,7 @@
 	leaders  map[uint64]string
 	applied  map[uint64]uint64
 	problems []string
-	// quorumLost: two disks of three were lost before a repair was finished.
+	// quorumLost is set if two of three disks were lost before a repair was finished.
 	quorumLost bool
 	crashAt    map[*node]time.Time
 }
@@ -129,7 +128,7 @@
 	n.disk.durable["identity"] = n.disk.names["identity"]
 }
 
-// id is the identity on the node's present disk.
+// id returns the identity on the node's current disk.
 func (n *node) id() string { return fmt.Sprintf("%s-disk%d", n.name, n.disks) }
 
 func (sim *simulation) start(n *node) {
@@ -189,7 +188,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write(data)
 	if other, ok := sim.applied[n.replica.applied]; ok && other != h.Sum64() {
-		sim.addProblem("%s applies another command at %d than others did", n.name, n.replica.applied)
+		sim.addProblem("%s applied a different command at index %d than another replica", n.name, n.replica.applied)
 	}
 	sim.applied[n.replica.applied] = h.Sum64()
 	if n.replica.machine.Status(sim.now).Role == consensus.Leader {
@@ -206,7 +205,7 @@
 	sim.queue = append(sim.queue, packet{sim.now.Add(linkDelay), n.name, m.To, proto.CloneOf(m)})
 }
 
-// guarded runs a part of a node's work that a hook may end by a crash.
+// guarded runs work of a node that a hook may end with a crash.
 func guarded(n *node, work func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -218,15 +217,15 @@
 	work()
 }
 
-// reachStep reaches a step outside of the node's loop.
+// reachStep calls the hook for a step outside of the node's loop.
 func (sim *simulation) reachStep(step string, n *node) { guarded(n, func() { sim.hook(step, n) }) }
 
-// handleOutput carries an output out unless a hook ends the replica meanwhile.
+// handleOutput carries out an output unless a hook crashes the replica meanwhile.
 func (sim *simulation) handleOutput(n *node, out consensus.Output) {
 	guarded(n, func() { sim.store(n, out) })
 }
 
-// tick tells a node of the time.
+// tick advances the time of a node's replica.
 func (sim *simulation) tick(n *node) {
 	guarded(n, func() {
 		out, err := n.replica.tick()
@@ -244,7 +243,7 @@
 	}
 }
 
-// kill ends a node now; it starts again after a while.
+// kill crashes a node, which restarts after the given time.
 func (sim *simulation) kill(n *node, torn bool, down time.Duration) {
 	n.alive = false
 	n.downTo = sim.now.Add(down)
@@ -265,7 +264,7 @@
 	sim.blocked[[2]string{from, to}] = sim.now.Add(length)
 }
 
-// cutZone cuts a zone from the others, both ways or one way only.
+// cutZone cuts an availability zone off from the others, in one direction or both.
 func (sim *simulation) cutZone(zone string, out, in bool, length time.Duration) {
 	for _, other := range []string{"z1", "z2", "z3"} {
 		if other == zone {
@@ -386,7 +385,8 @@
 	}
 }
 
-// checkCutOff checks that a node that is alone for two seconds says so.
+// checkCutOff checks that a node that has been isolated for two seconds reports that it is cut
+// off.
 func (sim *simulation) checkCutOff(n *node, s consensus.Status) {
 	for _, other := range sim.nodes {
 		if other != n && (sim.reachable(n.zone, other.zone) || sim.reachable(other.zone, n.zone)) {
@@ -394,13 +394,13 @@
 		}
 	}
 	if sim.now.Sub(n.aloneSince) > 2*time.Second && !s.CutOff {
-		sim.addProblem("%s is cut off and does not say so", n.name)
+		sim.addProblem("%s is cut off and does not report it", n.name)
 		n.aloneSince = sim.now
 	}
 }
 
-// repair does what the daemon's workers do: a node on a new disk asks to join,
-// and the leader takes it in step by step.
+// repair does the work of the daemon's workers: a node on a new disk asks to join, and the leader
+// adds it step by step.
 func (sim *simulation) repair(n *node) {
 	if !n.alive {
 		return
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	// slowLinkBytes is what all links between the replicas together carry in a
-	// second, each way: 8 Mbit/s.
+	// slowLinkBytes is the bandwidth of all links between the replicas together, in bytes per
+	// second and direction: 8 Mbit/s.
 	slowLinkBytes = 8_000_000 / 8
-	// operatorCallTimeout is how long an operator's call may take.
+	// operatorCallTimeout bounds an operator's call.
 	operatorCallTimeout = 4 * time.Second
-	// maxAckTime bounds the acknowledgement of a document.
+	// maxAckTime bounds the time until a document is acknowledged.
 	maxAckTime = time.Second
-	// maxSentFraction bounds the bytes that replicas send for a document: this part of
-	// its text.
+	// maxSentFraction bounds the bytes that replicas send for a document: the size of its text
+	// divided by this.
 	maxSentFraction = 2
-	// electionWait is enough to elect a leader, restTime for what is still under way.
+	// electionWait suffices to elect a leader, and quiescenceWait for what is still in flight.
 	electionWait   = 10 * time.Second
 	quiescenceWait = 10 * time.Second
 )
 
-// slowReplicas are three replicas on links with a bandwidth.
+// slowReplicas are three replicas on links with limited bandwidth.
 type slowReplicas struct {
 	daemons []*Daemon
-	// suspended is for how long the machine of each was suspended, in nanoseconds.
+	// suspended is how long each replica's machine was suspended, in nanoseconds.
 	suspended []*atomic.Int64
 	stop      context.CancelFunc
 	ended     chan error
 }
 
-// runSlowReplicas runs a function in virtual time with replicas that all hold a
-// state.
+// runSlowReplicas runs a function in virtual time with replicas that all hold a state.
 func runSlowReplicas(t *testing.T, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
 	runReplicasOn(t, slowLinkBytes, state, run)
 }
 
-// runReplicasOn does so on links that together carry so many bytes a second, each way.
+// runReplicasOn is runSlowReplicas with the given bandwidth of all links together, in bytes per
+// second and direction.
 func runReplicasOn(t *testing.T, bytesPerSecond int, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
 	runtime.GC() // yamux keeps timers in a pool, which must not enter or leave
@@ -77,9 +77,9 @@
 	first := &wire.Membership{}
 	for i := range 3 {
 		c := config.Control{Folder: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, Seeded: true}
-		asleep := &atomic.Int64{}
-		s.suspended = append(s.suspended, asleep)
-		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
+		suspended := &atomic.Int64{}
+		s.suspended = append(s.suspended, suspended)
+		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 		c.Name = fmt.Sprintf("c%d", i)
 		c.PeerAddress = c.Name
 		c.OperatorAddress = "127.0.0.1:0"
@@ -102,8 +102,8 @@
 	return s
 }
 
-// suspend has the machine of one replica be suspended; virtual time stands still meanwhile,
-// as its steady clock does.
+// suspend simulates a suspension of one replica's machine. Virtual time stands still meanwhile,
+// like the machine's monotonic clock.
 func (s *slowReplicas) suspend(d *Daemon, length time.Duration) {
 	s.suspended[slices.Index(s.daemons, d)].Add(int64(length))
 }
@@ -145,7 +145,7 @@
 	return s.daemons[i]
 }
 
-// operatorsText returns a text of about 220 B a route.
+// operatorsText returns a text of about 220 B per route.
 func operatorsText(routes int) []byte {
 	r := rand.New(rand.NewPCG(1, 3))
 	var out strings.Builder
@@ -158,7 +158,8 @@
 	return []byte(out.String())
 }
 
-// Guards against a long document that slow links between replicas never carry whole.
+// Guards against a long document that is never transferred completely over slow links between
+// replicas.
 func TestDocumentCrossesSlowLinksOnce(t *testing.T) {
 	for _, routes := range []int{1400, 5600} {
 		t.Run(fmt.Sprintf("put/%d", routes), func(t *testing.T) {
@@ -192,17 +193,17 @@
 	took := time.Since(began)
 	time.Sleep(quiescenceWait)
 	sent := s.sent() - before
-	t.Logf("%d bytes: settled after %v, %d bytes were sent: %v", len(text), took, sent, err)
+	t.Logf("%d bytes: committed after %v, %d bytes were sent: %v", len(text), took, sent, err)
 	if err != nil || took > maxAckTime {
 		t.Errorf("acknowledged after %v, want at most %v: %v", took, maxAckTime, err)
 	}
-	if most := uint64(len(text) / maxSentFraction); sent > most {
-		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
+	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 	for _, d := range s.daemons {
 		state, err := d.State(t.Context())
 		if err != nil || string(state.Catalog().Document().GetText()) != string(text) {
-			t.Errorf("%s holds another text after %v: %v", d.config.Name, quiescenceWait, err)
+			t.Errorf("%s holds a different text after %v: %v", d.config.Name, quiescenceWait, err)
 		}
 	}
 }
@@ -218,7 +219,7 @@
 	if err != nil || string(got) != string(text) {
 		t.Errorf("got %d bytes of %d: %v", len(got), len(text), err)
 	}
-	if most := uint64(len(text) / maxSentFraction); sent > most {
-		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
+	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 }
--- a/internal/control/suspension_test.go
+++ b/internal/control/suspension_test.go
@@ -8,8 +8,8 @@
 	"ledgesill.dev/ledgesill/pkg/steering"
 )
 
-// Guards against a replica that takes its leader for fresh, or itself for the leader, after a
-// suspension.
+// Guards against a replica that, after a suspension, takes its contact with the leader for recent
+// or still takes itself for the leader.
 func TestReplicaCountsASuspension(t *testing.T) {
 	const length = 5 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
@@ -17,27 +17,27 @@
 			age, now := d.controlAge(), d.replica.now()
 			s.suspend(d, length)
 			if got := d.replica.now().Sub(now); got < length {
-				t.Errorf("%s: its clock went on by %s in a suspension of %s", d.config.Name, got, length)
+				t.Errorf("%s: its clock advanced by %s in a suspension of %s", d.config.Name, got, length)
 			}
 			if got := d.controlAge(); got < age+length {
-				t.Errorf("%s: the leader's update was %s old and is %s old after a suspension of %s", d.config.Name, age, got, length)
+				t.Errorf("%s: the last contact with the leader was %s ago, and %s ago after a suspension of %s", d.config.Name, age, got, length)
 			}
 		}
 	})
 }
 
-// A leader that alone was suspended leads no more when it wakes, as it has not heard of the
-// others for so long; these go on, and one of them leads soon.
+// A leader that alone was suspended steps down when it resumes, since it has not had contact with
+// the others for so long. The others continue, and one of them becomes leader soon.
 func TestSuspendedLeaderStepsDown(t *testing.T) {
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		leader, another := s.leaderAndAnother(t)
 		s.suspend(leader, 5*time.Second)
 		time.Sleep(50 * time.Millisecond)
 		if role := s.role(t, leader); role == consensus.Leader {
-			t.Error("it leads on")
+			t.Error("the suspended leader still leads")
 		}
 		if lost := another.clock.Suspended(); lost != 0 {
-			t.Errorf("another replica counts %s", lost)
+			t.Errorf("another replica counted a suspension of %s", lost)
 		}
 		time.Sleep(3 * time.Second)
 		leaders := 0
@@ -47,10 +47,10 @@
 			}
 		}
 		if leaders != 1 {
-			t.Errorf("%d replicas lead", leaders)
+			t.Errorf("%d replicas lead, want 1", leaders)
 		}
 		if took := s.putUntilAcknowledged(t); took > time.Second {
-			t.Errorf("a document is acknowledged after %s", took)
+			t.Errorf("a document was acknowledged after %s, want at most 1 s", took)
 		}
 	})
 }
--- a/internal/control/update_test.go
+++ b/internal/control/update_test.go
@@ -15,9 +15,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// A update that names a service which the document does not have took the address of
-// a sound target and ended it; one whose start lies ahead would shut the target's own
-// updates out until then.
+// Guards against an update for a service that is not in the document, which used to take over the
+// address of a working target and remove it, and against an update with a start time in the
+// future, which would block the target's own updates until then.
 func TestWordsThatNameNothingUsableAreRefused(t *testing.T) {
 	d := &Daemon{routes: &routesDecoder{
 		decode: func([]byte) (catalog.Document, error) {
@@ -50,8 +50,8 @@
 	}
 }
 
-// The document as it was written holds the keys of workspaces, and was told to anyone
-// who reached the operators' address.
+// The original text of the document contains the keys of workspaces and used to be sent to anyone
+// who could reach the operators' address.
 func TestDocumentWithKeysNeedsTheToken(t *testing.T) {
 	d := &Daemon{config: config.Control{Token: "secret"}}
 	app := iris.New()
