--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	listener := tlsListener(d.operators, tlsConfig)
+	listener := tlsListener(d.operatorListener, tlsConfig)
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(listener) }()
 	select {
--- a/internal/control/boxes_test.go
+++ b/internal/control/boxes_test.go
@@ -14,25 +14,25 @@
 
 // box is a simulated entry box.
 type box struct {
-	sim      *simulation
-	name     string
-	zone     string
-	follower *distribution.Follower
-	pub      *distribution.Publisher
-	source   *distribution.Subscribe
-	sentAt   time.Time
-	sent     uint64
-	alive    bool
-	downTo   time.Time
-	highest  uint64
-	starts   uint64
+	sim            *simulation
+	name           string
+	zone           string
+	follower       *distribution.Follower
+	publisher      *distribution.Publisher
+	source         *distribution.Subscribe
+	sentAt         time.Time
+	sent           uint64
+	alive          bool
+	downUntil      time.Time
+	highestVersion uint64
+	starts         uint64
 }
 
 func (sim *simulation) startBox(b *box) {
 	b.alive = true
 	b.starts++
 	b.follower = distribution.NewFollower(sim.now, sim.random.Uint64())
-	b.pub = distribution.NewPublisher(steering.State{})
+	b.publisher = distribution.NewPublisher(steering.State{})
 	b.source = nil
 	zone := settings.Zone{Name: b.zone}
 	for _, other := range sim.boxes {
@@ -66,17 +66,17 @@
 		return
 	}
 	v := out.State.Version()
-	if v < b.highest {
-		sim.addProblem("%s activates version %d after version %d", b.name, v, b.highest)
+	if v < b.highestVersion {
+		sim.addProblem("%s activates version %d after version %d", b.name, v, b.highestVersion)
 	}
-	b.highest = max(b.highest, v)
-	b.pub.SetState(*out.State, out.Commands)
+	b.highestVersion = max(b.highestVersion, v)
+	b.publisher.SetState(*out.State, out.Commands)
 }
 
 // stepBox transfers updates over the box's subscription.
 func (sim *simulation) stepBox(b *box) {
 	if !b.alive {
-		if !sim.now.Before(b.downTo) {
+		if !sim.now.Before(b.downUntil) {
 			sim.startBox(b)
 		}
 		return
@@ -113,17 +113,17 @@
 		if !n.alive || n.frozen {
 			return nil, 0, "", false
 		}
-		return n.pub, sim.now.Sub(n.heardAt), n.zone, true
+		return n.publisher, sim.now.Sub(n.lastContactAt), n.zone, true
 	}
 	i := slices.IndexFunc(sim.boxes, func(b *box) bool { return b.name == name })
 	if i < 0 || !sim.boxes[i].alive {
 		return nil, 0, "", false
 	}
 	b := sim.boxes[i]
-	return b.pub, b.follower.ControlAge(sim.now), b.zone, true
+	return b.publisher, b.follower.ControlAge(sim.now), b.zone, true
 }
 
 func (sim *simulation) killBox(b *box, down time.Duration) {
 	b.alive = false
-	b.downTo = sim.now.Add(down)
+	b.downUntil = sim.now.Add(down)
 }
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -50,7 +50,7 @@
 	// bounds the log lines about them.
 	rejectedUpdates    prometheus.Counter
 	rejectedLogLimiter *process.LineLimit
-	operators          net.Listener
+	operatorListener   net.Listener
 	extraServices      []process.Service
 
 	started time.Time
@@ -80,11 +80,11 @@
 	if err := journal.MakeDir(c.Folder); err != nil {
 		return nil, fmt.Errorf("creating the data directory: %w", err)
 	}
-	events := c.Folder
+	eventsDir := c.Folder
 	if c.Seeded {
-		events = "" // the replica's loop must not wait for the disk to note an event
+		eventsDir = "" // the replica's loop must not wait for the disk to record an event
 	}
-	p, err := process.New(c.Name, log, c.Level(), events)
+	p, err := process.New(c.Name, log, c.Level(), eventsDir)
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, tlsConfig); err != nil {
 		return err
 	}
-	if d.operators, err = net.Listen("tcp", d.config.OperatorAddress); err != nil {
+	if d.operatorListener, err = net.Listen("tcp", d.config.OperatorAddress); err != nil {
 		return errors.Join(fmt.Errorf("listening for operators: %w", err), d.node.Close())
 	}
 	d.transport = newTransport(d.node)
@@ -165,7 +165,7 @@
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
 	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Registration updates of targets that were rejected.").WithLabelValues()
 	d.rejectedLogLimiter = process.NewLineLimit(maxRejectedLogsPerSecond)
-	settled := d.process.Counter("changes_settled_total", "Changes that received a verdict, by verdict.", "verdict")
+	verdicts := d.process.Counter("changes_settled_total", "Changes that received a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
 		d.transport.send(d.addressOf(m.To), m)
@@ -191,7 +191,7 @@
 	d.replica.onApplied = func(c *wire.Command, result steering.Result) {
 		d.recordApplied(c, result)
 		if v := result.Verdict; v != nil {
-			settled.WithLabelValues(verdictName(v.Kind)).Inc()
+			verdicts.WithLabelValues(verdictName(v.Kind)).Inc()
 		}
 	}
 	d.process.Gauge("quarantine_suspects", "Requests that crashed targets, as reported by boxes.", func() float64 { return float64(d.evidence.len()) })
@@ -219,7 +219,7 @@
 func (d *Daemon) PeerAddress() string { return d.node.Address() }
 
 // OperatorAddress returns the address at which the replica listens for operators.
-func (d *Daemon) OperatorAddress() string { return d.operators.Addr().String() }
+func (d *Daemon) OperatorAddress() string { return d.operatorListener.Addr().String() }
 
 // AddHandler serves an additional HTTP handler on an address once Run is called.
 func (d *Daemon) AddHandler(name, address string, h http.Handler) error {
@@ -332,6 +332,7 @@
 	d.lastContact.Store(int64(max(d.clock.Since(d.started)-ago, 0)))
 }
 
+// noContact is the value of lastContact before the first contact with a leader.
 const noContact = -1
 
 func (d *Daemon) serveConsensus(ctx context.Context, _ string, m *link.Messages) {
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -97,7 +97,7 @@
 		}, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
 		named("freeze and thaw", fault{onNode: func(sim *simulation, n *node) {
 			n.frozen = true
-			n.downTo = sim.now.Add(2500 * time.Millisecond)
+			n.downUntil = sim.now.Add(2500 * time.Millisecond)
 		}}),
 		named("zone cut", cutFault(true, true, 4*time.Second)),
 		named("zone cut, out only", cutFault(true, false, 4*time.Second)),
@@ -170,7 +170,7 @@
 func runCell(t *testing.T, seed uint64, s step, first fault, second *fault) []string {
 	sim := newSimulation(t, seed)
 	o := newOperators(sim)
-	if !o.run(10*time.Second, func() bool { return len(o.accepted) >= 20 && sim.allAt(10) }) {
+	if !o.run(10*time.Second, func() bool { return len(o.acceptedIDs) >= 20 && sim.allAt(10) }) {
 		return []string{"the system does not start"}
 	}
 	if first.prepare != nil {
@@ -238,7 +238,7 @@
 		}
 		// A fault of a control node hits the leader while the box applies an update.
 		if n := sim.leader(); n != nil && f.onNode != nil {
-			guarded(n, func() { f.onNode(sim, n) })
+			recoverCrash(n, func() { f.onNode(sim, n) })
 		}
 	}
 	return &struck
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -183,7 +183,7 @@
 	}
 	for _, j := range d.joiningReplicas() {
 		step, next := d.nextRepair(v, j)
-		d.logRepair(j, step)
+		d.recordRepair(j, step)
 		if next == nil {
 			continue
 		}
@@ -223,7 +223,7 @@
 	return out
 }
 
-func (d *Daemon) logRepair(j *wire.Replica, step consensus.RepairStep) {
+func (d *Daemon) recordRepair(j *wire.Replica, step consensus.RepairStep) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.repairs[j.Id] != step {
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -20,11 +20,11 @@
 type operators struct {
 	sim          *simulation
 	knownVersion uint64 // settings version known to the operators
-	made         int
-	open         []*openChange
+	changeCount  int
+	openChanges  []*openChange
 	nextAt       time.Time
 	verdicts     map[string]*wire.Verdict
-	accepted     map[uint64]string // change id by version
+	acceptedIDs  map[uint64]string // change id by version
 	acked        uint64            // highest acknowledged version
 	reads        []*openRead
 	duplicates   bool // send every change to two nodes
@@ -46,42 +46,42 @@
 }
 
 type openRead struct {
-	reply chan readOutcome
-	floor uint64
+	reply      chan readOutcome
+	minVersion uint64
 }
 
 func newOperators(sim *simulation) *operators {
-	return &operators{sim: sim, verdicts: make(map[string]*wire.Verdict), accepted: make(map[uint64]string), pause: changePause}
+	return &operators{sim: sim, verdicts: make(map[string]*wire.Verdict), acceptedIDs: make(map[uint64]string), pause: changePause}
 }
 
 // step sends new changes and processes answers.
 func (o *operators) step() {
-	if !o.sim.now.Before(o.nextAt) && len(o.open) < 2 {
+	if !o.sim.now.Before(o.nextAt) && len(o.openChanges) < 2 {
 		o.nextAt = o.sim.now.Add(o.pause)
-		for range 2 - len(o.open) {
+		for range 2 - len(o.openChanges) {
 			o.begin()
 		}
 		o.read()
 	}
-	open := o.open
-	o.open = nil
+	open := o.openChanges
+	o.openChanges = nil
 	for _, c := range open {
 		if !o.pollVerdict(c) {
-			o.open = append(o.open, c)
+			o.openChanges = append(o.openChanges, c)
 		}
 	}
 	o.checkReads()
 }
 
 func (o *operators) begin() {
-	o.made++
+	o.changeCount++
 	c := &openChange{change: &wire.Change{
-		Id:          fmt.Sprintf("change-%d", o.made),
+		Id:          fmt.Sprintf("change-%d", o.changeCount),
 		BaseVersion: o.knownVersion,
-		Edits:       []*wire.Edit{{Path: "/", Key: "slots", Value: fmt.Sprint(o.made%1000 + 1)}},
+		Edits:       []*wire.Edit{{Path: "/", Key: "slots", Value: fmt.Sprint(o.changeCount%1000 + 1)}},
 	}}
 	o.send(c)
-	o.open = append(o.open, c)
+	o.openChanges = append(o.openChanges, c)
 }
 
 // send sends a change to the leader or, in a quarter of the cases, to any node.
@@ -167,10 +167,10 @@
 	if v.Kind != wire.VerdictKind_VERDICT_KIND_ACCEPTED {
 		return
 	}
-	if other, ok := o.accepted[v.Version]; ok && other != v.Id {
+	if other, ok := o.acceptedIDs[v.Version]; ok && other != v.Id {
 		o.sim.addProblem("version %d was given to both %s and %s", v.Version, other, v.Id)
 	}
-	o.accepted[v.Version] = v.Id
+	o.acceptedIDs[v.Version] = v.Id
 	o.acked = max(o.acked, v.Version)
 }
 
@@ -179,7 +179,7 @@
 	if !n.alive || n.frozen {
 		return
 	}
-	r := &openRead{reply: make(chan readOutcome, 1), floor: o.acked}
+	r := &openRead{reply: make(chan readOutcome, 1), minVersion: o.acked}
 	o.sim.handleOutput(n, n.replica.handle(readRequest{r.reply}))
 	o.reads = append(o.reads, r)
 }
@@ -191,8 +191,8 @@
 	for _, r := range o.reads {
 		select {
 		case got := <-r.reply:
-			if got.err == nil && got.state.SettingsVersion() < r.floor {
-				o.sim.addProblem("a fresh read returned version %d after version %d was acknowledged", got.state.SettingsVersion(), r.floor)
+			if got.err == nil && got.state.SettingsVersion() < r.minVersion {
+				o.sim.addProblem("a fresh read returned version %d after version %d was acknowledged", got.state.SettingsVersion(), r.minVersion)
 			}
 		default:
 			open = append(open, r)
@@ -224,8 +224,8 @@
 		o.checkHalted()
 		return
 	}
-	before := len(o.accepted)
-	if !o.run(15*time.Second, func() bool { return len(o.accepted) > before+1 && sim.leader() != nil }) {
+	before := len(o.acceptedIDs)
+	if !o.run(15*time.Second, func() bool { return len(o.acceptedIDs) > before+1 && sim.leader() != nil }) {
 		sim.addProblem("no change was accepted within 15 s after the fault")
 		return
 	}
@@ -247,9 +247,9 @@
 // checkHalted checks a system that lost two of its three disks before the first was repaired: it
 // accepts no more changes and reports that it is cut off.
 func (o *operators) checkHalted() {
-	before := len(o.accepted)
+	before := len(o.acceptedIDs)
 	o.run(8*time.Second, nil)
-	if len(o.accepted) != before {
+	if len(o.acceptedIDs) != before {
 		o.sim.addProblem("a change was accepted although a majority of the disks is lost")
 	}
 	for _, n := range o.sim.nodes {
@@ -264,7 +264,7 @@
 func (o *operators) checkRetained(s steering.State) {
 	o.checkHistory(s)
 	forgotten := s.Encode().ForgottenVersion
-	for version, id := range o.accepted {
+	for version, id := range o.acceptedIDs {
 		if version <= forgotten {
 			continue
 		}
@@ -297,11 +297,11 @@
 	before := o.acked
 	o.begin()
 	if !sim.run(3*time.Second, func() bool {
-		open := o.open
-		o.open = nil
+		open := o.openChanges
+		o.openChanges = nil
 		for _, c := range open {
 			if !o.pollVerdict(c) {
-				o.open = append(o.open, c)
+				o.openChanges = append(o.openChanges, c)
 			}
 		}
 		return o.acked > before
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -47,15 +47,15 @@
 	if s == nil {
 		return
 	}
-	document := s.Catalog().Document()
-	if document.GetNumber() == p.issuer.DocumentNumber() {
+	active := s.Catalog().Document()
+	if active.GetNumber() == p.issuer.DocumentNumber() {
 		return
 	}
-	d, err := p.routes.decodeOnce(document)
+	d, err := p.routes.decodeOnce(active)
 	if err != nil {
 		return // logged by decodeOnce; the previous limits stay in effect
 	}
-	p.issuer.SetLimits(now, document.Number, d.Workspaces)
+	p.issuer.SetLimits(now, active.Number, d.Workspaces)
 }
 
 // issue answers a permit request of a box.
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -41,10 +41,10 @@
 
 // updateKey identifies an update that is submitted again while it is pending.
 type updateKey struct {
-	id       string
-	born     int64
-	sequence uint64
-	leave    bool
+	id         string
+	startMilli int64
+	sequence   uint64
+	leave      bool
 	// forwarded keeps updates from other replicas apart from those submitted here, since only the
 	// latter are forwarded.
 	forwarded bool
--- a/internal/control/registrations_bench_test.go
+++ b/internal/control/registrations_bench_test.go
@@ -48,7 +48,7 @@
 		stop()
 		running.Wait()
 		for _, d := range daemons {
-			_ = d.operators.Close()
+			_ = d.operatorListener.Close()
 			if err := d.close(); err != nil {
 				b.Error(err)
 			}
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -28,21 +28,21 @@
 
 // node is a control box: a disk and, while it is alive, a replica.
 type node struct {
-	sim        *simulation
-	name       string
-	zone       string
-	disks      int
-	disk       *fakeDisk
-	replica    *replica
-	journal    *journal.Journal
-	pub        *distribution.Publisher
-	alive      bool
-	frozen     bool
-	inbox      []*wire.ConsensusMessage
-	downTo     time.Time
-	nextAt     time.Time
-	awaitsJoin bool // not yet in the membership
-	heardAt    time.Time
+	sim           *simulation
+	name          string
+	zone          string
+	disks         int
+	disk          *fakeDisk
+	replica       *replica
+	journal       *journal.Journal
+	publisher     *distribution.Publisher
+	alive         bool
+	frozen        bool
+	inbox         []*wire.ConsensusMessage
+	downUntil     time.Time
+	nextAt        time.Time
+	awaitsJoin    bool // not yet in the membership
+	lastContactAt time.Time
 	// aloneSince is when the node could last reach another or be reached.
 	aloneSince time.Time
 }
@@ -136,22 +136,22 @@
 	j, found, err := journal.Open("folder", n.name, n.disk.files())
 	if err != nil {
 		sim.addProblem("%s does not start: %v", n.name, err)
-		n.downTo = sim.now.Add(time.Hour)
+		n.downUntil = sim.now.Add(time.Hour)
 		return
 	}
 	c := consensus.Config{ElectionTimeout: 500 * time.Millisecond, Seed: sim.random.Uint64(), TrailingEntries: 8}
 	r, err := openReplica(func() time.Time { return sim.now }, c, j, found, snapshotEvery)
 	if err != nil {
 		sim.addProblem("%s does not start: %v", n.name, err)
-		n.downTo = sim.now.Add(time.Hour)
+		n.downUntil = sim.now.Add(time.Hour)
 		return
 	}
 	n.alive, n.frozen, n.journal, n.replica, n.inbox = true, false, j, r, nil
-	n.pub = distribution.NewPublisher(r.state)
+	n.publisher = distribution.NewPublisher(r.state)
 	n.nextAt = sim.now
 	n.aloneSince = sim.now
 	r.send = func(m *wire.ConsensusMessage) { sim.send(n, m) }
-	r.publish = func(s steering.State, c []*wire.Command) { n.pub.SetState(s, c) }
+	r.publish = func(s steering.State, c []*wire.Command) { n.publisher.SetState(s, c) }
 	r.onNotice = func(notice consensus.Notice) { sim.checkNotice(n, notice) }
 	r.onApplied = func(c *wire.Command, _ steering.Result) { sim.checkApplied(n, c) }
 	r.onSynced = func(time.Duration) {}
@@ -205,8 +205,8 @@
 	sim.queue = append(sim.queue, packet{sim.now.Add(linkDelay), n.name, m.To, proto.CloneOf(m)})
 }
 
-// guarded runs work of a node that a hook may end with a crash.
-func guarded(n *node, work func()) {
+// recoverCrash runs work of a node that a hook may end with a crash.
+func recoverCrash(n *node, work func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			if c, ok := p.(crashed); !ok || c.node != n {
@@ -218,16 +218,16 @@
 }
 
 // reachStep calls the hook for a step outside of the node's loop.
-func (sim *simulation) reachStep(step string, n *node) { guarded(n, func() { sim.hook(step, n) }) }
+func (sim *simulation) reachStep(step string, n *node) { recoverCrash(n, func() { sim.hook(step, n) }) }
 
 // handleOutput carries out an output unless a hook crashes the replica meanwhile.
 func (sim *simulation) handleOutput(n *node, out consensus.Output) {
-	guarded(n, func() { sim.store(n, out) })
+	recoverCrash(n, func() { sim.store(n, out) })
 }
 
 // tick advances the time of a node's replica.
 func (sim *simulation) tick(n *node) {
-	guarded(n, func() {
+	recoverCrash(n, func() {
 		out, err := n.replica.tick()
 		if err != nil {
 			sim.kill(n, false, time.Second)
@@ -246,7 +246,7 @@
 // kill crashes a node, which restarts after the given time.
 func (sim *simulation) kill(n *node, torn bool, down time.Duration) {
 	n.alive = false
-	n.downTo = sim.now.Add(down)
+	n.downUntil = sim.now.Add(down)
 	n.disk.crash(torn)
 }
 
@@ -350,13 +350,13 @@
 		sim.kill(n, false, time.Second)
 	}
 	if !n.alive {
-		if !sim.now.Before(n.downTo) {
+		if !sim.now.Before(n.downUntil) {
 			sim.start(n)
 		}
 		return
 	}
 	if n.frozen {
-		if sim.now.Before(n.downTo) {
+		if sim.now.Before(n.downUntil) {
 			return
 		}
 		n.frozen = false
@@ -379,9 +379,9 @@
 	s := n.replica.machine.Status(sim.now)
 	sim.checkCutOff(n, s)
 	if s.Role == consensus.Leader {
-		n.heardAt = sim.now
+		n.lastContactAt = sim.now
 	} else if s.Leader != "" {
-		n.heardAt = sim.now.Add(-s.LeaderSilence)
+		n.lastContactAt = sim.now.Add(-s.LeaderSilence)
 	}
 }
 
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -115,7 +115,7 @@
 		<-s.ended
 	}
 	for _, d := range s.daemons {
-		if err := d.operators.Close(); err != nil {
+		if err := d.operatorListener.Close(); err != nil {
 			t.Error(err)
 		}
 		if err := d.close(); err != nil {
