--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -82,13 +82,13 @@
 	case errors.As(err, &notLeader):
 		c.StopWithJSON(http.StatusMisdirectedRequest, operator.Failure{Code: operator.CodeNotLeader, Message: err.Error()})
 	case errors.As(err, &lost):
-		fail(c, http.StatusServiceUnavailable, operator.CodeNotKnown, err.Error())
+		fail(c, http.StatusServiceUnavailable, operator.CodeOutcomeUnknown, err.Error())
 	case errors.As(err, &transferring):
 		fail(c, http.StatusServiceUnavailable, operator.CodeNotLeader, err.Error())
 	case errors.Is(err, context.DeadlineExceeded):
 		fail(c, http.StatusServiceUnavailable, operator.CodeNoQuorum, "no quorum answered in time; send it again with the same id")
 	default:
-		fail(c, http.StatusInternalServerError, operator.CodeNotKnown, err.Error())
+		fail(c, http.StatusInternalServerError, operator.CodeOutcomeUnknown, err.Error())
 	}
 }
 
@@ -220,11 +220,11 @@
 	}
 	v := o.result.Verdict
 	_ = c.JSON(operator.Verdict{ // the client notices a failed write
-		ID:      v.Id,
-		Verdict: verdictName(v.Kind),
-		Version: v.Version,
-		Clashes: v.Clashes,
-		Detail:  v.Detail,
+		ID:        v.Id,
+		Verdict:   verdictName(v.Kind),
+		Version:   v.Version,
+		Conflicts: v.Clashes,
+		Detail:    v.Detail,
 	})
 }
 
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -52,13 +52,13 @@
 }
 
 func (d *Daemon) recordJoining(r *wire.Replica) {
-	if r == nil || !d.config.Seeded && !slices.Contains(d.config.Peers, r.Address) {
+	if r == nil || !d.config.PeersAreSeeds && !slices.Contains(d.config.Peers, r.Address) {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.joining[r.Address].GetId() != r.Id {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "replicaJoining", Box: r.Id, Detail: "a replica on a new disk asks to be taken in at " + r.Address})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "replicaJoining", Box: r.Id, Detail: "a replica on a new disk asks to be taken in at " + r.Address})
 	}
 	d.joining[r.Address] = r
 }
--- a/internal/control/catalog.go
+++ b/internal/control/catalog.go
@@ -106,7 +106,7 @@
 // arrive at once.
 func (d *Daemon) RecordRejectedUpdate(id string, cause error) {
 	d.rejectedUpdates.Inc()
-	if !d.rejectedLogLimiter.Take(d.clock.Now()) {
+	if !d.rejectedLogLimiter.Allow(d.clock.Now()) {
 		return
 	}
 	d.process.Log.Warn().Str("kind", "registration").Str("target", id).Err(cause).Msg("registration update rejected")
@@ -208,7 +208,7 @@
 
 // collectReport processes reports of boxes.
 func (d *Daemon) collectReport(r *wire.Report) {
-	d.publisher.Collect(r)
+	d.publisher.AddReports(r)
 	d.applyLimitUpdates(r.Limits)
 	for _, b := range r.Boxes {
 		d.serving.invalidateIfChanged(b)
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -110,18 +110,18 @@
 	out := []operator.Target{}
 	for _, r := range state.Targets() {
 		out = append(out, operator.Target{
-			ID:         r.Id,
-			Service:    r.Service,
-			Address:    r.Address,
-			Zone:       r.Zone,
-			Software:   r.Software,
-			Slots:      r.Slots,
-			Draining:   r.Draining,
-			ColdMillis: r.ColdMilli,
-			Sequence:   r.Sequence,
-			BornMillis: r.BornUnixMilli,
-			Limit:      d.reportedLimit(r),
-			Leaving:    d.targetLimits.view(catalog.IncarnationOf(r).String()).isLeaving,
+			ID:            r.Id,
+			Service:       r.Service,
+			Address:       r.Address,
+			Zone:          r.Zone,
+			Software:      r.Software,
+			Slots:         r.Slots,
+			Draining:      r.Draining,
+			WarmupMillis:  r.ColdMilli,
+			Sequence:      r.Sequence,
+			StartedMillis: r.BornUnixMilli,
+			Limit:         d.reportedLimit(r),
+			Leaving:       d.targetLimits.view(catalog.IncarnationOf(r).String()).isLeaving,
 		})
 	}
 	_ = c.JSON(out) // the client notices a failed write
@@ -135,8 +135,8 @@
 		return nil
 	}
 	return &operator.TargetLimit{
-		PerSecond: known.limit, SaidAgoMillis: d.clock.Since(known.receivedAt).Milliseconds(),
-		Issued: known.counters.Issued, RefusedAsks: known.counters.Refused,
+		PerSecond: known.limit, ReportedAgoMillis: d.clock.Since(known.receivedAt).Milliseconds(),
+		Issued: known.counters.Issued, DeniedRequests: known.counters.Refused,
 	}
 }
 
@@ -158,10 +158,10 @@
 		Software:  t.Software,
 		Slots:     t.Slots,
 		Draining:  t.Draining,
-		ColdMilli: t.ColdMillis,
+		ColdMilli: t.WarmupMillis,
 		Sequence:  t.Sequence,
 
-		BornUnixMilli: t.BornMillis,
+		BornUnixMilli: t.StartedMillis,
 	}
 	d.answerCatalogCall(c, d.withSubmitTimeout(c, func(ctx context.Context) error { return d.Register(ctx, r) }), t)
 }
@@ -175,7 +175,7 @@
 func (d *Daemon) getGateways(c iris.Context) {
 	addresses, ttl := d.BoxesFor(c.URLParam("region"), c.URLParam("zone"))
 	if len(addresses) == 0 {
-		fail(c, http.StatusServiceUnavailable, operator.CodeNotKnown, "no entry box has reported yet")
+		fail(c, http.StatusServiceUnavailable, operator.CodeOutcomeUnknown, "no entry box has reported yet")
 		return
 	}
 	_ = c.JSON(operator.Gateways{Addresses: addresses, TTLMillis: ttl.Milliseconds()}) // the client notices a failed write
@@ -228,9 +228,9 @@
 		fail(c, http.StatusNotFound, operator.CodeNotFound, err.Error())
 	case errors.As(err, &busy):
 		c.Header("Retry-After", strconv.Itoa(int(math.Ceil(busy.RetryAfter.Seconds()))))
-		fail(c, http.StatusServiceUnavailable, operator.CodeNotKnown, fmt.Sprintf("%v; send it again then", err))
+		fail(c, http.StatusServiceUnavailable, operator.CodeOutcomeUnknown, fmt.Sprintf("%v; send it again then", err))
 	default:
-		fail(c, http.StatusServiceUnavailable, operator.CodeNotKnown, fmt.Sprintf("%v; send it again", err))
+		fail(c, http.StatusServiceUnavailable, operator.CodeOutcomeUnknown, fmt.Sprintf("%v; send it again", err))
 	}
 }
 
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -36,7 +36,7 @@
 	replica      *replica
 	node         *link.Node
 	transport    *transport
-	publisher    *relay.Publishing
+	publisher    *relay.Publisher
 	permitIssuer *permitIssuer
 	// targetLimits issues permits for targets that report a rate limit.
 	targetLimits  *targetLimits
@@ -49,7 +49,7 @@
 	// rejectedUpdates counts registration updates that were rejected, and rejectedLogLimiter
 	// bounds the log lines about them.
 	rejectedUpdates    prometheus.Counter
-	rejectedLogLimiter *process.LineLimit
+	rejectedLogLimiter *process.LineLimiter
 	operatorListener   net.Listener
 	extraServices      []process.Service
 
@@ -77,22 +77,22 @@
 func Open(c config.Control, log io.Writer) (*Daemon, error) { return openOn(link.TCP(), c, log) }
 
 func openOn(network link.Network, c config.Control, log io.Writer) (*Daemon, error) {
-	if err := journal.MakeDir(c.Folder); err != nil {
+	if err := journal.MakeDir(c.DataDir); err != nil {
 		return nil, fmt.Errorf("creating the data directory: %w", err)
 	}
-	eventsDir := c.Folder
-	if c.Seeded {
+	eventsDir := c.DataDir
+	if c.PeersAreSeeds {
 		eventsDir = "" // the replica's loop must not wait for the disk to record an event
 	}
 	p, err := process.New(c.Name, log, c.Level(), eventsDir)
 	if err != nil {
 		return nil, err
 	}
-	j, found, err := journal.Open(c.Folder, c.Name, journal.OSFiles())
+	j, found, err := journal.Open(c.DataDir, c.Name, journal.OSFiles())
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("opening the data directory: %w", err), p.Close())
 	}
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d := &Daemon{
 		config:       c,
 		clock:        c.Clock,
@@ -125,9 +125,9 @@
 	d.startupGate = lookup.NewStartupGate(len(r.machine.Membership().GetVoters()) > 0)
 	if found.TruncatedBytes > 0 {
 		detail := fmt.Sprintf("cut %d bytes of an unfinished write off the journal", found.TruncatedBytes)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "journalCut", Detail: detail})
 	}
-	d.publisher = relay.NewPublishing(r.state, d.controlAge, d.process.Clock.Stamp)
+	d.publisher = relay.NewPublisher(r.state, d.controlAge, d.process.Clock.Stamp)
 	d.targetLimits = newTargetLimits(d.config.PeerAddress)
 	d.publisher.SetLimits(d.targetLimits.since)
 	d.publisher.SetClock(d.clock)
@@ -146,8 +146,8 @@
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.LinkRefused}
-	listen := cmp.Or(d.config.PeerListen, d.config.PeerAddress)
+	handlers := link.Handlers{Consensus: d.serveConsensus, Subscribe: d.serveSubscriber, Call: d.serveCall, Permits: d.servePermits, Refused: d.process.RecordRefusedLink}
+	listen := cmp.Or(d.config.PeerListenAddress, d.config.PeerAddress)
 	if d.node, err = link.Listen(network, listen, id, d.process.Clock, handlers, tlsConfig); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
 	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Registration updates of targets that were rejected.").WithLabelValues()
-	d.rejectedLogLimiter = process.NewLineLimit(maxRejectedLogsPerSecond)
+	d.rejectedLogLimiter = process.NewLineLimiter(maxRejectedLogsPerSecond)
 	verdicts := d.process.Counter("changes_settled_total", "Changes that received a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
@@ -172,7 +172,7 @@
 	}
 	d.replica.publish = func(s steering.State, commands []*wire.Command) {
 		d.permitIssuer.setState(s)
-		d.publisher.Put(s, commands)
+		d.publisher.SetState(s, commands)
 	}
 	d.replica.onSynced = func(took time.Duration) {
 		syncs.Inc()
@@ -186,7 +186,7 @@
 			d.recordContact(0) // otherwise subscribers would learn of it up to viewInterval later
 		}
 		detail := fmt.Sprintf("%s in term %d: %s", n.Role, n.Term, n.Reason)
-		d.process.StateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "role", Box: id, Detail: detail})
 	}
 	d.replica.onApplied = func(c *wire.Command, result steering.Result) {
 		d.recordApplied(c, result)
@@ -235,7 +235,7 @@
 // Run serves until the context ends or the disk fails, and then closes the daemon.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.process.Log.Info().Str("kind", "start").Str("incarnation", d.process.Incarnation).Str("replica", d.replica.id).
-		Strs("peers", d.config.Peers).Bool("mayForm", d.config.MayForm).Msg("control replica starts")
+		Strs("peers", d.config.Peers).Bool("mayForm", d.config.MayBootstrap).Msg("control replica starts")
 	loopCtx, stopLoop := context.WithCancel(context.Background())
 	failed := make(chan error, 1)
 	go func() { failed <- d.replica.run(loopCtx) }()
@@ -244,7 +244,7 @@
 	root.Add(process.Service{Name: "publishing", Run: d.publisher.Run})
 	root.Add(process.Service{Name: "words", Run: d.registrations.run})
 	root.Add(process.Service{Name: "quarantine", Run: d.runQuarantine})
-	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
+	root.Add(process.Service{Name: "suspensions", Run: d.process.LogSuspensions})
 	root.Add(process.Service{Name: "forming", Run: d.maintainMembership})
 	root.Add(process.Service{Name: "repair", Run: d.every(repairInterval, d.repair)})
 	root.Add(process.Service{Name: "shifts", Run: d.planShifts})
@@ -391,7 +391,7 @@
 		d.reportedTo = v.status.Leader
 		d.filter = relay.NewReportFilter()
 	}
-	report := &wire.Report{Boxes: d.filter.News(d.clock.Now(), d.publisher.Reports(), v.state.HasRunningShift())}
+	report := &wire.Report{Boxes: d.filter.Filter(d.clock.Now(), d.publisher.Reports(), v.state.HasRunningShift())}
 	if len(report.Boxes) == 0 {
 		return
 	}
--- a/internal/control/fulldisk.go
+++ b/internal/control/fulldisk.go
@@ -129,8 +129,8 @@
 // recordDisk records an event when the disk becomes full or has space again.
 func (d *Daemon) recordDisk(full *FullDiskError) {
 	if full != nil {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "diskFull", Box: d.replica.id, Detail: "takes no part until there is room: " + full.Cause.Error()})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "diskFull", Box: d.replica.id, Detail: "takes no part until there is room: " + full.Cause.Error()})
 		return
 	}
-	d.process.StateChange(&wire.TimelineEvent{Kind: "diskRoom", Box: d.replica.id, Detail: "the disk has room again; goes on from what it holds"})
+	d.process.RecordStateChange(&wire.TimelineEvent{Kind: "diskRoom", Box: d.replica.id, Detail: "the disk has room again; goes on from what it holds"})
 }
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -35,7 +35,7 @@
 		switch {
 		case addressOf(v.membership, d.replica.id) == "":
 			d.findMembership(ctx, v)
-		case d.config.Seeded && v.status.CutOff:
+		case d.config.PeersAreSeeds && v.status.CutOff:
 			d.askToRejoin(ctx)
 		}
 		select {
@@ -69,13 +69,13 @@
 		}
 	}
 	slices.SortFunc(first.Voters, func(a, b *wire.Replica) int { return strings.Compare(a.Id, b.Id) })
-	d.process.StateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
+	d.process.RecordStateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
 	_ = d.replica.inbox.put(ctx, bootstrap{first}) // retried at the next interval
 }
 
 // mayBootstrap reports whether this replica may take part in forming the first membership.
 func (d *Daemon) mayBootstrap() bool {
-	return !d.config.Seeded || d.config.MayForm && slices.Contains(d.config.Peers, d.config.PeerAddress)
+	return !d.config.PeersAreSeeds || d.config.MayBootstrap && slices.Contains(d.config.Peers, d.config.PeerAddress)
 }
 
 // isInitialMembership reports whether another replica has just formed a first membership that
@@ -111,7 +111,7 @@
 
 // addDiscovered remembers the addresses in a membership received from another replica.
 func (d *Daemon) addDiscovered(m *wire.Membership) {
-	if !d.config.Seeded || m == nil {
+	if !d.config.PeersAreSeeds || m == nil {
 		return
 	}
 	d.mu.Lock()
@@ -190,17 +190,17 @@
 		d.changeMembership(ctx, next)
 		return
 	}
-	if !d.config.Seeded {
+	if !d.config.PeersAreSeeds {
 		return
 	}
-	if next := consensus.NextRemoval(v.membership, v.status, d.config.SpareFailures); next != nil {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "removal", Detail: "lets a replica go that has been silent for long"})
+	if next := consensus.NextRemoval(v.membership, v.status, d.config.ToleratedDiskLosses); next != nil {
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "removal", Detail: "lets a replica go that has been silent for long"})
 		d.changeMembership(ctx, next)
 	}
 }
 
 func (d *Daemon) nextRepair(v view, joining *wire.Replica) (consensus.RepairStep, *wire.Membership) {
-	if d.config.Seeded {
+	if d.config.PeersAreSeeds {
 		return consensus.NextReplacement(v.membership, v.status, joining)
 	}
 	return consensus.NextRepair(v.membership, v.status, joining)
@@ -227,7 +227,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.repairs[j.Id] != step {
-		d.process.StateChange(&wire.TimelineEvent{Kind: "repair", Box: j.Id, Detail: string(step)})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "repair", Box: j.Id, Detail: string(step)})
 	}
 	d.repairs[j.Id] = step
 	if step == consensus.RepairFinished {
--- a/internal/control/permits_test.go
+++ b/internal/control/permits_test.go
@@ -56,7 +56,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := &Daemon{clock: clock, process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublishing(steering.State{}, nil, nil)}
+		d := &Daemon{clock: clock, process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublisher(steering.State{}, nil, nil)}
 		d.targetLimits.clock = clock
 		d.targetLimits.setReplicas(clock.Now(), &wire.Membership{Voters: []*wire.Replica{{Address: "a"}}})
 		request := &wire.PermitRequest{TargetAsks: []*wire.TargetPermitAsk{
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublishing(steering.State{}, nil, nil)}
+	d := &Daemon{process: p, targetLimits: newTargetLimits("a"), publisher: relay.NewPublisher(steering.State{}, nil, nil)}
 	d.targetLimits.setReplicas(boottime.Now(), &wire.Membership{Voters: []*wire.Replica{{Address: "a"}, {Address: "b"}}})
 	request := &wire.PermitRequest{TargetAsks: []*wire.TargetPermitAsk{
 		{Limit: &wire.TargetLimit{Life: "t", Limited: true, PerSecond: 40}, Count: 3},
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -227,7 +227,7 @@
 	for _, e := range quarantine.EntriesOf(state.Quarantined()) {
 		out = append(out, operator.Quarantined{
 			Digest: e.Request.String(), AllCallers: e.Caller == quarantine.AnyCaller, Held: e.Held, Route: e.Route, Service: e.Service,
-			EndedTargets: e.CrashedTargets, UntilUnixMilli: e.Until.UnixMilli(),
+			CrashedTargets: e.CrashedTargets, UntilUnixMilli: e.Until.UnixMilli(),
 		})
 	}
 	_ = c.JSON(out) // the client notices a failed write
--- a/internal/control/registrations_bench_test.go
+++ b/internal/control/registrations_bench_test.go
@@ -25,7 +25,7 @@
 	var daemons []*Daemon
 	first := &wire.Membership{}
 	for i := range count {
-		c := config.Control{Folder: b.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 256, Seeded: true}
+		c := config.Control{DataDir: b.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 256, PeersAreSeeds: true}
 		c.Name, c.PeerAddress, c.OperatorAddress = fmt.Sprint("c", i), freeAddress(b), "127.0.0.1:0"
 		d, err := openOn(link.TCP(), c, io.Discard)
 		if err != nil {
--- a/internal/control/registrations_test.go
+++ b/internal/control/registrations_test.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{node: link.Dialer(link.Identity{Name: "new"}, clock, nil)}
+	d := &Daemon{node: link.NewClient(link.Identity{Name: "new"}, clock, nil)}
 	updates := []*pendingUpdate{{command: registrationCommand("a", 1)}, {command: registrationCommand("b", 1), forwarded: true}, {command: registrationCommand("c", 1)}}
 	outcomes := d.forwardUpdates(t.Context(), leader.Address(), updates)
 	if outcomes[0] != nil || outcomes[1] == nil || outcomes[2] != nil {
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -71,12 +71,12 @@
 
 func openSlowReplicas(t *testing.T, bytesPerSecond int, state steering.State) *slowReplicas {
 	t.Helper()
-	n := &linktest.Network{BytesPerSecond: bytesPerSecond, SentPerSecond: bytesPerSecond, SocketBuffer: 1 << 16}
+	n := &linktest.Network{DownBytesPerSecond: bytesPerSecond, UpBytesPerSecond: bytesPerSecond, SocketBuffer: 1 << 16}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &slowReplicas{stop: cancel, ended: make(chan error, 6)}
 	first := &wire.Membership{}
 	for i := range 3 {
-		c := config.Control{Folder: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, Seeded: true}
+		c := config.Control{DataDir: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, PeersAreSeeds: true}
 		suspended := &atomic.Int64{}
 		s.suspended = append(s.suspended, suspended)
 		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -43,18 +43,18 @@
 
 func (d *Daemon) status(v view) operator.Status {
 	s := operator.Status{
-		NeedsAttention: []string{},
-		Process:        d.config.Name,
-		Role:           v.status.Role.String(),
-		Leader:         v.status.Leader,
-		CutOff:         v.status.CutOff,
-		Term:           v.status.Term,
-		Commit:         v.status.Commit,
-		Version:        v.state.Version(),
-		SettingsAt:     v.state.SettingsVersion(),
-		Replicas:       replicas(v),
-		Repairs:        d.repairList(),
-		Boxes:          d.boxes(v),
+		NeedsAttention:  []string{},
+		Process:         d.config.Name,
+		Role:            v.status.Role.String(),
+		Leader:          v.status.Leader,
+		CutOff:          v.status.CutOff,
+		Term:            v.status.Term,
+		Commit:          v.status.Commit,
+		Version:         v.state.Version(),
+		SettingsVersion: v.state.SettingsVersion(),
+		Replicas:        replicas(v),
+		Repairs:         d.repairList(),
+		Boxes:           d.boxes(v),
 	}
 	s.NeedsAttention = append(s.NeedsAttention, attention(s)...)
 	return s
@@ -111,7 +111,7 @@
 }
 
 func (d *Daemon) box(b settings.Box, r *wire.BoxReport, version uint64) operator.Box {
-	out := operator.Box{Name: b.Name, Zone: b.Zone, Seen: r != nil}
+	out := operator.Box{Name: b.Name, Zone: b.Zone, Reported: r != nil}
 	if r != nil {
 		out.Version = r.Version
 		out.SilentMillis = r.AgeMilli
@@ -154,7 +154,7 @@
 	}
 	for _, b := range s.Boxes {
 		switch {
-		case !b.Seen:
+		case !b.Reported:
 			out = append(out, fmt.Sprintf("entry box %s in %s has not reported to this leader", b.Name, b.Zone))
 		case time.Duration(b.SilentMillis)*time.Millisecond > silentAfter:
 			out = append(out, fmt.Sprintf("entry box %s in %s has been silent for %.0f s", b.Name, b.Zone, float64(b.SilentMillis)/1000))
--- a/internal/control/submit.go
+++ b/internal/control/submit.go
@@ -204,7 +204,7 @@
 // Boxes returns the entry boxes that reported within the given time, with the age of their
 // reports.
 func (d *Daemon) Boxes(within time.Duration) []*wire.BoxReport {
-	return d.publisher.Fresh(within)
+	return d.publisher.RecentReports(within)
 }
 
 // Log returns the logger of the process.
--- a/internal/control/targetindex_test.go
+++ b/internal/control/targetindex_test.go
@@ -66,10 +66,10 @@
 
 // BenchmarkServingBoxes builds the list of boxes for lookups from 270 reports.
 func BenchmarkServingBoxes(b *testing.B) {
-	d := &Daemon{publisher: relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
+	d := &Daemon{publisher: relay.NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })}
 	for i := range 270 {
 		name := fmt.Sprint("box", i)
-		d.publisher.Collect(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
+		d.publisher.AddReports(&wire.Report{Boxes: []*wire.BoxReport{{Box: name, CallerAddress: name, Zone: "z", Region: "r"}}})
 	}
 	for b.Loop() {
 		d.listServingBoxes()
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -27,13 +27,13 @@
 	clock      *boottime.Clock
 	mu         sync.Mutex
 	issuer     *quota.TargetIssuer
-	logLimiter *process.LineLimit
+	logLimiter *process.LineLimiter
 	// prunedAt is when ended incarnations were last dropped.
 	prunedAt time.Time
 }
 
 func newTargetLimits(ownAddress string) *targetLimits {
-	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), logLimiter: process.NewLineLimit(maxLimitLogsPerSecond)}
+	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), logLimiter: process.NewLineLimiter(maxLimitLogsPerSecond)}
 }
 
 // setReplicas sets the addresses of the replicas from a membership.
@@ -134,7 +134,7 @@
 }
 
 func (d *Daemon) logLimitChange(c targetstatus.Change) {
-	if !d.targetLimits.logLimiter.Take(d.clock.Now()) {
+	if !d.targetLimits.logLimiter.Allow(d.clock.Now()) {
 		return
 	}
 	if c.Leaving {
--- a/internal/control/workspaces.go
+++ b/internal/control/workspaces.go
@@ -89,18 +89,18 @@
 				sum.PerSecond, sum.Burst = u.PerSecond, u.Burst
 			}
 			sum.Issued += u.Issued
-			sum.Refused += u.Refused
+			sum.Denied += u.Refused
 			sum.IssuedPerSecond += u.IssuedPerSecond
-			sum.RefusedPerSecond += u.RefusedPerSecond
-			sum.Parts = append(sum.Parts, operator.WorkspacePart{
-				Replica: replica, Number: a.Number, AgeMillis: a.AgeMilli, PerSecond: u.PartPerSecond, Room: u.Room,
-				IssuedPerSecond: u.IssuedPerSecond, RefusedPerSecond: u.RefusedPerSecond,
+			sum.DeniedPerSecond += u.RefusedPerSecond
+			sum.Shares = append(sum.Shares, operator.WorkspaceShare{
+				Replica: replica, Number: a.Number, AgeMillis: a.AgeMilli, PerSecond: u.PartPerSecond, Available: u.Room,
+				IssuedPerSecond: u.IssuedPerSecond, DeniedPerSecond: u.RefusedPerSecond,
 			})
 		}
 	}
 	out := make([]operator.WorkspaceUsage, 0, len(sums))
 	for _, sum := range sums {
-		slices.SortFunc(sum.Parts, func(a, b operator.WorkspacePart) int { return cmp.Compare(a.Replica, b.Replica) })
+		slices.SortFunc(sum.Shares, func(a, b operator.WorkspaceShare) int { return cmp.Compare(a.Replica, b.Replica) })
 		out = append(out, *sum)
 	}
 	slices.SortFunc(out, func(a, b operator.WorkspaceUsage) int { return cmp.Compare(a.Name, b.Name) })
--- a/internal/entry/following.go
+++ b/internal/entry/following.go
@@ -12,18 +12,18 @@
 )
 
 // newFollowing returns what keeps the steering state of the box current.
-func newFollowing(d *Daemon) *relay.Following {
-	return relay.NewFollowing(relay.Subscriber{
+func newFollowing(d *Daemon) *relay.Follower {
+	return relay.NewFollower(relay.FollowerConfig{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
 		Zone:        d.config.Zone,
 		PeerAddress: d.config.PeerAddress,
 		Node:        func() *link.Node { return d.node },
 		Clock:       d.process.Clock,
-		Time:        d.clock,
+		BootClock:   d.clock,
 		Seed:        d.seed,
 		Sources:     d.sources,
-		PutInForce:  d.putInForce,
+		ApplyState:  d.putInForce,
 		Reports:     func() []*wire.BoxReport { return append(d.publishing.Reports(), d.ownReport()) },
 		Event:       d.process.Event,
 	})
@@ -34,7 +34,7 @@
 		d.isolation.SetList(quarantine.EntriesOf(s.Catalog().Quarantined()))
 	}
 	d.put(s)
-	d.publishing.Put(s, commands)
+	d.publishing.SetState(s, commands)
 	d.configurePools()
 }
 
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -13,17 +13,17 @@
 func (d *Daemon) newIsolation() *isolation.Isolation {
 	looks := d.process.Counter("target_looks_total", "Targets that were looked at after a connection broke, by whether they had ended.", "found")
 	return isolation.New(isolation.Config{
-		Clock:       d.clock,
-		Dial:        d.network.Dial,
-		DialTimeout: dialTargetTimeout,
-		Leaving:     func(string) bool { return false }, // a draining target that ends has no requests at work
-		Replicas:    func() []string { return d.config.Controls },
-		Tell:        d.tellEvidence,
-		Looked: func(l isolation.Look) {
+		Clock:        d.clock,
+		Dial:         d.network.Dial,
+		DialTimeout:  dialTargetTimeout,
+		Leaving:      func(string) bool { return false }, // a draining target that ends has no requests at work
+		Replicas:     func() []string { return d.config.Controls },
+		SendEvidence: d.tellEvidence,
+		OnProbe: func(l isolation.ProbeResult) {
 			looks.WithLabelValues(l.String()).Inc()
 		},
-		Ended: func(r isolation.Run) {
-			detail := fmt.Sprintf("target %s ended under request %s of %s", r.End.Incarnation, r.End.Request, r.End.Service)
+		OnCrash: func(r isolation.BrokenRun) {
+			detail := fmt.Sprintf("target %s ended under request %s of %s", r.Crash.Incarnation, r.Crash.Request, r.Crash.Service)
 			d.process.Event(&wire.TimelineEvent{Kind: "targetEnded", Request: r.Request, Detail: detail})
 		},
 	})
@@ -55,8 +55,8 @@
 		return
 	}
 	now := e.box.clock.Now()
-	e.box.isolation.Broke(isolation.Run{
-		End: quarantine.Crash{
+	e.box.isolation.ConnectionBroke(isolation.BrokenRun{
+		Crash: quarantine.Crash{
 			Request: e.request.fingerprint(), Caller: e.request.caller(),
 			// Targets tell no births; only this box, which holds the pool, sends to them.
 			Incarnation: fmt.Sprintf("%s@%d", target, now.UnixMilli()),
@@ -69,15 +69,15 @@
 
 // whole takes that a target gave a whole answer.
 func (e *execution) whole() {
-	if e.box.isolation.Idle() {
+	if e.box.isolation.IsIdle() {
 		return
 	}
-	e.box.isolation.Answered(e.request.fingerprint(), e.request.caller())
+	e.box.isolation.RecordAnswer(e.request.fingerprint(), e.request.caller())
 }
 
 // runUnlessHeld runs a request on this box's own pool unless targets ended under it.
 func (d *Daemon) runUnlessHeld(ctx context.Context, p *pool, r *request, v poolView) *answer {
-	if d.isolation.Idle() {
+	if d.isolation.IsIdle() {
 		return d.runHere(ctx, p, r, v)
 	}
 	digest := r.fingerprint()
--- a/internal/entry/pools.go
+++ b/internal/entry/pools.go
@@ -107,17 +107,17 @@
 	p.clock = d.clock
 	p.ask = func(requests []lease.Request) { d.askVoters(p, requests) }
 	p.refused = func(reason admissionReason) { d.refusals.WithLabelValues(service, string(reason)).Inc() }
-	lines := process.NewLineLimit(targetLinesPerSecond)
+	lines := process.NewLineLimiter(targetLinesPerSecond)
 	p.backedOff = func(target string, wait time.Duration) {
 		d.backOffs.WithLabelValues(service).Inc()
-		if !lines.Take(d.clock.Now()) {
+		if !lines.Allow(d.clock.Now()) {
 			return
 		}
 		d.process.Log.Warn().Str("kind", "backOff").Str("service", service).Str("target", target).Dur("retryAfter", wait).
 			Msg("target asked for a back-off")
 	}
 	p.unread = func(target string, headers []string) {
-		if lines.Take(d.clock.Now()) {
+		if lines.Allow(d.clock.Now()) {
 			d.process.Log.Warn().Str("kind", "unreadHeaders").Str("service", service).Str("target", target).Strs("headers", headers).
 				Msg("headers of a target can't be read")
 		}
@@ -127,7 +127,7 @@
 		if held {
 			detail = "holds the lease on " + service
 		}
-		d.process.StateChange(&wire.TimelineEvent{Kind: "lease", Box: d.config.Name, Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "lease", Box: d.config.Name, Detail: detail})
 	}
 	return &runningPool{p, d.pools.tree.Add(process.Service{Name: "pool " + service, Run: p.run})}
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -103,7 +103,7 @@
 			for _, o := range orders {
 				c := &wire.Command{Quarantine: &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}}
 				s.state, _ = s.state.Apply(c)
-				s.publish.Put(s.state, []*wire.Command{c})
+				s.publish.SetState(s.state, []*wire.Command{c})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -41,7 +41,7 @@
 	t       *testing.T
 	network *fakeNetwork
 	state   steering.State
-	publish *relay.Publishing
+	publish *relay.Publisher
 	// stopPublish ends the publishing's loop.
 	stopPublish func()
 	control     *link.Node
@@ -157,12 +157,12 @@
 		s.t.Fatalf("the change is refused: %v", result.Verdict)
 	}
 	s.state = next
-	s.publish.Put(next, []*wire.Command{c})
+	s.publish.SetState(next, []*wire.Command{c})
 }
 
 func (s *system) startControl() {
 	clock := timeline.NewClock(time.Now)
-	s.publish = relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
+	s.publish = relay.NewPublisher(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
 	ctx, cancel := context.WithCancel(context.Background())
 	published := make(chan error, 1)
 	go func() { published <- s.publish.Run(ctx) }()
