--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	stop := watchPlatformSettings(ctx, path, d.Log(), func(s platform.Settings) { d.SetSeeds(s.Seeds) })
+	stop := watchPlatformSettings(ctx, path, d.Log(), func(s platform.Settings) { d.AddSeeds(s.Seeds) })
 	defer stop()
 	return ignoreCanceled(d.Run(ctx))
 }
@@ -179,7 +179,7 @@
 	if err != nil {
 		return nil, err
 	}
-	api := platform.ControlAPI{Register: d.Register, Deregister: d.Leave, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, OnInvalidHeartbeat: d.NoteUnread}
+	api := platform.ControlAPI{Register: d.Register, Deregister: d.Deregister, PutRoutes: d.PutRoutes, Routes: d.Routes, Evacuate: d.Evacuate, OnInvalidHeartbeat: d.RecordRejectedUpdate}
 	if s.ControlAddress != "" {
 		if err := d.AddHandler("calls", s.ControlAddress, api.Handler()); err != nil {
 			return nil, err
--- a/internal/control/registrationcalls.go
+++ b/internal/control/registrationcalls.go
@@ -11,26 +11,26 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// settleUpdates has the leader settle updates, and returns the outcome of each.
-func (d *Daemon) settleUpdates(ctx context.Context, batch []*pendingUpdate) []error {
-	ctx, done := d.leadership.during(ctx)
+// commitUpdates has the leader commit updates and returns the outcome of each.
+func (d *Daemon) commitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
+	ctx, done := d.leadership.untilChange(ctx)
 	defer done()
 	v, err := d.replica.view(ctx)
 	if err != nil {
-		return all(len(batch), err)
+		return repeatError(len(batch), err)
 	}
 	if v.status.Role == consensus.Leader {
 		return d.replica.submitUpdates(ctx, batch)
 	}
 	address := addressOf(v.membership, v.status.Leader)
 	if address == "" {
-		return all(len(batch), &consensus.NotLeaderError{})
+		return repeatError(len(batch), &consensus.NotLeaderError{})
 	}
-	return d.handOn(ctx, address, batch)
+	return d.forwardUpdates(ctx, address, batch)
 }
 
-// all returns an error for each of some updates.
-func all(count int, err error) []error {
+// repeatError returns a slice that holds an error count times.
+func repeatError(count int, err error) []error {
 	out := make([]error, count)
 	for i := range out {
 		out[i] = err
@@ -38,38 +38,39 @@
 	return out
 }
 
-// handOn has the leader settle updates for this replica. Those that came from another
-// one are not handed on again.
-func (d *Daemon) handOn(ctx context.Context, leader string, batch []*pendingUpdate) []error {
-	out := all(len(batch), &consensus.NotLeaderError{})
+// forwardUpdates has the leader commit updates. Updates that another replica forwarded to this one
+// are not forwarded again.
+func (d *Daemon) forwardUpdates(ctx context.Context, leader string, batch []*pendingUpdate) []error {
+	out := repeatError(len(batch), &consensus.NotLeaderError{})
 	request := &wire.WordsRequest{}
-	var places []int
+	var positions []int
 	now := d.clock.Now()
 	for i, update := range batch {
 		if update.forwarded {
 			continue
 		}
-		places = append(places, i)
+		positions = append(positions, i)
 		request.Words = append(request.Words, &wire.WaitingWord{Word: update.command, LeftMilli: update.deadline.Sub(now).Milliseconds()})
 	}
-	if len(places) == 0 {
+	if len(positions) == 0 {
 		return out
 	}
 	answer, err := d.node.Call(ctx, leader, &wire.CallRequest{Words: request})
-	var earlier *link.RemoteError
-	if errors.As(err, &earlier) {
-		d.handOnSingly(ctx, leader, batch, out)
+	var remote *link.RemoteError
+	if errors.As(err, &remote) {
+		d.forwardOneByOne(ctx, leader, batch, out)
 		return out
 	}
-	for n, i := range places {
-		out[i] = outcomeOf(answer.GetWords(), n, err)
+	for n, i := range positions {
+		out[i] = updateError(answer.GetWords(), n, err)
 	}
 	return out
 }
 
-// handOnSingly hands updates on to a leader of an earlier version, which takes no updates
-// together: one that knows them answers each, and no error for all.
-func (d *Daemon) handOnSingly(ctx context.Context, leader string, batch []*pendingUpdate, out []error) {
+// forwardOneByOne forwards updates to a leader of an earlier version, which does not support
+// batches. A leader that supports them reports an outcome for each update instead of one error for
+// the call.
+func (d *Daemon) forwardOneByOne(ctx context.Context, leader string, batch []*pendingUpdate, out []error) {
 	var running sync.WaitGroup
 	for i, update := range batch {
 		if update.forwarded {
@@ -82,35 +83,35 @@
 	running.Wait()
 }
 
-// UpdateRefusedError says why the leader did not settle an update.
+// UpdateRefusedError reports why the leader did not commit an update.
 type UpdateRefusedError struct{ Reason string }
 
 // Error implements error.
 func (e *UpdateRefusedError) Error() string { return "the leader did not settle it: " + e.Reason }
 
-func outcomeOf(a *wire.WordsAnswer, place int, err error) error {
+func updateError(a *wire.WordsAnswer, index int, err error) error {
 	switch {
 	case err != nil:
 		return err
-	case place < len(a.GetSettled()) && a.Settled[place]:
+	case index < len(a.GetSettled()) && a.Settled[index]:
 		return nil
 	}
 	return &UpdateRefusedError{a.GetFailure()}
 }
 
-// serveUpdates settles updates for another replica.
+// serveUpdates commits updates on behalf of another replica.
 func (d *Daemon) serveUpdates(ctx context.Context, request *wire.WordsRequest) *wire.CallAnswer {
 	out := &wire.WordsAnswer{Settled: make([]bool, len(request.Words))}
 	replies := make([]<-chan error, len(request.Words))
-	for i, asked := range request.Words {
-		if asked.Word.GetRegistration() == nil {
+	for i, waiting := range request.Words {
+		if waiting.Word.GetRegistration() == nil {
 			out.Failure = "a update without content"
 			continue
 		}
-		left := time.Duration(asked.LeftMilli) * time.Millisecond
-		asker, cancel := context.WithTimeout(ctx, left)
-		reply, err := d.registrations.add(asker, asked.Word, true)
-		cancel() // its deadline is what counts
+		remaining := time.Duration(waiting.LeftMilli) * time.Millisecond
+		callerCtx, cancel := context.WithTimeout(ctx, remaining)
+		reply, err := d.registrations.enqueue(callerCtx, waiting.Word, true)
+		cancel() // enqueue only reads the deadline of the context
 		if err != nil {
 			out.Failure = err.Error()
 			continue
@@ -134,22 +135,21 @@
 	return &wire.CallAnswer{Words: out}
 }
 
-// submitUpdates has updates proposed together and waits for their outcomes until the
-// context ends.
+// submitUpdates proposes updates together and waits for their outcomes until the context ends.
 func (r *replica) submitUpdates(ctx context.Context, batch []*pendingUpdate) []error {
-	out := all(len(batch), &UnavailableError{Cause: errNotSettled})
+	out := repeatError(len(batch), &UnavailableError{Cause: errNotCommitted})
 	commands := make([]*wire.Command, len(batch))
 	for i, update := range batch {
 		commands[i] = &wire.Command{Registration: update.command}
 	}
 	reply := make(chan updateOutcome, len(batch))
 	if err := r.inbox.put(ctx, updateBatch{commands, reply}); err != nil {
-		return all(len(batch), err)
+		return repeatError(len(batch), err)
 	}
 	for range batch {
 		select {
 		case o := <-reply:
-			out[o.place] = o.err
+			out[o.index] = o.err
 		case <-ctx.Done():
 			return out
 		}
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -12,12 +12,12 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// updateBatches bounds what registration updates take of a replica. A update by itself costs the
-// leader a message to each of eight replicas, their answers and a call; a batch pays that
-// once. What is under way is what an operator's document waits behind at most. NominalDuration
-// and MinTimeLeft are a round trip between regions to the leader, one to a quorum and a sync.
-// MinInterval is that of updates to subscribers (package relay): settled sooner, an update
-// is not told sooner.
+// updateBatches bounds the resources that registration updates use at a replica. An update in a
+// batch of its own costs the leader a message to each of eight replicas, their answers and a call;
+// a larger batch pays that once. An operator's document waits at most behind the batches in
+// flight. NominalDuration and MinTimeLeft allow for a round trip between regions to the leader,
+// one to a quorum and a sync. MinInterval equals the interval of updates to subscribers (package
+// relay): committing an update sooner would not publish it sooner.
 var updateBatches = batch.Config{
 	MaxItems:        64,
 	MaxInFlight:     4,
@@ -26,66 +26,67 @@
 	MinTimeLeft:     150 * time.Millisecond,
 }
 
-// pendingUpdate is a target's update whose askers wait for what becomes of it.
+// pendingUpdate is a registration update whose callers wait for the outcome.
 type pendingUpdate struct {
 	key     updateKey
 	command *wire.RegistrationCommand
-	// deadline is when its first asker gives up. Who joined it later and still waits
-	// then tells it again.
+	// deadline is when the first caller gives up. A caller that joined later and still waits then
+	// submits the update again.
 	deadline time.Time
-	// forwarded tells that another replica has handed it on: it isn't handed on again.
+	// forwarded is set if another replica forwarded the update. It is not forwarded again.
 	forwarded bool
-	// replies have room for one outcome each; the lock of updates guards them.
+	// replies have capacity for one outcome each. The lock of the queue guards them.
 	replies []chan<- error
 }
 
-// updateKey tells an update that comes again while it waits.
+// updateKey identifies an update that is submitted again while it is pending.
 type updateKey struct {
-	id       string
-	born     int64
-	sequence uint64
-	leave    bool
-	// forwarded updates don't join those that were told here, which are handed on.
+	id         string
+	startMilli int64
+	sequence   uint64
+	leave      bool
+	// forwarded keeps updates from other replicas apart from those submitted here, since only the
+	// latter are forwarded.
 	forwarded bool
 }
 
-func keyOf(c *wire.RegistrationCommand, forwarded bool) updateKey {
+func newUpdateKey(c *wire.RegistrationCommand, forwarded bool) updateKey {
 	r := c.Registration
 	return updateKey{r.Id, r.BornUnixMilli, r.Sequence, c.Leave, forwarded}
 }
 
-// registrationQueue has registration updates settled by the leader, in batches. A update that is told
-// again while it waits is settled once.
+// registrationQueue has the leader commit registration updates in batches. An update that is
+// submitted again while it is pending is committed once.
 type registrationQueue struct {
-	// settle tries to have updates settled and returns the outcome of each.
-	settle func(ctx context.Context, batch []*pendingUpdate) []error
-	// let is told of updates that are let go as their askers had gone.
-	let func(count int)
+	// commit attempts to commit a batch and returns the outcome of each update.
+	commit func(ctx context.Context, batch []*pendingUpdate) []error
+	// onExpired is called with the number of updates dropped because their callers gave up.
+	onExpired func(count int)
 
-	mu       sync.Mutex
-	gatherer *batch.Batcher[*pendingUpdate]
-	known    map[updateKey]*pendingUpdate
-	clock    *boottime.Clock
-	// due holds a token when a batch may begin.
-	due chan struct{}
+	mu      sync.Mutex
+	batcher *batch.Batcher[*pendingUpdate]
+	pending map[updateKey]*pendingUpdate
+	clock   *boottime.Clock
+	// wakeup holds a token when a batch may start.
+	wakeup chan struct{}
 }
 
 func newRegistrationQueue() *registrationQueue {
 	return &registrationQueue{
-		gatherer: batch.New[*pendingUpdate](updateBatches),
-		known:    make(map[updateKey]*pendingUpdate),
-		due:      make(chan struct{}, 1),
-		let:      func(int) {},
+		batcher:   batch.New[*pendingUpdate](updateBatches),
+		pending:   make(map[updateKey]*pendingUpdate),
+		wakeup:    make(chan struct{}, 1),
+		onExpired: func(int) {},
 	}
 }
 
-// errNotSettled says that no leader settled an update while its asker waited.
-var errNotSettled = errors.New("not settled in time")
+// errNotCommitted reports that no leader committed an update before its deadline.
+var errNotCommitted = errors.New("not settled in time")
 
-// tell has an update settled and waits for it until the context ends. The error is that
-// of the last try, a batch.BusyError or the context's.
-func (w *registrationQueue) tell(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) error {
-	reply, err := w.add(ctx, c, forwarded)
+// submit queues an update and waits for its outcome until the context ends. The error is that of
+// the last attempt, a batch.BusyError or the context's error.
+func (q *registrationQueue) submit(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) error {
+	reply, err := q.enqueue(ctx, c, forwarded)
 	if err != nil {
 		return err
 	}
@@ -97,154 +98,154 @@
 	}
 }
 
-// longestAsk bounds how long an update is tried for an asker that names no time.
-const longestAsk = 4 * time.Second
+// defaultUpdateTimeout bounds the attempts to commit an update if the caller's context has no
+// deadline.
+const defaultUpdateTimeout = 4 * time.Second
 
-// add has an update settled; what becomes of it comes on the channel.
-func (w *registrationQueue) add(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) (<-chan error, error) {
-	now := w.clock.Now()
-	deadline, ok := w.clock.Deadline(ctx)
+// enqueue queues an update. Its outcome is sent on the returned channel.
+func (q *registrationQueue) enqueue(ctx context.Context, c *wire.RegistrationCommand, forwarded bool) (<-chan error, error) {
+	now := q.clock.Now()
+	deadline, ok := q.clock.Deadline(ctx)
 	if !ok {
-		deadline = now.Add(longestAsk)
+		deadline = now.Add(defaultUpdateTimeout)
 	}
 	reply := make(chan error, 1)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	key := keyOf(c, forwarded)
-	if known := w.known[key]; known != nil {
-		known.replies = append(known.replies, reply)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	key := newUpdateKey(c, forwarded)
+	if existing := q.pending[key]; existing != nil {
+		existing.replies = append(existing.replies, reply)
 		return reply, nil
 	}
 	update := &pendingUpdate{key: key, command: c, deadline: deadline, forwarded: forwarded, replies: []chan<- error{reply}}
-	if err := w.gatherer.Add(now, update, deadline); err != nil {
+	if err := q.batcher.Add(now, update, deadline); err != nil {
 		return nil, err
 	}
-	w.known[key] = update
-	w.wake()
+	q.pending[key] = update
+	q.wake()
 	return reply, nil
 }
 
-func (w *registrationQueue) wake() {
+func (q *registrationQueue) wake() {
 	select {
-	case w.due <- struct{}{}:
+	case q.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// run begins batches until the context ends, and waits for those under way.
-func (w *registrationQueue) run(ctx context.Context) error {
+// run starts batches until the context ends, and then waits for those in flight.
+func (q *registrationQueue) run(ctx context.Context) error {
 	ended := make(chan time.Duration)
-	underWay := 0
+	inFlight := 0
 	for {
 		for {
-			begin := w.next(w.clock.Now())
-			if len(begin) == 0 {
+			batch := q.next(q.clock.Now())
+			if len(batch) == 0 {
 				break
 			}
-			underWay++
-			go func() { ended <- w.carry(ctx, begin) }()
+			inFlight++
+			go func() { ended <- q.runBatch(ctx, batch) }()
 		}
-		timer := time.NewTimer(w.untilDue(w.clock.Now()))
+		timer := time.NewTimer(q.untilNext(q.clock.Now()))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
-			for range underWay {
+			for range inFlight {
 				<-ended
 			}
 			return ctx.Err()
-		case <-w.due:
+		case <-q.wakeup:
 		case <-timer.C:
 		case took := <-ended:
-			underWay--
-			w.recordEnd(took)
+			inFlight--
+			q.recordDone(took)
 		}
 		timer.Stop()
 	}
 }
 
-// next returns the batch to begin now and answers the updates that are let go.
-func (w *registrationQueue) next(now time.Time) []*pendingUpdate {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	begin, late := w.gatherer.Next(now)
-	for _, update := range late {
-		w.answer(update, &UnavailableError{Cause: errNotSettled})
+// next returns the batch to start now and fails the updates whose deadline is too close.
+func (q *registrationQueue) next(now time.Time) []*pendingUpdate {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	ready, expired := q.batcher.Next(now)
+	for _, update := range expired {
+		q.answer(update, &UnavailableError{Cause: errNotCommitted})
 	}
-	if len(late) > 0 {
-		w.let(len(late))
+	if len(expired) > 0 {
+		q.onExpired(len(expired))
 	}
-	return begin
+	return ready
 }
 
-// restBetweenWords is how long nothing is looked for while no update waits.
-const restBetweenWords = time.Minute
+// idleInterval is the timer interval while no update is queued.
+const idleInterval = time.Minute
 
-func (w *registrationQueue) untilDue(now time.Time) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at, ok := w.gatherer.NextAt()
+func (q *registrationQueue) untilNext(now time.Time) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	at, ok := q.batcher.NextAt()
 	if !ok {
-		return restBetweenWords
+		return idleInterval
 	}
 	return at.Sub(now)
 }
 
-func (w *registrationQueue) recordEnd(took time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.gatherer.Done(took)
+func (q *registrationQueue) recordDone(took time.Duration) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.batcher.Done(took)
 }
 
-// answer tells the askers of an update what became of it. Its lock is held.
-func (w *registrationQueue) answer(update *pendingUpdate, err error) {
-	delete(w.known, update.key)
+// answer sends the outcome of an update to its callers. The lock is held.
+func (q *registrationQueue) answer(update *pendingUpdate, err error) {
+	delete(q.pending, update.key)
 	for _, reply := range update.replies {
 		reply <- err
 	}
 }
 
-// carry tries a batch until each update is settled or its askers have gone, and returns
-// how long that took.
-func (w *registrationQueue) carry(ctx context.Context, batch []*pendingUpdate) time.Duration {
-	began := w.clock.Now()
+// runBatch attempts to commit a batch until every update is committed or its deadline has passed,
+// and returns how long that took.
+func (q *registrationQueue) runBatch(ctx context.Context, batch []*pendingUpdate) time.Duration {
+	began := q.clock.Now()
 	for len(batch) > 0 {
-		outcomes := w.try(ctx, batch)
-		batch = w.take(ctx, batch, outcomes)
+		outcomes := q.commitOnce(ctx, batch)
+		batch = q.resolve(ctx, batch, outcomes)
 		if len(batch) == 0 {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(leaderPause):
+		case <-time.After(leaderRetryDelay):
 		}
 	}
-	return w.clock.Since(began)
+	return q.clock.Since(began)
 }
 
-// try tries until the last asker has gone.
-func (w *registrationQueue) try(ctx context.Context, batch []*pendingUpdate) []error {
+// commitOnce makes one attempt, bounded by the latest deadline in the batch.
+func (q *registrationQueue) commitOnce(ctx context.Context, batch []*pendingUpdate) []error {
 	last := slices.MaxFunc(batch, func(a, b *pendingUpdate) int { return a.deadline.Compare(b.deadline) })
-	ctx, cancel := w.clock.WithDeadline(ctx, last.deadline)
+	ctx, cancel := q.clock.WithDeadline(ctx, last.deadline)
 	defer cancel()
-	return w.settle(ctx, batch)
+	return q.commit(ctx, batch)
 }
 
-// take answers the updates that are settled or whose time is over, and returns the
-// others.
-func (w *registrationQueue) take(ctx context.Context, batch []*pendingUpdate, outcomes []error) (left []*pendingUpdate) {
-	now := w.clock.Now()
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// resolve answers the updates that are committed or will not be retried, and returns the others.
+func (q *registrationQueue) resolve(ctx context.Context, batch []*pendingUpdate, outcomes []error) (remaining []*pendingUpdate) {
+	now := q.clock.Now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	for i, update := range batch {
 		err := outcomes[i]
-		if err != nil && ctx.Err() == nil && !update.forwarded && update.deadline.After(now.Add(leaderPause)) {
-			left = append(left, update)
+		if err != nil && ctx.Err() == nil && !update.forwarded && update.deadline.After(now.Add(leaderRetryDelay)) {
+			remaining = append(remaining, update)
 			continue
 		}
 		if err != nil {
 			err = &UnavailableError{Cause: err}
 		}
-		w.answer(update, err)
+		q.answer(update, err)
 	}
-	return left
+	return remaining
 }
--- a/internal/control/servingboxes.go
+++ b/internal/control/servingboxes.go
@@ -8,28 +8,28 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// servingFor is for how long the list of boxes that serve is kept for look-ups, unless
-// a report changes it: a twentieth of the time for which callers keep an answer. Look-ups
-// come more often, and each would make the list anew.
-const servingFor = 50 * time.Millisecond
+// servingListTTL is how long the list of serving boxes is cached for lookups unless a report
+// changes it: a twentieth of the time for which callers cache an answer. Lookups are more frequent
+// than that, and each would otherwise rebuild the list.
+const servingListTTL = 50 * time.Millisecond
 
-// servingBoxes keeps the boxes that serve callers.
+// servingBoxes caches the list of boxes that serve callers.
 type servingBoxes struct {
 	mu        sync.Mutex
-	at        time.Time
+	listedAt  time.Time
 	list      []lookup.BoxLocation
 	addresses map[string]bool
 }
 
-// get returns the list, made anew by a function if it is old.
+// get returns the cached list, rebuilt with fill if it has expired.
 func (s *servingBoxes) get(now time.Time, fill func() []lookup.BoxLocation) []lookup.BoxLocation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.addresses != nil && now.Sub(s.at) < servingFor {
+	if s.addresses != nil && now.Sub(s.listedAt) < servingListTTL {
 		return s.list
 	}
 	s.list = fill()
-	s.at = now
+	s.listedAt = now
 	s.addresses = make(map[string]bool, len(s.list))
 	for _, b := range s.list {
 		s.addresses[b.Address] = true
@@ -37,8 +37,9 @@
 	return s.list
 }
 
-// heard takes a report: one of a box that stops or is new makes the list old.
-func (s *servingBoxes) heard(b *wire.BoxReport) {
+// invalidateIfChanged drops the cached list if a box reports that it is stopping or reports for
+// the first time.
+func (s *servingBoxes) invalidateIfChanged(b *wire.BoxReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNew := b.CallerAddress != "" && !s.addresses[b.CallerAddress]
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -11,22 +11,22 @@
 
 const (
 	outboxSize  = 256
-	redialPause = 100 * time.Millisecond
+	redialDelay = 100 * time.Millisecond
 )
 
-// transport sends consensus messages. Each address has an outbox and a worker;
-// what does not fit into an outbox is dropped and sent again by the protocol.
+// transport sends consensus messages. Each address has an outbox and a worker. Messages that do
+// not fit into an outbox are dropped; the protocol sends them again.
 type transport struct {
-	node    *link.Node
-	running sync.WaitGroup
-	mu      sync.Mutex
-	outbox  map[string]chan *wire.ConsensusMessage
-	ctx     context.Context
-	cancel  context.CancelFunc
+	node     *link.Node
+	running  sync.WaitGroup
+	mu       sync.Mutex
+	outboxes map[string]chan *wire.ConsensusMessage
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
 func newTransport(node *link.Node) *transport {
-	t := &transport{node: node, outbox: make(map[string]chan *wire.ConsensusMessage)}
+	t := &transport{node: node, outboxes: make(map[string]chan *wire.ConsensusMessage)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	return t
 }
@@ -37,20 +37,20 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	box := t.outbox[address]
-	if box == nil {
-		box = make(chan *wire.ConsensusMessage, outboxSize)
-		t.outbox[address] = box
+	queue := t.outboxes[address]
+	if queue == nil {
+		queue = make(chan *wire.ConsensusMessage, outboxSize)
+		t.outboxes[address] = queue
 		t.running.Add(1)
-		go t.work(address, box)
+		go t.runOutbox(address, queue)
 	}
 	select {
-	case box <- m:
+	case queue <- m:
 	default:
 	}
 }
 
-func (t *transport) work(address string, box <-chan *wire.ConsensusMessage) {
+func (t *transport) runOutbox(address string, outbox <-chan *wire.ConsensusMessage) {
 	defer t.running.Done()
 	var stream *link.Messages
 	defer func() {
@@ -62,19 +62,19 @@
 		select {
 		case <-t.ctx.Done():
 			return
-		case m := <-box:
+		case m := <-outbox:
 			stream = t.deliver(stream, address, m)
 		}
 	}
 }
 
-// deliver writes a message, opening a stream first if there is none. It
-// returns the stream to use next, or nil after a failure.
+// deliver writes a message and opens a stream first if there is none. It returns the stream to use
+// next, or nil after a failure.
 func (t *transport) deliver(stream *link.Messages, address string, m *wire.ConsensusMessage) *link.Messages {
 	if stream == nil {
 		opened, err := t.node.Consensus(t.ctx, address)
 		if err != nil {
-			t.pause()
+			t.waitRedial()
 			return nil
 		}
 		stream = opened
@@ -86,14 +86,14 @@
 	return stream
 }
 
-func (t *transport) pause() {
+func (t *transport) waitRedial() {
 	select {
 	case <-t.ctx.Done():
-	case <-time.After(redialPause):
+	case <-time.After(redialDelay):
 	}
 }
 
-// close ends the workers and waits for them.
+// close stops the workers and waits for them.
 func (t *transport) close() {
 	t.cancel()
 	t.running.Wait()
