--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -13,7 +13,7 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// answer is the final answer to a request. A small answer is whole in body; the
+// answer is the final answer to a request. A small response is held entirely in body; the
 // rest of a large one is read from stream.
 type answer struct {
 	outcome    caller.Outcome
@@ -26,9 +26,9 @@
 	target     string
 }
 
-// smallAnswer is up to which size an answer is read whole before it is passed
-// on, so that a target's death before its end can still be made good.
-const smallAnswer = 64 << 10
+// maxBufferedAnswer is the largest response body that is read completely before any of it is
+// forwarded. Until then the request can be retried on another target if this one fails.
+const maxBufferedAnswer = 64 << 10
 
 func refusal(reason string, retryAfter time.Duration) *answer {
 	return &answer{outcome: caller.NotRun, reason: reason, retryAfter: retryAfter, status: http.StatusServiceUnavailable}
@@ -47,16 +47,16 @@
 	return &answer{outcome: caller.NotRun, reason: err.Error(), status: status}
 }
 
-// discard lets go of an answer that nobody wants.
+// discard closes an answer that is not used.
 func (a *answer) discard() {
 	if a != nil && a.stream != nil {
 		_ = a.stream.Close()
 	}
 }
 
-// resumable returns the strong ETag by which the rest of a broken answer can be
-// asked for, or the empty string.
-func (a *answer) resumable(r *request) string {
+// resumeETag returns the strong ETag with which the rest of an interrupted response can be
+// requested, or the empty string if it can't be resumed.
+func (a *answer) resumeETag(r *request) string {
 	etag := a.header.Get("Etag")
 	strong := strings.HasPrefix(etag, `"`)
 	whole := a.status == http.StatusOK && r.header.Get("Range") == ""
@@ -66,23 +66,23 @@
 	return etag
 }
 
-// continues reports whether an answer is the rest of a broken one.
-func (a *answer) continues(offset int64, etag string) bool {
+// isContinuation reports whether the response carries the rest of the resource from offset on.
+func (a *answer) isContinuation(offset int64, etag string) bool {
 	begins := strings.HasPrefix(a.header.Get("Content-Range"), fmt.Sprintf("bytes %d-", offset))
 	return a.status == http.StatusPartialContent && begins && a.header.Get("Etag") == etag
 }
 
-// writeHead writes status and headers.
-func (a *answer) writeHead(w http.ResponseWriter) {
+// writeHeader writes the status code and the headers.
+func (a *answer) writeHeader(w http.ResponseWriter) {
 	for name, values := range a.header {
 		w.Header()[name] = values
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		w.Header().Del(name)
 	}
 	w.Header().Set(caller.HeaderOutcome, string(a.outcome))
 	if a.reason != "" {
-		w.Header().Set(caller.HeaderReason, strings.Map(printable, a.reason))
+		w.Header().Set(caller.HeaderReason, strings.Map(replaceUnprintable, a.reason))
 	}
 	if a.target != "" {
 		w.Header().Set(caller.HeaderTarget, a.target)
@@ -94,14 +94,14 @@
 	w.WriteHeader(a.status)
 }
 
-func printable(r rune) rune {
+func replaceUnprintable(r rune) rune {
 	if r < ' ' || r > '~' {
 		return ' '
 	}
 	return r
 }
 
-// stored returns the answer as it is kept with a request key.
+// stored returns the answer in the form that is stored with a request key.
 func (a *answer) stored() *wire.StoredAnswer {
 	out := &wire.StoredAnswer{Status: uint32(a.status), Body: a.body, Target: a.target}
 	for name, values := range a.header {
@@ -112,9 +112,9 @@
 	return out
 }
 
-// fromStored returns a kept answer, or one that only says that the request ran
-// if the answer itself was too large to be kept.
-func fromStored(s *wire.StoredAnswer) *answer {
+// answerFromStored converts a stored answer. A nil one means that the request ran but that
+// its response was too large to be stored.
+func answerFromStored(s *wire.StoredAnswer) *answer {
 	if s == nil {
 		return &answer{outcome: caller.Ran, status: http.StatusGone, reason: "it ran; its answer was too large to be kept"}
 	}
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -17,37 +17,37 @@
 	"ledgesill.dev/ledgesill/pkg/retry"
 )
 
-// attemptEnd is how one attempt of a request has ended.
-type attemptEnd struct {
+// attemptResult is the outcome of one attempt of a request.
+type attemptResult struct {
 	number int
-	end    retry.AttemptResult
+	result retry.AttemptResult
 	answer *answer
 	target string
 }
 
-// execution runs one request on the targets of a pool that this box holds.
+// execution runs one request on the targets of a pool whose lease this box holds.
 type execution struct {
-	box     *Daemon
-	pool    *pool
-	request *request
-	plan    *retry.Plan
-	ends    chan attemptEnd
-	cancels map[int]context.CancelFunc
-	exclude []string
-	last    *answer
+	box      *Daemon
+	pool     *pool
+	request  *request
+	plan     *retry.Plan
+	results  chan attemptResult
+	cancels  map[int]context.CancelFunc
+	excluded []string
+	best     *answer
 }
 
-// runHere runs a request on this box's own pool and returns its final answer.
-func (d *Daemon) runHere(ctx context.Context, p *pool, r *request, v poolView) *answer {
+// runLocally runs a request on this box's own pool and returns its final answer.
+func (d *Daemon) runLocally(ctx context.Context, p *pool, r *request, v poolView) *answer {
 	attempts := v.values.RetryAttempts
-	if admissionIsBaseline(v) {
+	if isBaseline(v) {
 		attempts = 1
 	}
 	e := &execution{
 		box:     d,
 		pool:    p,
 		request: r,
-		ends:    make(chan attemptEnd, attempts),
+		results: make(chan attemptResult, attempts),
 		cancels: make(map[int]context.CancelFunc),
 		plan: retry.NewPlan(retry.Config{
 			Repeatable:  r.repeatable,
@@ -59,7 +59,7 @@
 	return e.run(ctx)
 }
 
-// run hosts the plan until it is final.
+// run feeds events to the retry plan until it reaches a final verdict.
 func (e *execution) run(ctx context.Context) *answer {
 	out := e.begin()
 	timer := time.NewTimer(e.box.clock.Until(out.NextTick))
@@ -69,12 +69,12 @@
 			e.launch(ctx, out.Launch)
 		}
 		if out.Final != 0 {
-			return e.final(ctx, out)
+			return e.finish(ctx, out)
 		}
 		if !out.NextTick.IsZero() {
 			timer.Reset(e.box.clock.Until(out.NextTick))
 		}
-		out = e.next(ctx, timer)
+		out = e.handleNextEvent(ctx, timer)
 	}
 }
 
@@ -84,8 +84,8 @@
 	return e.plan.Begin(e.box.clock.Now())
 }
 
-// next waits for the next event of the plan.
-func (e *execution) next(ctx context.Context, timer *time.Timer) retry.Output {
+// handleNextEvent waits for the next event and passes it to the plan.
+func (e *execution) handleNextEvent(ctx context.Context, timer *time.Timer) retry.Output {
 	select {
 	case <-ctx.Done():
 		return e.plan.Abandon()
@@ -93,30 +93,29 @@
 		e.box.budgets.Lock()
 		defer e.box.budgets.Unlock()
 		return e.plan.Tick(e.box.clock.Now())
-	case end := <-e.ends:
-		e.keep(end.answer)
-		if end.target != "" {
-			e.exclude = append(e.exclude, end.target)
+	case r := <-e.results:
+		e.keepBest(r.answer)
+		if r.target != "" {
+			e.excluded = append(e.excluded, r.target)
 		}
 		e.box.budgets.Lock()
 		defer e.box.budgets.Unlock()
-		return e.plan.HandleResult(e.box.clock.Now(), end.number, end.end)
+		return e.plan.HandleResult(e.box.clock.Now(), r.number, r.result)
 	}
 }
 
-// keep keeps the answer that is given if no better one comes. A refusal takes
-// nothing from an answer that a target gave: the caller would be told less than is
-// known.
-func (e *execution) keep(a *answer) {
+// keepBest keeps the best answer so far. A refusal never replaces an answer that came from a
+// target, since the caller would then learn less than is known.
+func (e *execution) keepBest(a *answer) {
 	if a == nil {
 		return
 	}
-	if e.last != nil && e.last.outcome != caller.NotRun && a.outcome == caller.NotRun {
+	if e.best != nil && e.best.outcome != caller.NotRun && a.outcome == caller.NotRun {
 		a.discard()
 		return
 	}
-	e.last.discard()
-	e.last = a
+	e.best.discard()
+	e.best = a
 }
 
 func (e *execution) launch(ctx context.Context, number int) {
@@ -125,30 +124,30 @@
 	}
 	ctx, cancel := e.box.clock.WithDeadline(ctx, e.request.deadline)
 	e.cancels[number] = cancel
-	exclude := append([]string(nil), e.exclude...)
-	go func() { e.ends <- e.attempt(ctx, cancel, number, exclude) }()
+	exclude := append([]string(nil), e.excluded...)
+	go func() { e.results <- e.attempt(ctx, cancel, number, exclude) }()
 }
 
-// final cancels what is no longer wanted and returns the answer. Attempts that
-// still run give their slots back when they have ended.
-func (e *execution) final(ctx context.Context, out retry.Output) *answer {
+// finish cancels the attempts that are no longer needed and returns the answer. Attempts that
+// are still running release their slots when they end.
+func (e *execution) finish(ctx context.Context, out retry.Output) *answer {
 	for _, n := range out.Cancel {
 		e.cancels[n]()
 	}
 	if len(out.Cancel) > 0 {
-		go e.discardLate(len(out.Cancel))
+		go e.discardLateAnswers(len(out.Cancel))
 	}
 	switch out.Final {
 	case retry.Ran:
-		return e.last
+		return e.best
 	case retry.DidNotRun:
-		if e.last != nil && e.last.outcome == caller.NotRun {
-			return e.last
+		if e.best != nil && e.best.outcome == caller.NotRun {
+			return e.best
 		}
 		return refusal("deadline", minRetryAfter)
 	default:
-		if e.last != nil && e.last.outcome != caller.NotRun {
-			return e.last
+		if e.best != nil && e.best.outcome != caller.NotRun {
+			return e.best
 		}
 		if ctx.Err() != nil {
 			return unknown("the caller left")
@@ -159,30 +158,30 @@
 
 const minRetryAfter = 50 * time.Millisecond
 
-func (e *execution) discardLate(attempts int) {
+func (e *execution) discardLateAnswers(attempts int) {
 	for range attempts {
-		end := <-e.ends
-		end.answer.discard()
+		r := <-e.results
+		r.answer.discard()
 	}
 }
 
-// attempt takes a slot, sends the request to its target and reads the answer. A panic ends it
-// as one that may have run, and gives its slot back.
-func (e *execution) attempt(ctx context.Context, cancel context.CancelFunc, number int, exclude []string) (end attemptEnd) {
+// attempt obtains a slot, sends the request to its target and reads the response. After a
+// panic the slot is released, and the attempt counts as one that may have run.
+func (e *execution) attempt(ctx context.Context, cancel context.CancelFunc, number int, exclude []string) (result attemptResult) {
 	id := e.box.nextID.Add(1)
 	defer func() {
 		if p := recover(); p != nil {
 			e.box.process.RecordPanic("attempt", e.request.id, p)
 			cancel()
 			e.pool.abandon(id)
-			end = attemptEnd{number: number, end: retry.Failed, answer: unknown("the entry box failed while the request may run")}
+			result = attemptResult{number: number, result: retry.Failed, answer: unknown("the entry box failed while the request may run")}
 		}
 	}()
 	return e.tryTarget(ctx, cancel, id, number, exclude)
 }
 
-func (e *execution) tryTarget(ctx context.Context, cancel context.CancelFunc, id uint64, number int, exclude []string) attemptEnd {
-	got, err := e.pool.admit(ctx, admission.Arrive{
+func (e *execution) tryTarget(ctx context.Context, cancel context.CancelFunc, id uint64, number int, exclude []string) attemptResult {
+	admitted, err := e.pool.admit(ctx, admission.Arrive{
 		ID:       id,
 		Class:    e.request.class(),
 		Deadline: e.request.deadline,
@@ -192,47 +191,47 @@
 	})
 	if err != nil {
 		cancel()
-		return attemptEnd{number: number, end: retry.Refused, answer: refusal("deadline", minRetryAfter)}
+		return attemptResult{number: number, result: retry.Refused, answer: refusal("deadline", minRetryAfter)}
 	}
-	if got.refused != nil {
+	if admitted.refusal != nil {
 		cancel()
-		return attemptEnd{number: number, end: retry.Refused, answer: refusal(string(got.refused.Reason), got.refused.RetryAfter)}
+		return attemptResult{number: number, result: retry.Refused, answer: refusal(string(admitted.refusal.Reason), admitted.refusal.RetryAfter)}
 	}
-	slot := &slot{pool: e.pool, id: id, target: got.target, began: e.box.clock.Now(), cancel: cancel}
-	a, end, result := e.box.askTarget(ctx, e.request, got.address, slot)
+	slot := &slot{pool: e.pool, id: id, target: admitted.target, startedAt: e.box.clock.Now(), cancel: cancel}
+	a, result, admissionResult := e.box.sendToTarget(ctx, e.request, admitted.address, slot)
 	switch {
-	case end == retry.Failed && a != nil && a.outcome == caller.Unknown:
-		e.broke(ctx, slot, got.target, got.address)
-	case end == retry.Answered && a.stream == nil:
-		e.whole()
+	case result == retry.Failed && a != nil && a.outcome == caller.Unknown:
+		e.reportBrokenRun(ctx, slot, admitted.target, admitted.address)
+	case result == retry.Answered && a.stream == nil:
+		e.reportAnswered()
 	}
 	if a != nil {
-		a.target = got.target
+		a.target = admitted.target
 	}
 	if a == nil || a.stream == nil {
-		slot.free(result)
+		slot.release(admissionResult)
 	}
-	return attemptEnd{number: number, end: end, answer: a, target: got.target}
+	return attemptResult{number: number, result: result, answer: a, target: admitted.target}
 }
 
-// slot is a granted slot, to be freed once.
+// slot is a granted slot. Only the first call of release has an effect.
 type slot struct {
-	pool   *pool
-	id     uint64
-	target string
-	began  time.Time
-	cancel context.CancelFunc
-	once   sync.Once
+	pool      *pool
+	id        uint64
+	target    string
+	startedAt time.Time
+	cancel    context.CancelFunc
+	once      sync.Once
 }
 
-func (s *slot) free(r admission.Result) {
+func (s *slot) release(r admission.Result) {
 	s.once.Do(func() {
 		s.cancel()
-		s.pool.finish(admission.Finish{ID: s.id, Result: r, Latency: s.pool.clock.Since(s.began)})
+		s.pool.finish(admission.Finish{ID: s.id, Result: r, Latency: s.pool.clock.Since(s.startedAt)})
 	})
 }
 
-// slotStream is the rest of an answer; closing it frees the slot.
+// slotStream is the unread rest of a response body. Closing it releases the slot.
 type slotStream struct {
 	io.ReadCloser
 	slot   *slot
@@ -255,35 +254,35 @@
 	if s.failed {
 		result = admission.Failed
 	}
-	s.slot.free(result)
+	s.slot.release(result)
 	return err
 }
 
-// askTarget sends the request to a target. What it returns besides the answer
-// are the attempt's end for the plan and the result for admission.
-func (d *Daemon) askTarget(ctx context.Context, r *request, address string, s *slot) (*answer, retry.AttemptResult, admission.Result) {
-	h, err := r.toTarget(d.clock.Now(), address)
+// sendToTarget sends the request to a target. It returns the answer, the result of the
+// attempt for the retry plan, and the result for admission.
+func (d *Daemon) sendToTarget(ctx context.Context, r *request, address string, s *slot) (*answer, retry.AttemptResult, admission.Result) {
+	h, err := r.targetRequest(d.clock.Now(), address)
 	if err != nil {
 		return invalid(err), retry.Refused, admission.Canceled
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx = context.WithValue(ctx, slotKey{}, s)
-	response, err := d.toTargets.RoundTrip(h.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := d.targetTransport.RoundTrip(h.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		return failedAttempt(ctx, err, connected.Load())
+		return classifyFailure(ctx, err, connected.Load())
 	}
-	status := s.pool.observe(s.target, response, s.began)
-	if shed(response) {
+	status := s.pool.recordStatus(s.target, response, s.startedAt)
+	if isRejection(response) {
 		_ = response.Body.Close()
-		return refusal("the target refused it", retryAfterOf(response, status)), retry.NotRun, admission.Shed
+		return refusal("the target refused it", callerRetryAfter(response, status)), retry.NotRun, admission.Shed
 	}
 	return readAnswer(response, s, r.repeatable)
 }
 
-// failedAttempt classifies an attempt without an answer. Only one that never
-// had a connection surely did not run.
-func failedAttempt(ctx context.Context, err error, connected bool) (*answer, retry.AttemptResult, admission.Result) {
+// classifyFailure classifies an attempt that got no response. Only an attempt that never had
+// a connection certainly did not run.
+func classifyFailure(ctx context.Context, err error, connected bool) (*answer, retry.AttemptResult, admission.Result) {
 	result := admission.Failed
 	var backedOff *BackedOffError
 	if errors.Is(ctx.Err(), context.Canceled) || errors.As(err, &backedOff) {
@@ -295,26 +294,26 @@
 	return unknown(fmt.Sprintf("no answer from the target: %v", err)), retry.Failed, result
 }
 
-// shed reports whether a target refused a request unrun: 429, or 503 with
-// Retry-After.
-func shed(response *http.Response) bool {
+// isRejection reports whether a target rejected a request without running it: status 429, or
+// 503 with Retry-After.
+func isRejection(response *http.Response) bool {
 	if response.StatusCode == http.StatusTooManyRequests {
 		return true
 	}
 	return response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") != ""
 }
 
-// readAnswer reads a small answer whole, and the beginning of a large one.
+// readAnswer reads a small response completely, and the beginning of a large one.
 func readAnswer(response *http.Response, s *slot, repeatable bool) (*answer, retry.AttemptResult, admission.Result) {
 	a := &answer{outcome: caller.Ran, status: response.StatusCode, header: response.Header}
 	var buffer bytes.Buffer
-	_, err := io.CopyN(&buffer, response.Body, smallAnswer+1)
+	_, err := io.CopyN(&buffer, response.Body, maxBufferedAnswer+1)
 	switch {
 	case errors.Is(err, io.EOF):
 		_ = response.Body.Close()
 		a.body = buffer.Bytes()
 		if a.status >= http.StatusInternalServerError {
-			return serverError(a, repeatable)
+			return classifyServerError(a, repeatable)
 		}
 		return a, retry.Answered, admission.Succeeded
 	case err != nil:
@@ -326,10 +325,10 @@
 	return a, retry.Answered, admission.Succeeded
 }
 
-// serverError lets a repeatable request that met a server error be tried
-// elsewhere; if it is not, the error is the answer. Of one that may not be
-// repeated nobody knows what it has done.
-func serverError(a *answer, repeatable bool) (*answer, retry.AttemptResult, admission.Result) {
+// classifyServerError classifies a 5xx response. A repeatable request is retried on another
+// target; if no attempt succeeds, the error is the answer. The outcome of an unrepeatable
+// request is unknown, since the target may have run any part of it.
+func classifyServerError(a *answer, repeatable bool) (*answer, retry.AttemptResult, admission.Result) {
 	if repeatable {
 		return a, retry.Failed, admission.Failed
 	}
--- a/internal/entry/backoff_test.go
+++ b/internal/entry/backoff_test.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	// backOffGrace is how long after a rejection requests are not counted, and
-	// backOffSlack how many may come between it and the end of the back-off.
+	// Requests that arrive within backOffGrace after a rejection are not counted. At most
+	// backOffSlack requests may arrive between then and the end of the back-off.
 	backOffGrace = 500 * time.Millisecond
 	backOffSlack = 2
 )
 
-// reads has four callers read for a time; each read must be answered.
-func (s *system) reads(length time.Duration) {
-	var asking sync.WaitGroup
+// readFor has four callers send reads for a duration. Each read must be answered.
+func (s *system) readFor(length time.Duration) {
+	var readers sync.WaitGroup
 	for range 4 {
-		asking.Go(func() {
+		readers.Go(func() {
 			c := s.client("flags")
 			for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 				if a := s.read(c, time.Second); a.Outcome != caller.Ran {
-					s.problem("a read got %s, the other targets have room", a.Outcome)
+					s.addProblem("outcome of a read is %s, although other targets have capacity", a.Outcome)
 				}
 			}
 		})
 	}
-	asking.Wait()
+	readers.Wait()
 }
 
-// Guards against requests and checks of health that reach a target which has answered 503
-// with Retry-After, before that time is over.
-func TestTargetGetsNothingWhileItsPoolBacksOff(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Guards against requests and health checks that reach a target before the Retry-After of its
+// 503 response has passed.
+func TestNoRequestsDuringBackOff(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 4)
 		s.change(&wire.Edit{Path: "/", Key: settings.ReportIntervalMillis, Value: "100"})
-		s.reads(time.Second)
+		s.readFor(time.Second)
 		target := s.target("a1").target
 		target.SetRetryAfter("3")
 		target.SetShedding(true)
-		s.reads(4 * time.Second)
+		s.readFor(4 * time.Second)
 		target.SetShedding(false)
-		s.reads(4 * time.Second)
+		s.readFor(4 * time.Second)
 		rejections := target.Rejections()
 		if len(rejections) == 0 {
-			t.Error("the target rejected nothing")
+			t.Error("the target rejected no request")
 		}
 		for _, at := range rejections {
 			count := 0
@@ -65,7 +65,7 @@
 				}
 			}
 			if count > backOffSlack {
-				t.Errorf("%d requests came in the back-off, at most %d may", count, backOffSlack)
+				t.Errorf("%d requests arrived during the back-off, want at most %d", count, backOffSlack)
 				break
 			}
 		}
@@ -76,46 +76,46 @@
 			}
 		}
 		if after < 20 {
-			t.Errorf("the target got %d requests in the last 2 s, it could do more", after)
+			t.Errorf("the target got %d requests in the last 2 s, want at least 20", after)
 		}
 		s.close(4)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-// Guards against requests to a target whose answers say that it leaves, and against its next
-// incarnation being left out.
-func TestTargetThatLeavesGetsNothingMore(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Guards against requests to a target whose responses report that it is leaving, and against
+// excluding its next incarnation.
+func TestLeavingTargetGetsNoRequests(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 4)
-		s.reads(time.Second)
+		s.readFor(time.Second)
 		target := s.target("a1").target
 		target.SetLeaving(true)
-		s.reads(2 * time.Second)
+		s.readFor(2 * time.Second)
 		before := target.Requests()
-		s.reads(4 * time.Second)
+		s.readFor(4 * time.Second)
 		if got := target.Requests() - before; got > 0 {
-			t.Errorf("%d requests came later than 2 s after it had said so", got)
+			t.Errorf("%d requests arrived more than 2 s after the target reported that it is leaving", got)
 		}
-		target.SetMute(true) // it ends
-		s.reads(3 * time.Second)
+		target.SetMute(true) // the target stops
+		s.readFor(3 * time.Second)
 		target.SetLeaving(false)
 		target.SetMute(false)
-		s.reads(8 * time.Second)
+		s.readFor(8 * time.Second)
 		if got := target.Requests() - before; got < 20 {
-			t.Errorf("its next incarnation got %d requests", got)
+			t.Errorf("the next incarnation got %d requests, want at least 20", got)
 		}
 		s.close(4)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-// Guards against a request that has its slot, and is sent to a target that asked for a
-// back-off while the request waited for its connection.
-func TestRequestThatWaitsForAConnectionIsNotSent(t *testing.T) {
+// Guards against sending a request that already has a slot to a target that asked for a
+// back-off while the connection was being established.
+func TestBackOffWhileConnectingPreventsSending(t *testing.T) {
 	p := newPool("s", "box", "i", 1)
 	header := http.Header{"Retry-After": {"3"}}
-	p.observe("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header}, time.Time{})
+	p.recordStatus("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header}, time.Time{})
 	d := &Daemon{network: link.Network{Dial: func(context.Context, string) (net.Conn, error) {
 		near, _ := net.Pipe()
 		return near, nil
@@ -123,10 +123,10 @@
 	ctx := context.WithValue(t.Context(), slotKey{}, &slot{pool: p, target: "t"})
 	var backedOff *BackedOffError
 	if _, err := d.dialForSlot(ctx, "tcp", "a"); !errors.As(err, &backedOff) || backedOff.Target != "t" {
-		t.Errorf("got %v", err)
+		t.Errorf("dialing returned %v, want a BackedOffError for t", err)
 	}
-	if _, _, result := failedAttempt(ctx, backedOff, false); result != admission.Canceled {
-		t.Errorf("counts as %v", result)
+	if _, _, result := classifyFailure(ctx, backedOff, false); result != admission.Canceled {
+		t.Errorf("result is %v, want Canceled", result)
 	}
 	ctx = context.WithValue(t.Context(), slotKey{}, &slot{pool: p, target: "other"})
 	if _, err := d.dialForSlot(ctx, "tcp", "a"); err != nil {
@@ -134,33 +134,33 @@
 	}
 }
 
-// Guards against answers to checks of health whose headers nobody reads, and against one
-// without a limit that takes a limit back.
-func TestChecksOfHealthAreRead(t *testing.T) {
+// Guards against ignoring the headers of health check responses, and against withdrawing a
+// limit because a health check response has none.
+func TestHealthCheckHeadersAreRead(t *testing.T) {
 	p := newPool("s", "box", "i", 1)
-	p.limited.Store(true)
-	p.observeHealth("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}, time.Time{})
+	p.hasLimitedTarget.Store(true)
+	p.recordHealthStatus("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}, time.Time{})
 	if n := len(p.inbox); n > 0 {
-		t.Errorf("%d events of an answer that says nothing", n)
+		t.Errorf("%d events for a response without status headers, want none", n)
 	}
-	p.observeHealth("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{caller.HeaderLeaving: {"1"}}}, time.Now())
+	p.recordHealthStatus("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{caller.HeaderLeaving: {"1"}}}, time.Now())
 	if u := (<-p.inbox).(poolEvent).event.(admission.TargetUpdate).Update; !u.Leaving || !u.Sent.IsZero() {
-		t.Errorf("the pool is told %+v", u)
+		t.Errorf("update is %+v, want Leaving without a limit", u)
 	}
-	p.observeHealth("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{"Retry-After": {"2"}}}, time.Now())
+	p.recordHealthStatus("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: http.Header{"Retry-After": {"2"}}}, time.Now())
 	if b := (<-p.inbox).(poolEvent).event.(admission.BackOff); b.Wait != 2*time.Second {
-		t.Errorf("the pool is told %+v", b)
+		t.Errorf("back-off is %+v, want 2 s", b)
 	}
 }
 
-// Guards against headers of a target that can't be read and leave no trace.
-func TestUnreadHeadersAreReported(t *testing.T) {
+// Guards against silently ignoring headers that can't be parsed.
+func TestUnparsedHeadersAreReported(t *testing.T) {
 	p := newPool("s", "box", "i", 1)
 	var got []string
-	p.unread = func(_ string, headers []string) { got = append(got, headers...) }
+	p.onUnparsed = func(_ string, headers []string) { got = append(got, headers...) }
 	header := http.Header{"Retry-After": {"soon"}, caller.HeaderLimit: {"many"}}
-	p.observe("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header}, time.Time{})
-	p.observeHealth("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{caller.HeaderLeaving: {"x"}}}, time.Time{})
+	p.recordStatus("t", &http.Response{StatusCode: http.StatusServiceUnavailable, Header: header}, time.Time{})
+	p.recordHealthStatus("t", &http.Response{StatusCode: http.StatusOK, Header: http.Header{caller.HeaderLeaving: {"x"}}}, time.Time{})
 	if want := []string{caller.HeaderLimit, "Retry-After", caller.HeaderLeaving}; !slices.Equal(got, want) {
 		t.Errorf("reported %v, want %v", got, want)
 	}
--- a/internal/entry/callerfaults_test.go
+++ b/internal/entry/callerfaults_test.go
@@ -14,18 +14,19 @@
 	"ledgesill.dev/ledgesill/pkg/caller"
 )
 
-// leavers are the contexts of requests in flight, whose callers can be made to leave.
-type leavers struct {
-	mu      sync.Mutex
-	next    int
-	cancels map[int]context.CancelFunc
-	left    int
+// callerSet holds the contexts of requests in flight, which it can cancel as if their callers
+// had left.
+type callerSet struct {
+	mu       sync.Mutex
+	next     int
+	cancels  map[int]context.CancelFunc
+	canceled int
 }
 
-func newLeavers() *leavers { return &leavers{cancels: make(map[int]context.CancelFunc)} }
+func newCallerSet() *callerSet { return &callerSet{cancels: make(map[int]context.CancelFunc)} }
 
-// begin returns the context of a request; the function must be called at its end.
-func (l *leavers) begin() (context.Context, func()) {
+// begin returns the context of a new request, and a function to be called when it ends.
+func (l *callerSet) begin() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,32 +41,32 @@
 	}
 }
 
-// leave has all callers leave whose requests are in flight.
-func (l *leavers) leave() {
+// cancelAll cancels all requests in flight.
+func (l *callerSet) cancelAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, cancel := range l.cancels {
 		cancel()
-		l.left++
+		l.canceled++
 	}
 }
 
-func (l *leavers) count() int {
+func (l *callerSet) canceledCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.left
+	return l.canceled
 }
 
-// callerFault is a row: which callers leave when the step is reached, what they do then, and
-// what else happens.
+// callerFault is a row of the matrix: which callers leave when the step is reached, whether
+// they retry, and which other fault occurs at the same time.
 type callerFault struct {
 	name string
-	// first and second tell which of two callers of a key leave; only the first sends unless
-	// two is set.
-	first, second, two bool
-	// again returns the box where a caller that left comes again with its key; nil for nowhere.
-	again  func(box string) string
-	beside string
+	// firstLeaves and secondLeaves say which of the two callers of a key leave. The second
+	// caller only sends requests if twoCallers is set.
+	firstLeaves, secondLeaves, twoCallers bool
+	// retryAt returns the box at which a caller that left resends with its key; nil for none.
+	retryAt    func(box string) string
+	otherFault string
 }
 
 func sameBox(box string) string { return box }
@@ -79,35 +80,35 @@
 
 func callerFaults() []callerFault {
 	return []callerFault{
-		{name: "caller leaves", first: true},
-		{name: "leaves, again at the same box", first: true, again: sameBox},
-		{name: "leaves, again at another box", first: true, again: otherBox},
-		{name: "first of two leaves", first: true, two: true},
-		{name: "second of two leaves", second: true, two: true},
-		{name: "both of two leave", first: true, second: true, two: true},
-		{name: "leaves + box killed", first: true, again: sameBox, beside: "box killed"},
-		{name: "leaves + late answers", first: true, again: otherBox, beside: "late answers"},
+		{name: "caller leaves", firstLeaves: true},
+		{name: "leaves, again at the same box", firstLeaves: true, retryAt: sameBox},
+		{name: "leaves, again at another box", firstLeaves: true, retryAt: otherBox},
+		{name: "first of two leaves", firstLeaves: true, twoCallers: true},
+		{name: "second of two leaves", secondLeaves: true, twoCallers: true},
+		{name: "both of two leave", firstLeaves: true, secondLeaves: true, twoCallers: true},
+		{name: "leaves + box killed", firstLeaves: true, retryAt: sameBox, otherFault: "box killed"},
+		{name: "leaves + late answers", firstLeaves: true, retryAt: otherBox, otherFault: "late answers"},
 	}
 }
 
-// callerCell is one cell of the matrix: its traffic and the callers in it.
+// callerCell is one cell of the matrix, with its traffic and callers.
 type callerCell struct {
 	*system
 	row           callerFault
 	step          string
 	trigger       *trigger
-	first, second *leavers
+	first, second *callerSet
 }
 
-// Guards against a caller that leaves at any step and ends its box, keeps a slot, has its
-// request run twice, or is told that what ran did not.
+// Guards against the effects of a caller that leaves at any step: its box crashes, a slot
+// leaks, its request runs twice, or a request that ran is reported as not run.
 func TestCallerFaultMatrix(t *testing.T) {
 	var out strings.Builder
 	for _, row := range callerFaults() {
 		fmt.Fprintf(&out, "%-36s", row.name)
 		for _, step := range requestSteps {
 			problems, left := runCallerCell(t, row, step)
-			t.Logf("%s at %s: %d callers left", row.name, step, left)
+			t.Logf("%s at %s: %d requests canceled", row.name, step, left)
 			if len(problems) > 0 {
 				fmt.Fprintf(&out, " %s:FAILED", step)
 				t.Errorf("%s at %s:\n  %s", row.name, step, strings.Join(problems, "\n  "))
@@ -121,41 +122,41 @@
 }
 
 func runCallerCell(t *testing.T, row callerFault, step string) (problems []string, left int) {
-	bubble(t, func(t *testing.T) {
-		c := &callerCell{system: newSystem(t, cellSlots), row: row, step: step, trigger: &trigger{}, first: newLeavers(), second: newLeavers()}
-		c.watch(c.trigger)
-		c.trigger.arm(step, c.strike)
-		c.traffic()
-		left = c.first.count() + c.second.count()
+	runInBubble(t, func(t *testing.T) {
+		c := &callerCell{system: newSystem(t, cellSlots), row: row, step: step, trigger: &trigger{}, first: newCallerSet(), second: newCallerSet()}
+		c.hookNetwork(c.trigger)
+		c.trigger.arm(step, c.injectFault)
+		c.runTraffic()
+		left = c.first.canceledCount() + c.second.canceledCount()
 		if !c.trigger.fired() || left == 0 {
-			c.problem("the step was not reached by a caller that left")
+			c.addProblem("the step was not reached, or no caller left")
 		}
-		c.network.hooks(func(string, string) {}, func(string, string, []byte) {})
-		c.recovers()
+		c.network.setHooks(func(string, string) {}, func(string, string, []byte) {})
+		c.checkRecovery()
 		c.close(cellSlots)
 		problems = c.problems
 	})
 	return problems, left
 }
 
-// strike has callers leave and does what else the row says.
-func (c *callerCell) strike(at reached) {
-	if c.row.first {
-		c.first.leave()
+// injectFault makes callers leave and injects the other fault of the row.
+func (c *callerCell) injectFault(at location) {
+	if c.row.firstLeaves {
+		c.first.cancelAll()
 	}
-	if c.row.second {
-		c.second.leave()
+	if c.row.secondLeaves {
+		c.second.cancelAll()
 	}
 	for _, f := range requestFaults() {
-		if f.name == c.row.beside {
-			f.do(c.system, at)
+		if f.name == c.row.otherFault {
+			f.inject(c.system, at)
 		}
 	}
 }
 
-// traffic sends toggles and exports until the length of a cell is over.
-func (c *callerCell) traffic() {
-	end := time.Now().Add(cellLength)
+// runTraffic sends toggles and exports until the duration of a cell has passed.
+func (c *callerCell) runTraffic() {
+	end := time.Now().Add(cellDuration)
 	toggles := 2
 	if c.step == "queue" {
 		toggles = 8
@@ -166,9 +167,9 @@
 			client := c.client("flags")
 			for n := 0; time.Now().Before(end); n++ {
 				if n == 3 && w == toggles-1 {
-					c.reachByTraffic(client)
+					c.reachStep(client)
 				}
-				c.send(client, fmt.Sprintf("caller-%d-%d-", w, n))
+				c.sendToggle(client, fmt.Sprintf("caller-%d-%d-", w, n))
 				time.Sleep(7 * time.Millisecond)
 			}
 		})
@@ -183,60 +184,60 @@
 	running.Wait()
 }
 
-// reachByTraffic tells the trigger of the steps that can't be seen on the network.
-func (c *callerCell) reachByTraffic(client *caller.Client) {
+// reachStep triggers the steps that can't be observed on the network.
+func (c *callerCell) reachStep(client *caller.Client) {
 	switch c.step {
 	case "lookUp":
-		leavers := c.first
-		if !c.row.first {
-			leavers = c.second
+		callers := c.first
+		if !c.row.firstLeaves {
+			callers = c.second
 		}
-		ctx, ended := leavers.begin()
+		ctx, ended := callers.begin()
 		defer ended()
-		_, _ = client.Lookup(ctx) // only that it was made counts
-		c.trigger.reach("lookUp", reached{c.holderOf("za"), "a1"})
+		_, _ = client.Lookup(ctx) // only the call itself matters
+		c.trigger.reach("lookUp", location{c.holderOf("za"), "a1"})
 	case "queue":
 		c.waitQueued()
-		c.trigger.reach("queue", reached{c.holderOf("za"), "a1"})
+		c.trigger.reach("queue", location{c.holderOf("za"), "a1"})
 	}
 }
 
-// send sends a request by one or two callers, who may come again with its key.
-func (c *callerCell) send(client *caller.Client, name string) {
-	look, err := client.Lookup(context.Background())
+// sendToggle sends a request from one or two callers, which may resend it with its key.
+func (c *callerCell) sendToggle(client *caller.Client, name string) {
+	lookup, err := client.Lookup(context.Background())
 	if err != nil {
 		return // nothing was sent
 	}
 	if c.step == "body" {
 		name += strings.Repeat("x", 20_000)
 	}
-	key := look.KeyScope + "~" + name[:min(len(name), 20)]
+	key := lookup.KeyScope + "~" + name[:min(len(name), 20)]
 	var running sync.WaitGroup
-	if c.row.two {
+	if c.row.twoCallers {
 		running.Go(func() {
 			other := c.client("flags")
-			c.sendOnce(c.second, other, name, key)
+			c.sendAttempt(c.second, other, name, key)
 		})
 	}
-	ended := c.sendOnce(c.first, client, name, key)
+	outcome := c.sendAttempt(c.first, client, name, key)
 	running.Wait()
-	if c.row.again != nil && ended == caller.Unknown {
+	if c.row.retryAt != nil && outcome == caller.Unknown {
 		again := c.client("flags")
-		again.Pin(boxHosts[c.row.again(look.Boxes[0].Name)] + ":1")
-		ended = c.sendOnce(newLeavers(), again, name, key)
+		again.Pin(boxHosts[c.row.retryAt(lookup.Boxes[0].Name)] + ":1")
+		outcome = c.sendAttempt(newCallerSet(), again, name, key)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.row.two {
-		ended = caller.Unknown // two callers may be told different things; only the runs count
+	if c.row.twoCallers {
+		outcome = caller.Unknown // the two callers may get different outcomes; only the number of runs is checked
 	}
-	c.sent[name] = ended
+	c.sent[name] = outcome
 }
 
-func (c *callerCell) sendOnce(l *leavers, client *caller.Client, name, key string) caller.Outcome {
+func (c *callerCell) sendAttempt(l *callerSet, client *caller.Client, name, key string) caller.Outcome {
 	ctx, ended := l.begin()
 	defer ended()
-	// The error of a look-up leaves the outcome of what was sent before.
+	// An error of the lookup does not change the outcome of what was sent before.
 	a, _ := client.Do(ctx, caller.Request{Method: http.MethodPost, Path: "/toggle", Body: []byte(name), Timeout: leavingTimeout, Key: key})
 	return a.Outcome
 }
@@ -245,6 +246,6 @@
 	ctx, ended := c.first.begin()
 	defer ended()
 	path := fmt.Sprintf("/export?size=%d", exportBytes)
-	// The checks at the end tell whether it left anything behind.
+	// The checks at the end of the cell find what the download left behind.
 	_, _ = client.Do(ctx, caller.Request{Method: http.MethodGet, Path: path, Timeout: leavingTimeout, Repeatable: true})
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -15,9 +15,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-const copyBuffer = 64 << 10
+const copyBufferSize = 64 << 10
 
-// handler serves callers and what other entry boxes forward.
+// handler serves callers and the requests that other entry boxes forward.
 func (d *Daemon) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+caller.LookupPath, d.serveLookup)
@@ -26,21 +26,21 @@
 }
 
 func (d *Daemon) serveLookup(w http.ResponseWriter, h *http.Request) {
-	f := d.current.Load()
+	active := d.current.Load()
 	query := h.URL.Query()
 	service := query.Get("service")
-	if !f.table.HasService(service) {
+	if !active.table.HasService(service) {
 		a := &answer{outcome: caller.NotRun, status: http.StatusNotFound, reason: fmt.Sprintf("there is no service %q", service)}
-		a.writeHead(w)
+		a.writeHeader(w)
 		return
 	}
 	home := query.Get("home")
 	if home == "" {
 		home = d.config.Region
 	}
-	out := caller.LookupAnswer{Service: service, Version: f.state.Version(), KeyScope: d.keys.scope()}
+	out := caller.LookupAnswer{Service: service, Version: active.state.Version(), KeyScope: d.keys.scope()}
 	ttl := time.Duration(0)
-	for _, c := range f.table.Choose(service, home, query.Get("block"), maxLookupBoxes, d.usable) {
+	for _, c := range active.table.Choose(service, home, query.Get("block"), maxLookupBoxes, d.usable) {
 		if len(out.Boxes) >= maxLookupBoxes {
 			break
 		}
@@ -48,12 +48,12 @@
 			out.Boxes = append(out.Boxes, caller.Box{Name: b.Name, Address: b.CallerAddress, Region: b.Region, Zone: b.Zone})
 		}
 		if ttl == 0 {
-			s, _ := f.table.Service(service, c.Zone)
+			s, _ := active.table.Service(service, c.Zone)
 			ttl = s.Values.AnswerTTL
 		}
 	}
 	if len(out.Boxes) == 0 {
-		refusal("no entry box is in service", retryWithoutPool).writeHead(w)
+		refusal("no entry box is in service", retryWithoutPool).writeHeader(w)
 		return
 	}
 	if len(out.Boxes) > maxLookupBoxes {
@@ -61,14 +61,14 @@
 	}
 	out.TTLMillis = ttl.Milliseconds()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(out) // the caller sees a broken answer
+	_ = json.NewEncoder(w).Encode(out) // the caller gets a truncated response
 }
 
-// maxLookupBoxes bounds the boxes of one answer.
+// maxLookupBoxes is the maximum number of boxes in one lookup answer.
 const maxLookupBoxes = 6
 
-// holderFirst puts the box that holds the pool before the others of its zone,
-// which spares a hop.
+// holderFirst moves the box that holds the pool's lease to the front of the boxes of its
+// zone, which saves callers a hop.
 func (d *Daemon) holderFirst(service string, boxes []settings.Box) []settings.Box {
 	if len(boxes) < 2 || boxes[0].Zone != d.config.Zone {
 		return boxes
@@ -87,32 +87,32 @@
 }
 
 func (d *Daemon) defaultTimeout(service string) time.Duration {
-	f := d.current.Load()
-	if s, ok := f.table.Service(service, d.config.Zone); ok {
+	active := d.current.Load()
+	if s, ok := active.table.Service(service, d.config.Zone); ok {
 		return s.Values.RequestTimeout
 	}
-	return f.tree.Service(d.config.Region, d.config.Zone, service).Values.RequestTimeout
+	return active.tree.Service(d.config.Region, d.config.Zone, service).Values.RequestTimeout
 }
 
 func (d *Daemon) serveRequest(w http.ResponseWriter, h *http.Request) {
-	if !d.stop.enter(&d.inFlight) {
+	if !d.stop.admitRequest(&d.inFlight) {
 		w.Header().Set("Connection", "close")
-		refusal("this entry box is stopping", minRetryAfter).writeHead(w)
+		refusal("this entry box is stopping", minRetryAfter).writeHeader(w)
 		return
 	}
 	defer d.inFlight.Add(-1)
-	began := d.clock.Now()
-	r, err := readRequest(began, h, d.defaultTimeout)
+	start := d.clock.Now()
+	r, err := readRequest(start, h, d.defaultTimeout)
 	if err != nil {
-		d.finishRequest(w, h, nil, invalid(err))
+		d.writeAnswer(w, h, nil, invalid(err))
 		return
 	}
 	if r.id == "" {
 		r.id = d.config.Name + "-" + strconv.FormatUint(d.nextID.Add(1), 10)
 	}
 	a := d.serve(h.Context(), r)
-	d.finishRequest(w, h, r, a)
-	d.latency.WithLabelValues(r.service).Observe(d.clock.Since(began).Seconds())
+	d.writeAnswer(w, h, r, a)
+	d.latency.WithLabelValues(r.service).Observe(d.clock.Since(start).Seconds())
 }
 
 func (d *Daemon) serve(ctx context.Context, r *request) *answer {
@@ -122,29 +122,28 @@
 	return d.dispatch(ctx, r)
 }
 
-// finishRequest writes the answer. A large one that breaks off is continued
-// from another place; if that can't be done the connection is broken, so that a
-// short answer can't pass for a whole one.
-func (d *Daemon) finishRequest(w http.ResponseWriter, h *http.Request, r *request, a *answer) {
+// writeAnswer writes the answer. If the stream of a large response breaks, the rest is
+// requested again. If that fails, the connection is aborted so that the caller can't take a
+// truncated response for a complete one.
+func (d *Daemon) writeAnswer(w http.ResponseWriter, h *http.Request, r *request, a *answer) {
 	service := ""
 	if r != nil {
 		service = r.service
 		d.recordOutcome(r, a)
 	}
 	d.requests.WithLabelValues(service, string(a.outcome)).Inc()
-	a.writeHead(w)
+	a.writeHeader(w)
 	n, err := w.Write(a.body)
 	if err != nil || a.stream == nil {
 		a.discard()
 		return
 	}
-	if err := d.copyRest(h.Context(), w, r, a, int64(n)); err != nil {
+	if err := d.copyStream(h.Context(), w, r, a, int64(n)); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// recordOutcome adds requests that may not be repeated, and all that did not run
-// well, to the time line.
+// recordOutcome adds a request to the timeline unless it is repeatable and ran.
 func (d *Daemon) recordOutcome(r *request, a *answer) {
 	if a.outcome == caller.Ran && r.repeatable {
 		return
@@ -153,10 +152,10 @@
 	d.process.Event(&wire.TimelineEvent{Kind: "request", Request: r.id, Detail: detail})
 }
 
-// copyRest copies the rest of an answer of which some bytes are written.
-func (d *Daemon) copyRest(ctx context.Context, w io.Writer, r *request, a *answer, written int64) error {
-	etag := a.resumable(r)
-	buffer := make([]byte, copyBuffer)
+// copyStream copies the rest of a response of which written bytes have been sent.
+func (d *Daemon) copyStream(ctx context.Context, w io.Writer, r *request, a *answer, written int64) error {
+	etag := a.resumeETag(r)
+	buffer := make([]byte, copyBufferSize)
 	for attempt := 1; ; attempt++ {
 		n, err := io.CopyBuffer(onlyWriter{w}, a.stream, buffer)
 		written += n
@@ -181,18 +180,18 @@
 	}
 }
 
-// maxResumes bounds how often one answer is continued.
+// maxResumes is how often one response may be resumed.
 const maxResumes = 4
 
-// onlyWriter hides the other methods of a response writer, so that io.Copy
-// uses the given buffer and tells a failed read by its error.
+// onlyWriter hides the other methods of a response writer, so that io.CopyBuffer uses the
+// given buffer and returns the error of a failed read.
 type onlyWriter struct{ io.Writer }
 
 func (d *Daemon) resume(ctx context.Context, r *request, offset int64, etag string) (*answer, error) {
 	next := d.dispatch(ctx, r.withRange(offset, etag))
-	if next.outcome != caller.Ran || !next.continues(offset, etag) {
+	if next.outcome != caller.Ran || !next.isContinuation(offset, etag) {
 		next.discard()
-		return nil, fmt.Errorf("the rest from byte %d can't be had: %s %s", offset, next.outcome, next.reason)
+		return nil, fmt.Errorf("cannot resume at byte %d: %s %s", offset, next.outcome, next.reason)
 	}
 	d.retries.WithLabelValues(r.service).Inc()
 	d.process.Event(&wire.TimelineEvent{Kind: "resumed", Request: r.id, Detail: fmt.Sprintf("from byte %d", offset)})
--- a/internal/entry/callersleave_test.go
+++ b/internal/entry/callersleave_test.go
@@ -20,21 +20,21 @@
 
 const (
 	leavingCallers = 8
-	// leavingRequests is how many requests each of these callers sends.
+	// leavingRequests is the number of requests that each of these callers sends.
 	leavingRequests = 60
-	// leavingTimeout is how long a caller that stays waits.
+	// leavingTimeout is the request timeout of a caller that does not leave.
 	leavingTimeout = 2500 * time.Millisecond
 )
 
-// Guards against a nil pointer in keys.run, which ended the box with all its callers, when a
-// caller leaves while the start of its key is recorded.
+// Guards against a nil pointer dereference in keys.run, which crashed the box when a caller
+// left while the start of its key was being recorded.
 func TestCallersThatLeave(t *testing.T) {
 	runLeaving(t, func(s *system, c *caller.Client, name string, stay time.Duration) { s.leavingToggle(c, name, stay, "") })
 }
 
-// Guards against a second run, or a wrong "not run", where a caller leaves and comes again with
-// its key, at the same box or at another.
-func TestCallersThatLeaveAndComeAgain(t *testing.T) {
+// Guards against a second run, or a false report that a request did not run, if a caller
+// leaves and resends with its key, to the same box or another.
+func TestCallersThatLeaveAndRetry(t *testing.T) {
 	hosts := []string{boxHosts["b1"], boxHosts["b2"], boxHosts["b3"]}
 	runLeaving(t, func(s *system, c *caller.Client, name string, stay time.Duration) {
 		key := s.leavingToggle(c, name, stay, "")
@@ -47,14 +47,15 @@
 	})
 }
 
-// Guards against the same where two callers send one key at a time and either leaves first.
-func TestTwoCallersOfAKeyLeave(t *testing.T) {
+// Guards against the same failures if two callers send the same key concurrently and either
+// leaves first.
+func TestCallersThatShareAKeyLeave(t *testing.T) {
 	runLeaving(t, func(s *system, c *caller.Client, name string, stay time.Duration) {
-		look, err := c.Lookup(context.Background())
+		lookup, err := c.Lookup(context.Background())
 		if err != nil {
 			return // nothing is sent
 		}
-		key := look.KeyScope + "~" + name
+		key := lookup.KeyScope + "~" + name
 		var running sync.WaitGroup
 		running.Go(func() { s.leavingToggle(c, name, stay, key) })
 		running.Go(func() { s.leavingToggle(s.client("flags"), name, leavingTimeout/4-stay/2, key) })
@@ -63,27 +64,27 @@
 	})
 }
 
-// runLeaving runs callers for some seeds and checks the promises.
+// runLeaving runs callers for several seeds and checks the system's guarantees.
 func runLeaving(t *testing.T, toggle func(s *system, c *caller.Client, name string, stay time.Duration)) {
 	t.Helper()
 	for seed := *leaveFrom; seed < *leaveFrom+*leaveSeeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			bubble(t, func(t *testing.T) {
+			runInBubble(t, func(t *testing.T) {
 				s := newSystem(t, cellSlots)
 				s.leavingTraffic(rand.New(rand.NewPCG(seed, 54)), toggle)
 				s.network.setDelay(time.Millisecond)
-				s.recovers()
+				s.checkRecovery()
 				s.close(cellSlots)
-				report(t, s)
+				reportProblems(t, s)
 			})
 		})
 	}
 }
 
-// leavingTraffic has callers leave at random moments on a network whose delay changes.
+// leavingTraffic makes callers leave at random times on a network with varying delay.
 func (s *system) leavingTraffic(random *rand.Rand, toggle func(s *system, c *caller.Client, name string, stay time.Duration)) {
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(most-least)))
+	between := func(minimum, maximum time.Duration) time.Duration {
+		return minimum + time.Duration(random.Int64N(int64(maximum-minimum)))
 	}
 	var running sync.WaitGroup
 	for caller := range leavingCallers {
@@ -98,31 +99,31 @@
 			}
 		})
 	}
-	ended := make(chan struct{})
-	changing := make(chan struct{})
+	done := make(chan struct{})
+	delaysStopped := make(chan struct{})
 	go func() {
-		defer close(changing)
+		defer close(delaysStopped)
 		for {
 			s.network.setDelay(between(10*time.Millisecond, 70*time.Millisecond))
 			select {
-			case <-ended:
+			case <-done:
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
 	}()
 	running.Wait()
-	close(ended)
-	<-changing
+	close(done)
+	<-delaysStopped
 }
 
-// leavingToggle sends a request that may not be repeated, whose caller leaves after a time, under
-// a key, or a new one if it is empty. It returns the key, and notes the latest outcome.
+// leavingToggle sends an unrepeatable request whose caller leaves after stay. An empty key
+// makes the client create one. It records the latest outcome and returns the key.
 func (s *system) leavingToggle(c *caller.Client, name string, stay time.Duration, key string) string {
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
-	defer time.AfterFunc(stay, leave).Stop()
-	// The error of a look-up leaves the outcome of what was sent before.
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	defer time.AfterFunc(stay, cancel).Stop()
+	// An error of the lookup does not change the outcome of what was sent before.
 	a, _ := c.Do(ctx, caller.Request{Method: http.MethodPost, Path: "/toggle", Body: []byte(name), Timeout: leavingTimeout, Key: key})
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -1,6 +1,6 @@
-// Package entry is the daemon of an entry box: it answers look-ups, admits
-// requests to the targets of its own availability zone and passes others on to
-// the boxes of their zones, and relays the state to the boxes below it.
+// Package entry implements the daemon of an entry box. It answers lookups, admits requests to
+// the targets of its own availability zone, forwards other requests to the boxes of their
+// zones, and relays the steering state to the boxes that subscribe to it.
 package entry
 
 import (
@@ -32,8 +32,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// inForce is one version of the state with what is derived from it.
-type inForce struct {
+// activeState is one version of the steering state, with data derived from it.
+type activeState struct {
 	state steering.State
 	tree  settings.Tree
 	table *lookup.Table
@@ -43,27 +43,27 @@
 
 // Daemon is one entry box.
 type Daemon struct {
-	clock      *boottime.Clock
-	config     config.Entry
-	process    *process.Process
-	seed       uint64
-	network    link.Network
-	node       *link.Node
-	publishing *relay.Publishing
-	following  *relay.Following
-	callers    net.Listener
-	operators  net.Listener
-	forwarded  *link.StreamListener
-	toTargets  *http.Transport
-	probes     *http.Client
-	toPeers    *http.Transport
-	keys       *keys
-	peers      *peers
-	stop       *stopping
-	isolation  *isolation.Isolation
-	current    atomic.Pointer[inForce]
-	nextID     atomic.Uint64
-	inFlight   atomic.Int64
+	clock            *boottime.Clock
+	config           config.Entry
+	process          *process.Process
+	seed             uint64
+	network          link.Network
+	node             *link.Node
+	publisher        *relay.Publishing
+	follower         *relay.Following
+	callerListener   net.Listener
+	operatorListener net.Listener
+	forwardListener  *link.StreamListener
+	targetTransport  *http.Transport
+	probeClient      *http.Client
+	peerTransport    *http.Transport
+	keys             *keys
+	peers            *peers
+	stop             *gracefulStop
+	isolation        *isolation.Isolation
+	current          atomic.Pointer[activeState]
+	nextID           atomic.Uint64
+	inFlight         atomic.Int64
 
 	votes struct {
 		sync.Mutex
@@ -75,8 +75,8 @@
 	}
 	pools struct {
 		sync.Mutex
-		byService map[string]*runningPool
-		tree      *suture.Supervisor
+		byService  map[string]*runningPool
+		supervisor *suture.Supervisor
 	}
 	leaving struct {
 		sync.Mutex
@@ -98,40 +98,40 @@
 const (
 	dialTargetTimeout = time.Second
 	idleTimeout       = 90 * time.Second
-	idlePerTarget     = 64
+	maxIdlePerHost    = 64
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Open listens on a network. Run must follow. Without an operator address
-// nothing is served to operators.
+// Open listens on a network; Run must be called afterwards. Without an operator address the
+// operator API is not served.
 func Open(c config.Entry, log io.Writer, network link.Network) (*Daemon, error) {
 	p, err := process.New(c.Name, log, c.Level(), "")
 	if err != nil {
 		return nil, err
 	}
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash takes every write
+	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash never returns an error
 	p.Time = c.Clock
 	d := &Daemon{config: c, clock: c.Clock, process: p, seed: seed.Sum64(), network: network}
-	d.votes.voter = lease.NewVoter(d.clock.Now(), c.Name, longestLease)
+	d.votes.voter = lease.NewVoter(d.clock.Now(), c.Name, maxLease)
 	d.budgets.byService = make(map[string]*retry.Budget)
 	d.pools.byService = make(map[string]*runningPool)
 	d.leaving.addresses = make(map[string]bool)
-	d.put(steering.State{})
-	d.following = newFollowing(d)
-	d.publishing = relay.NewPublishing(steering.State{}, d.following.Age, p.Clock.Stamp)
+	d.setState(steering.State{})
+	d.follower = newFollower(d)
+	d.publisher = relay.NewPublishing(steering.State{}, d.follower.Age, p.Clock.Stamp)
 	d.keys = newKeys(d)
 	d.peers = newPeers(d)
-	d.publishing.SetClock(d.clock)
-	d.stop = &stopping{clock: d.clock}
+	d.publisher.SetClock(d.clock)
+	d.stop = &gracefulStop{clock: d.clock}
 	d.isolation = d.newIsolation()
 	d.registerMetrics()
 	return d, d.listen()
 }
 
-// longestLease is the largest leaseMillis that settings allow, and so the time for which
-// a restarted voter grants nothing.
-const longestLease = 2 * time.Second
+// maxLease is the largest leaseMillis that the settings allow. A restarted voter grants
+// nothing for this time.
+const maxLease = 2 * time.Second
 
 func (d *Daemon) listen() error {
 	secure, err := d.config.TLS()
@@ -140,30 +140,30 @@
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
 	handlers := link.Handlers{Subscribe: d.serveSubscriber, Call: d.serveCall, Forward: d.serveForward, Refused: d.process.LinkRefused}
-	if d.callers, err = d.network.Listen(d.config.CallerAddress); err != nil {
+	if d.callerListener, err = d.network.Listen(d.config.CallerAddress); err != nil {
 		return fmt.Errorf("listening for callers: %w", err)
 	}
 	if d.config.OperatorAddress != "" {
-		if d.operators, err = d.network.Listen(d.config.OperatorAddress); err != nil {
-			return errors.Join(fmt.Errorf("listening for operators: %w", err), d.callers.Close())
+		if d.operatorListener, err = d.network.Listen(d.config.OperatorAddress); err != nil {
+			return errors.Join(fmt.Errorf("listening for operators: %w", err), d.callerListener.Close())
 		}
 	}
-	d.forwarded = link.NewStreamListener(d.callers.Addr())
+	d.forwardListener = link.NewStreamListener(d.callerListener.Addr())
 	if d.node, err = link.Listen(d.network, d.config.PeerAddress, id, d.process.Clock, handlers, secure); err != nil {
-		return errors.Join(err, d.callers.Close())
+		return errors.Join(err, d.callerListener.Close())
 	}
-	d.toTargets = &http.Transport{
+	d.targetTransport = &http.Transport{
 		DialContext:         d.dialForSlot,
-		MaxIdleConnsPerHost: idlePerTarget,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
-	d.probes = &http.Client{Transport: &http.Transport{DialContext: d.dialTarget}, Timeout: probeTimeout}
-	d.toPeers = &http.Transport{
+	d.probeClient = &http.Client{Transport: &http.Transport{DialContext: d.dialTarget}, Timeout: probeTimeout}
+	d.peerTransport = &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			return d.node.Forward(ctx, address)
 		},
-		MaxIdleConnsPerHost: idlePerTarget,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -191,51 +191,51 @@
 	}, []string{"service"})
 	d.process.Metrics.MustRegister(d.latency)
 	d.process.Gauge("version", "Version of the state in force.", func() float64 { return float64(d.current.Load().state.Version()) })
-	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.following.Age().Seconds() })
+	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.follower.Age().Seconds() })
 	d.process.Gauge("in_flight", "Requests in flight.", func() float64 { return float64(d.inFlight.Load()) })
 	d.process.Gauge("request_keys", "Request keys kept.", func() float64 { return float64(d.keys.len()) })
 }
 
-// put puts a state in force.
-func (d *Daemon) put(s steering.State) {
-	f := &inForce{state: s, tree: s.Tree(), table: s.Table(), boxes: make(map[string]settings.Box)}
-	f.zone, _ = f.tree.Zone(d.config.Zone)
-	for _, z := range f.tree.Zones() {
+// setState makes a state the active one.
+func (d *Daemon) setState(s steering.State) {
+	active := &activeState{state: s, tree: s.Tree(), table: s.Table(), boxes: make(map[string]settings.Box)}
+	active.zone, _ = active.tree.Zone(d.config.Zone)
+	for _, z := range active.tree.Zones() {
 		for _, b := range z.Boxes {
-			f.boxes[b.Name] = b
+			active.boxes[b.Name] = b
 		}
 	}
-	d.current.Store(f)
+	d.current.Store(active)
 }
 
-// Run serves until the context ends, stops as planned and closes.
+// Run serves until the context ends, then stops gracefully and closes.
 func (d *Daemon) Run(ctx context.Context) error {
 	pools := d.process.Supervisor()
-	d.pools.tree = pools
+	d.pools.supervisor = pools
 	root := d.process.Supervisor()
 	root.Add(pools)
-	root.Add(process.Service{Name: "publishing", Run: d.publishing.Run})
-	root.Add(process.Service{Name: "following", Run: d.following.Run})
+	root.Add(process.Service{Name: "publishing", Run: d.publisher.Run})
+	root.Add(process.Service{Name: "following", Run: d.follower.Run})
 	root.Add(process.Service{Name: "peers", Run: d.peers.run})
 	root.Add(process.Service{Name: "health", Run: d.probeTargets})
 	root.Add(process.Service{Name: "isolation", Run: d.isolation.Run})
 	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
 	root.Add(process.Service{Name: "platform", Run: d.watchPlatform})
-	if d.operators != nil {
+	if d.operatorListener != nil {
 		root.Add(process.Service{Name: "operators", Run: d.serveOperators})
 	}
-	tree, stopTree := context.WithCancel(context.Background())
-	ended := root.ServeBackground(tree)
+	treeCtx, stopTree := context.WithCancel(context.Background())
+	ended := root.ServeBackground(treeCtx)
 
 	server := &http.Server{Handler: d.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	serving := make(chan error, 2)
-	go func() { serving <- server.Serve(d.callers) }()
-	go func() { serving <- server.Serve(d.forwarded) }()
+	go func() { serving <- server.Serve(d.callerListener) }()
+	go func() { serving <- server.Serve(d.forwardListener) }()
 
 	var err error
 	select {
 	case <-ctx.Done():
-		d.stopAsPlanned()
+		d.stopGracefully()
 	case err = <-serving:
 		serving <- err
 	}
@@ -260,26 +260,26 @@
 }
 
 func (d *Daemon) close() error {
-	d.toTargets.CloseIdleConnections()
-	d.toPeers.CloseIdleConnections()
-	d.probes.CloseIdleConnections()
+	d.targetTransport.CloseIdleConnections()
+	d.peerTransport.CloseIdleConnections()
+	d.probeClient.CloseIdleConnections()
 	return errors.Join(d.node.Close(), d.process.Close())
 }
 
 func (d *Daemon) serveSubscriber(ctx context.Context, _ string, m *link.Messages) {
-	d.publishing.Serve(ctx, m)
+	d.publisher.Serve(ctx, m)
 }
 
-func (d *Daemon) serveForward(c net.Conn) { d.forwarded.Put(c) }
+func (d *Daemon) serveForward(c net.Conn) { d.forwardListener.Put(c) }
 
 func (d *Daemon) serveCall(_ context.Context, _ string, request *wire.CallRequest) *wire.CallAnswer {
 	switch {
 	case request.Hello != nil:
 		return &wire.CallAnswer{Hello: d.hello()}
 	case request.Lease != nil:
-		return &wire.CallAnswer{Lease: d.vote(request.Lease)}
+		return &wire.CallAnswer{Lease: d.handleLeaseRequest(request.Lease)}
 	case request.Witness != nil:
-		return &wire.CallAnswer{Witness: d.keys.testify(request.Witness)}
+		return &wire.CallAnswer{Witness: d.keys.answerAsWitness(request.Witness)}
 	case request.Timeline != nil:
 		return &wire.CallAnswer{Timeline: d.process.Ring.Events(request.Timeline)}
 	}
@@ -294,14 +294,14 @@
 		Zone:        d.config.Zone,
 		Stopping:    d.stop.begun(),
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viewTimeout)
 	defer cancel()
 	for _, p := range d.poolList() {
-		if v, err := p.look(ctx); err == nil && v.held {
+		if v, err := p.view(ctx); err == nil && v.held {
 			h.PoolsHeld = append(h.PoolsHeld, p.service)
 		}
 	}
 	return h
 }
 
-const lookTimeout = 200 * time.Millisecond
+const viewTimeout = 200 * time.Millisecond
--- a/internal/entry/dispatch.go
+++ b/internal/entry/dispatch.go
@@ -19,35 +19,35 @@
 
 type admissionReason = admission.Reason
 
-// dispatch runs a request where it can run: on this box if it holds the pool
-// of the service in its zone, else on the box that does, else in another zone.
-// A place that surely did not run it lets the next one have it.
+// dispatch runs a request on this box if it holds the lease on the pool of the service in its
+// zone, else on the box that holds it, else in another zone. If the request certainly did not
+// run at one candidate, the next one is tried.
 func (d *Daemon) dispatch(ctx context.Context, r *request) *answer {
-	f := d.current.Load()
-	if !f.table.HasService(r.service) {
+	active := d.current.Load()
+	if !active.table.HasService(r.service) {
 		return &answer{outcome: caller.NotRun, status: http.StatusNotFound, reason: "there is no service " + r.service}
 	}
-	d.markForeign(f, r)
-	places := d.places(f, r)
-	if len(places) == 0 {
+	d.markForeign(active, r)
+	candidates := d.candidates(active, r)
+	if len(candidates) == 0 {
 		return refusal(string(admission.NoTarget), retryWithoutPool)
 	}
 	d.budgets.Lock()
 	budget := d.budgets.byService[r.service]
 	d.budgets.Unlock()
 	config := routing.Config{
-		Pools:      len(places),
+		Pools:      len(candidates),
 		AtOrigin:   r.hops == 0,
 		Repeatable: r.repeatable,
 		Deadline:   r.deadline,
 	}
 	failover := routing.NewFailover(config, budget)
 	var kept *answer
-	for i, place := range places {
-		visit := *r
-		visit.noWait = r.noWait || config.NoWait(i, len(places) > 1 && places[1].region == d.config.Region)
-		a := place.run(ctx, &visit)
-		decision := d.placeEnded(failover, a.result())
+	for i, c := range candidates {
+		attempt := *r
+		attempt.noWait = r.noWait || config.NoWait(i, len(candidates) > 1 && candidates[1].region == d.config.Region)
+		a := c.run(ctx, &attempt)
+		decision := d.recordResult(failover, a.routingResult())
 		if decision.KeepResult {
 			kept.discard()
 			kept = a
@@ -59,8 +59,8 @@
 	return kept
 }
 
-// placeEnded tells a failover how a request has ended at a place.
-func (d *Daemon) placeEnded(f *routing.Failover, r routing.Result) routing.Decision {
+// recordResult passes the result at one candidate to the failover.
+func (d *Daemon) recordResult(f *routing.Failover, r routing.Result) routing.Decision {
 	d.budgets.Lock()
 	defer d.budgets.Unlock()
 	return f.HandleResult(d.clock.Now(), r)
@@ -68,8 +68,8 @@
 
 const retryWithoutPool = 500 * time.Millisecond
 
-// result is what the answer of a place means for the next place.
-func (a *answer) result() routing.Result {
+// routingResult converts the answer of one candidate for the failover.
+func (a *answer) routingResult() routing.Result {
 	r := routing.Result{RetryAfter: a.retryAfter, Final: a.status != http.StatusServiceUnavailable}
 	switch a.outcome {
 	case caller.Ran:
@@ -82,44 +82,45 @@
 	return r
 }
 
-// place is where a request may run.
-type place struct {
+// candidate is a pool that a request may run on.
+type candidate struct {
 	region string
 	run    func(ctx context.Context, r *request) *answer
 }
 
-// places lists where a request may run, best first.
-func (d *Daemon) places(f *inForce, r *request) []place {
-	var out []place
-	if p := d.pool(r.service); p != nil && hasTargets(f, r.service) {
-		out = append(out, place{d.config.Region, func(ctx context.Context, r *request) *answer { return d.inZone(ctx, p, r) }})
+// candidates returns the pools that a request may run on, best first.
+func (d *Daemon) candidates(active *activeState, r *request) []candidate {
+	var out []candidate
+	if p := d.pool(r.service); p != nil && hasTargets(active, r.service) {
+		out = append(out, candidate{d.config.Region, func(ctx context.Context, r *request) *answer { return d.runInOwnZone(ctx, p, r) }})
 	}
 	if r.hops >= maxHops-1 || (r.hops > 0 && len(out) > 0) {
 		return out
 	}
-	for _, c := range f.table.Choose(r.service, d.homeOf(r), r.block, routing.MaxPools+1, d.usable) {
+	for _, c := range active.table.Choose(r.service, d.homeRegion(r), r.block, routing.MaxPools+1, d.usable) {
 		if c.Zone == d.config.Zone {
 			continue
 		}
 		b := c.Boxes[0]
-		out = append(out, place{c.Region, func(ctx context.Context, r *request) *answer { return d.forward(ctx, b, r) }})
+		out = append(out, candidate{c.Region, func(ctx context.Context, r *request) *answer { return d.forward(ctx, b, r) }})
 	}
 	return out
 }
 
-func hasTargets(f *inForce, service string) bool {
-	s, ok := f.table.Service(service, f.zone.Name)
+func hasTargets(active *activeState, service string) bool {
+	s, ok := active.table.Service(service, active.zone.Name)
 	return ok && len(s.Targets) > 0
 }
 
-// inZone runs a request on the pool of this box's zone, here or at the holder.
-func (d *Daemon) inZone(ctx context.Context, p *pool, r *request) *answer {
-	v, err := p.look(ctx)
+// runInOwnZone runs a request on the pool of this box's zone, on this box or on the holder of
+// the pool's lease.
+func (d *Daemon) runInOwnZone(ctx context.Context, p *pool, r *request) *answer {
+	v, err := p.view(ctx)
 	if err != nil {
 		return refusal("deadline", minRetryAfter)
 	}
 	if v.held {
-		return d.runUnlessHeld(ctx, p, r, v)
+		return d.runUnlessQuarantined(ctx, p, r, v)
 	}
 	b, ok := d.holder(r.service)
 	if !ok || b.Name == d.config.Name || r.hops >= maxHops {
@@ -128,30 +129,30 @@
 	return d.forward(ctx, b, r)
 }
 
-func (d *Daemon) homeOf(r *request) string {
+func (d *Daemon) homeRegion(r *request) string {
 	if r.home == "" {
 		return d.config.Region
 	}
 	return r.home
 }
 
-// markForeign notes whether the request's caller is assigned to another region
-// than the one whose box takes it.
-func (d *Daemon) markForeign(f *inForce, r *request) {
+// markForeign records whether the request's caller is assigned to another region than the
+// one of the box that received the request.
+func (d *Daemon) markForeign(active *activeState, r *request) {
 	if r.foreignSet {
 		return
 	}
 	r.foreignSet = true
-	r.foreign = f.table.AssignedRegion(r.service, d.homeOf(r), r.block) != d.config.Region
+	r.foreign = active.table.AssignedRegion(r.service, d.homeRegion(r), r.block) != d.config.Region
 }
 
-// forward passes a request to another entry box and returns its answer.
+// forward sends a request to another entry box and returns its answer.
 func (d *Daemon) forward(ctx context.Context, b settings.Box, r *request) *answer {
 	next := *r
 	if b.Region != d.config.Region {
-		next.foreign = d.current.Load().table.AssignedRegion(r.service, d.homeOf(r), r.block) != b.Region
+		next.foreign = d.current.Load().table.AssignedRegion(r.service, d.homeRegion(r), r.block) != b.Region
 	}
-	h, err := next.toPeer(d.clock.Now())
+	h, err := next.peerRequest(d.clock.Now())
 	if err != nil {
 		return invalid(err)
 	}
@@ -159,7 +160,7 @@
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx, cancel := d.clock.WithDeadline(ctx, r.deadline)
-	response, err := d.toPeers.RoundTrip(h.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := d.peerTransport.RoundTrip(h.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
 		cancel()
 		return d.forwardFailed(b, err, connected.Load())
@@ -168,15 +169,15 @@
 }
 
 func (d *Daemon) forwardFailed(b settings.Box, err error, connected bool) *answer {
-	d.peers.failed(b.Name)
+	d.peers.recordFailure(b.Name)
 	if !connected {
 		return refusal(fmt.Sprintf("entry box %s can't be reached", b.Name), minRetryAfter)
 	}
 	return unknown(fmt.Sprintf("no answer from entry box %s: %v", b.Name, err))
 }
 
-// readForwarded reads the answer of another entry box: a small one whole, the
-// rest of a large one as a stream.
+// readForwarded reads the response of another entry box: a small one completely, and the rest
+// of a large one as a stream.
 func readForwarded(response *http.Response, cancel context.CancelFunc) *answer {
 	a := &answer{
 		outcome: caller.Outcome(response.Header.Get(caller.HeaderOutcome)),
@@ -192,14 +193,14 @@
 	if wait, err := time.ParseDuration(response.Header.Get(caller.HeaderRetryAfter) + "ms"); err == nil {
 		a.retryAfter = wait
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, smallAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedAnswer+1))
 	if err != nil {
 		cancel()
 		_ = response.Body.Close()
 		return unknown(fmt.Sprintf("the answer of an entry box broke off: %v", err))
 	}
 	a.body = body
-	if len(body) <= smallAnswer {
+	if len(body) <= maxBufferedAnswer {
 		cancel()
 		_ = response.Body.Close()
 		return a
@@ -219,8 +220,8 @@
 	return s.ReadCloser.Close()
 }
 
-// usable reports whether callers and requests may be sent to a box: not to one
-// that is stopping or was found dead a moment ago.
+// usable reports whether callers and requests may be sent to a box. A box that is stopping or
+// that has recently been unreachable is not usable.
 func (d *Daemon) usable(b settings.Box) bool {
 	if b.Name == d.config.Name {
 		return !d.stop.begun()
@@ -228,4 +229,4 @@
 	return d.peers.usable(b.Name)
 }
 
-var errNoAddress = errors.New("the entry box is not in the settings")
+var errUnknownBox = errors.New("the entry box is not in the settings")
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -15,171 +15,171 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-var everyPair = flag.Bool("fault-pairs", false, "also run every pair of faults")
+var faultPairs = flag.Bool("fault-pairs", false, "also run every pair of faults")
 
 const (
-	cellSlots  = 2
-	faultTime  = 3 * time.Second
-	cellLength = 5 * time.Second
+	cellSlots     = 2
+	faultDuration = 3 * time.Second
+	cellDuration  = 5 * time.Second
 )
 
-// requestFault is one row: what is done when the step is reached. The box is
-// the one that holds the pool of zone a, the target the one that was chosen.
+// requestFault is a row of the matrix: a fault that is injected when the step is reached. The
+// box is the one that holds the pool of zone a, the target the one chosen for the request.
 type requestFault struct {
-	name string
-	do   func(s *system, at reached)
-	// planned faults may cut no request at all.
+	name   string
+	inject func(s *system, at location)
+	// planned faults must not fail any request.
 	planned bool
 }
 
-// reached is where a step was reached.
-type reached struct{ box, target string }
+// location is the box and the target at which a step was reached.
+type location struct{ box, target string }
 
-// undo puts things right again after the time of a fault.
-func undo(f func()) {
+// undoLater calls f when the duration of a fault has passed.
+func undoLater(f func()) {
 	go func() {
-		time.Sleep(faultTime)
+		time.Sleep(faultDuration)
 		f()
 	}()
 }
 
 func requestFaults() []requestFault {
 	return []requestFault{
-		{name: "target dies", do: func(s *system, at reached) {
+		{name: "target dies", inject: func(s *system, at location) {
 			s.network.kill(targetHost(at.target))
-			undo(func() {
-				s.endTarget(at.target, cellSlots)
+			undoLater(func() {
+				s.stopTarget(at.target, cellSlots)
 				s.startTarget(at.target, cellSlots, nil)
 			})
 		}},
-		{name: "target freezes", do: func(s *system, at reached) {
-			s.network.stall(targetHost(at.target), true)
-			undo(func() { s.network.stall(targetHost(at.target), false) })
+		{name: "target freezes", inject: func(s *system, at location) {
+			s.network.setStalled(targetHost(at.target), true)
+			undoLater(func() { s.network.setStalled(targetHost(at.target), false) })
 		}},
-		{name: "target sheds", do: func(s *system, at reached) {
+		{name: "target sheds", inject: func(s *system, at location) {
 			t := s.target(at.target).target
 			t.SetShedding(true)
-			undo(func() { t.SetShedding(false) })
+			undoLater(func() { t.SetShedding(false) })
 		}},
-		{name: "target lies", do: func(s *system, at reached) {
+		{name: "target lies", inject: func(s *system, at location) {
 			t := s.target(at.target).target
 			t.SetBroken(true)
-			undo(func() { t.SetBroken(false) })
+			undoLater(func() { t.SetBroken(false) })
 		}},
-		{name: "target drains", planned: true, do: func(s *system, at reached) {
+		{name: "target drains", planned: true, inject: func(s *system, at location) {
 			s.target(at.target).target.SetDraining(true)
 		}},
-		{name: "reports missing", do: func(s *system, _ reached) {
+		{name: "reports missing", inject: func(s *system, _ location) {
 			for _, t := range s.allTargets() {
 				t.target.SetMute(true)
 			}
-			undo(func() {
+			undoLater(func() {
 				for _, t := range s.allTargets() {
 					t.target.SetMute(false)
 				}
 			})
 		}},
-		{name: "box killed", do: func(s *system, at reached) {
+		{name: "box killed", inject: func(s *system, at location) {
 			s.killBox(at.box)
-			undo(func() { s.startBox(at.box) })
+			undoLater(func() { s.startBox(at.box) })
 		}},
-		{name: "box frozen", do: func(s *system, at reached) {
-			s.network.stall(boxHosts[at.box], true)
-			undo(func() { s.network.stall(boxHosts[at.box], false) })
+		{name: "box frozen", inject: func(s *system, at location) {
+			s.network.setStalled(boxHosts[at.box], true)
+			undoLater(func() { s.network.setStalled(boxHosts[at.box], false) })
 		}},
-		{name: "box restarted", do: func(s *system, at reached) {
+		{name: "box restarted", inject: func(s *system, at location) {
 			s.killBox(at.box)
 			go func() {
 				time.Sleep(50 * time.Millisecond)
 				s.startBox(at.box)
 			}()
 		}},
-		{name: "box stops as planned", planned: true, do: func(s *system, at reached) {
+		{name: "box stops as planned", planned: true, inject: func(s *system, at location) {
 			s.box(at.box).cancel()
 		}},
-		{name: "zone cut", do: func(s *system, _ reached) {
-			s.network.cut("za", "zb", true)
-			s.network.cut("za", "zc", true)
-			undo(func() {
-				s.network.cut("za", "zb", false)
-				s.network.cut("za", "zc", false)
+		{name: "zone cut", inject: func(s *system, _ location) {
+			s.network.setPartitioned("za", "zb", true)
+			s.network.setPartitioned("za", "zc", true)
+			undoLater(func() {
+				s.network.setPartitioned("za", "zb", false)
+				s.network.setPartitioned("za", "zc", false)
 			})
 		}},
-		{name: "zone lost", do: func(s *system, _ reached) {
+		{name: "zone lost", inject: func(s *system, _ location) {
 			hosts := []string{boxHosts["b1"], boxHosts["b2"], targetHost("a1"), targetHost("a2")}
 			for _, h := range hosts {
-				s.network.stall(h, true)
+				s.network.setStalled(h, true)
 			}
-			undo(func() {
+			undoLater(func() {
 				for _, h := range hosts {
-					s.network.stall(h, false)
+					s.network.setStalled(h, false)
 				}
 			})
 		}},
-		{name: "settings changed", planned: true, do: func(s *system, at reached) {
+		{name: "settings changed", planned: true, inject: func(s *system, at location) {
 			s.change(&wire.Edit{Path: "/east/z" + at.target[:1] + ":flags", Key: "drainTargets", Value: at.target})
 		}},
-		{name: "all suspended", do: func(s *system, _ reached) {
+		{name: "all suspended", inject: func(s *system, _ location) {
 			for _, b := range s.allBoxes() {
-				b.suspend(faultTime)
+				b.suspend(faultDuration)
 			}
 		}},
-		{name: "holder suspended", do: func(s *system, at reached) {
-			s.box(at.box).suspend(faultTime)
+		{name: "holder suspended", inject: func(s *system, at location) {
+			s.box(at.box).suspend(faultDuration)
 		}},
-		{name: "late answers", do: func(s *system, _ reached) {
+		{name: "late answers", inject: func(s *system, _ location) {
 			s.network.setDelay(400 * time.Millisecond)
-			undo(func() { s.network.setDelay(time.Millisecond) })
+			undoLater(func() { s.network.setDelay(time.Millisecond) })
 		}},
 	}
 }
 
-// requestSteps are the columns: how far the watched request has come.
+// requestSteps are the columns of the matrix: the progress of the observed request.
 var requestSteps = []string{"lookUp", "queue", "admit", "connect", "header", "body", "wait", "firstByte", "midAnswer", "end"}
 
-// trigger fires once, at the step that it is armed for.
+// trigger fires once, when the step it is armed for is reached.
 type trigger struct {
-	mu   sync.Mutex
-	step string
-	fire func(at reached)
-	mid  int
+	mu          sync.Mutex
+	step        string
+	onStep      func(at location)
+	answerBytes int
 }
 
-func (g *trigger) reach(step string, at reached) {
+func (g *trigger) reach(step string, at location) {
 	g.mu.Lock()
-	if g.step != step || g.fire == nil {
+	if g.step != step || g.onStep == nil {
 		g.mu.Unlock()
 		return
 	}
-	fire := g.fire
-	g.fire = nil
+	onStep := g.onStep
+	g.onStep = nil
 	g.mu.Unlock()
-	fire(at)
+	onStep(at)
 }
 
-// pastMiddle counts bytes of answers and reports whether half of an export has
-// gone. Answers are written on several connections at once.
+// pastMiddle counts the bytes of responses and reports whether half of an export has been
+// sent. Responses are written on several connections concurrently.
 func (g *trigger) pastMiddle(bytes int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.mid += bytes
-	return g.mid > exportBytes/2
+	g.answerBytes += bytes
+	return g.answerBytes > exportBytes/2
 }
 
-func (g *trigger) arm(step string, fire func(at reached)) {
+func (g *trigger) arm(step string, onStep func(at location)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.step, g.fire = step, fire
+	g.step, g.onStep = step, onStep
 }
 
 func (g *trigger) fired() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.step != "" && g.fire == nil
+	return g.step != "" && g.onStep == nil
 }
 
-// watch tells the trigger of steps that can be seen on the network.
-func (s *system) watch(g *trigger) {
+// hookNetwork triggers the steps that can be observed on the network.
+func (s *system) hookNetwork(g *trigger) {
 	boxOf, targetOf := make(map[string]string), make(map[string]string)
 	for name, host := range boxHosts {
 		boxOf[host] = name
@@ -189,11 +189,11 @@
 	}
 	onDial := func(from, to string) {
 		if boxOf[from] != "" && targetOf[to] != "" {
-			g.reach("connect", reached{boxOf[from], targetOf[to]})
+			g.reach("connect", location{boxOf[from], targetOf[to]})
 		}
 	}
 	onWrite := func(from, to string, data []byte) {
-		at := reached{boxOf[from], targetOf[to]}
+		at := location{boxOf[from], targetOf[to]}
 		switch {
 		case at.box != "" && at.target != "" && bytes.Contains(data, []byte(" /toggle ")):
 			g.reach("admit", at)
@@ -201,7 +201,7 @@
 		case at.box != "" && at.target != "" && len(data) > 3000:
 			g.reach("body", at)
 		case targetOf[from] != "" && boxOf[to] != "":
-			at = reached{boxOf[to], targetOf[from]}
+			at = location{boxOf[to], targetOf[from]}
 			if bytes.Contains(data, []byte("/toggle ")) {
 				g.reach("firstByte", at)
 			}
@@ -209,16 +209,16 @@
 				g.reach("midAnswer", at)
 			}
 		case at.box != "" && to == callerHost && bytes.Contains(data, []byte(caller.HeaderOutcome)) && bytes.Contains(data, []byte("toggle")):
-			g.reach("end", reached{at.box, "a1"})
+			g.reach("end", location{at.box, "a1"})
 		}
 	}
-	s.network.hooks(onDial, onWrite)
+	s.network.setHooks(onDial, onWrite)
 	for name, t := range s.allTargets() {
-		t.onRun = func() { g.reach("wait", reached{s.holderOf("za"), name}) }
+		t.onRun = func() { g.reach("wait", location{s.holderOf("za"), name}) }
 	}
 }
 
-// holderOf returns the box that holds the pool of a zone.
+// holderOf returns the box that holds the lease on the pool of a zone.
 func (s *system) holderOf(zone string) string {
 	for _, b := range s.allBoxes() {
 		if b.zone != zone {
@@ -231,42 +231,42 @@
 	return "b1"
 }
 
-// runRequestCell runs traffic, strikes when a request reaches the step and
-// checks the promises.
+// runRequestCell runs traffic, injects the faults when a request reaches the step and checks
+// the system's guarantees.
 func runRequestCell(t *testing.T, step string, faults ...requestFault) (problems []string) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, cellSlots)
 		g := &trigger{}
-		s.watch(g)
+		s.hookNetwork(g)
 		planned := true
 		for _, f := range faults {
 			planned = planned && f.planned
 		}
-		g.arm(step, func(at reached) {
+		g.arm(step, func(at location) {
 			for _, f := range faults {
-				f.do(s, at)
+				f.inject(s, at)
 			}
 		})
 		s.cellTraffic(g, step, planned)
 		if !g.fired() {
-			s.problem("the step was not reached")
+			s.addProblem("the step was not reached")
 		}
-		s.network.hooks(func(string, string) {}, func(string, string, []byte) {})
-		s.recovers()
+		s.network.setHooks(func(string, string) {}, func(string, string, []byte) {})
+		s.checkRecovery()
 		s.close(cellSlots)
 		problems = s.problems
 	})
 	return problems
 }
 
-// cellTraffic sends reads, toggles and exports side by side; the toggles have
-// bodies large enough to go out in several writes.
+// cellTraffic sends reads, toggles and exports concurrently. For the step "body", toggles have
+// bodies that take several writes to send.
 func (s *system) cellTraffic(g *trigger, step string, planned bool) {
-	end := time.Now().Add(cellLength)
+	end := time.Now().Add(cellDuration)
 	var running sync.WaitGroup
-	note := func(kind string, a caller.Answer) {
+	check := func(kind string, a caller.Answer) {
 		if planned && a.Outcome != caller.Ran {
-			s.problem("a planned step left a %s %s: %s", kind, a.Outcome, a.Header.Get(caller.HeaderReason))
+			s.addProblem("after a planned fault, the outcome of a %s is %s: %s", kind, a.Outcome, a.Header.Get(caller.HeaderReason))
 		}
 	}
 	toggles := 2
@@ -279,17 +279,17 @@
 			for n := 0; time.Now().Before(end); n++ {
 				if step == "lookUp" && n == 3 {
 					_, _ = c.Lookup(s.t.Context())
-					g.reach("lookUp", reached{s.holderOf("za"), "a1"})
+					g.reach("lookUp", location{s.holderOf("za"), "a1"})
 				}
 				if step == "queue" && n == 3 && w == toggles-1 {
 					s.waitQueued()
-					g.reach("queue", reached{s.holderOf("za"), "a1"})
+					g.reach("queue", location{s.holderOf("za"), "a1"})
 				}
 				name := fmt.Sprintf("toggle-%d-%d-", w, n)
 				if step == "body" {
 					name += strings.Repeat("x", 20_000)
 				}
-				note("toggle", s.toggle(c, name, 2500*time.Millisecond))
+				check("toggle", s.toggle(c, name, 2500*time.Millisecond))
 				time.Sleep(7 * time.Millisecond)
 			}
 		})
@@ -297,21 +297,21 @@
 	running.Go(func() {
 		c := s.client("flags")
 		for time.Now().Before(end) {
-			note("read", s.read(c, 2500*time.Millisecond))
+			check("read", s.read(c, 2500*time.Millisecond))
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
 	running.Go(func() {
 		c := s.client("flags")
 		for time.Now().Before(end) {
-			note("export", s.export(c, 2500*time.Millisecond))
+			check("export", s.export(c, 2500*time.Millisecond))
 			time.Sleep(50 * time.Millisecond)
 		}
 	})
 	running.Wait()
 }
 
-// waitQueued waits until a request is waiting for a slot in zone a.
+// waitQueued waits until a request is queued for a slot in zone a.
 func (s *system) waitQueued() {
 	for range 2000 {
 		for _, b := range s.allBoxes() {
@@ -319,7 +319,7 @@
 			if p == nil {
 				continue
 			}
-			if v, err := p.look(s.t.Context()); err == nil && v.load.Waiting > 0 {
+			if v, err := p.view(s.t.Context()); err == nil && v.load.Waiting > 0 {
 				return
 			}
 		}
@@ -327,26 +327,26 @@
 	}
 }
 
-// recovers checks that all kinds of requests are served again.
-func (s *system) recovers() {
-	time.Sleep(2*faultTime + time.Second)
+// checkRecovery checks that all kinds of requests are served again.
+func (s *system) checkRecovery() {
+	time.Sleep(2*faultDuration + time.Second)
 	c := s.client("flags")
 	if a := s.toggle(c, "after", 3*time.Second); a.Outcome != caller.Ran {
-		s.problem("after the fault a toggle is %s: %s", a.Outcome, a.Header.Get(caller.HeaderReason))
+		s.addProblem("outcome of a toggle after the fault is %s: %s", a.Outcome, a.Header.Get(caller.HeaderReason))
 	}
 	if a := s.read(c, 3*time.Second); a.Outcome != caller.Ran {
-		s.problem("after the fault a read is %s", a.Outcome)
+		s.addProblem("outcome of a read after the fault is %s", a.Outcome)
 	}
 	if a := s.export(c, 3*time.Second); a.Outcome != caller.Ran {
-		s.problem("after the fault an export is %s", a.Outcome)
+		s.addProblem("outcome of an export after the fault is %s", a.Outcome)
 	}
 }
 
-// TestFaultMatrix runs every fault at every step of a request.
+// TestFaultMatrix injects every fault at every step of a request.
 func TestFaultMatrix(t *testing.T) {
 	var out strings.Builder
 	passed, failed := 0, 0
-	row := func(name string, faults ...requestFault) {
+	runRow := func(name string, faults ...requestFault) {
 		fmt.Fprintf(&out, "%-36s", name)
 		for _, step := range requestSteps {
 			if problems := runRequestCell(t, step, faults...); len(problems) > 0 {
@@ -361,18 +361,18 @@
 		fmt.Fprintln(&out)
 	}
 	for _, f := range requestFaults() {
-		if *onlyRow == "" || *onlyRow == f.name {
-			row(f.name, f)
+		if *faultRow == "" || *faultRow == f.name {
+			runRow(f.name, f)
 		}
 	}
-	if *onlyRow != "" {
+	if *faultRow != "" {
 		fmt.Print(out.String())
 		return
 	}
-	if *everyPair {
+	if *faultPairs {
 		for i, f := range requestFaults() {
 			for _, g := range requestFaults()[i+1:] {
-				row(f.name+" + "+g.name, f, g)
+				runRow(f.name+" + "+g.name, f, g)
 			}
 		}
 		fmt.Print(out.String())
@@ -382,4 +382,4 @@
 	fmt.Printf("request fault matrix: %d passed, %d failed\n", passed, failed)
 }
 
-var onlyRow = flag.String("fault-row", "", "run only this row of the fault matrix, without the golden file")
+var faultRow = flag.String("fault-row", "", "run only this row of the fault matrix, without the golden file")
--- a/internal/entry/following.go
+++ b/internal/entry/follower.go
@@ -11,8 +11,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// newFollowing returns what keeps the steering state of the box current.
-func newFollowing(d *Daemon) *relay.Following {
+// newFollower returns the follower that keeps the box's steering state up to date.
+func newFollower(d *Daemon) *relay.Following {
 	return relay.NewFollowing(relay.Subscriber{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
@@ -23,22 +23,22 @@
 		Time:        d.clock,
 		Seed:        d.seed,
 		Sources:     d.sources,
-		PutInForce:  d.putInForce,
-		Reports:     func() []*wire.BoxReport { return append(d.publishing.Reports(), d.ownReport()) },
+		PutInForce:  d.applyState,
+		Reports:     func() []*wire.BoxReport { return append(d.publisher.Reports(), d.boxReport()) },
 		Event:       d.process.Event,
 	})
 }
 
-func (d *Daemon) putInForce(s steering.State, commands []*wire.Command) {
+func (d *Daemon) applyState(s steering.State, commands []*wire.Command) {
 	if before := d.current.Load().state.Catalog(); !s.Catalog().SharesQuarantined(before) {
 		d.isolation.SetList(quarantine.EntriesOf(s.Catalog().Quarantined()))
 	}
-	d.put(s)
-	d.publishing.Put(s, commands)
+	d.setState(s)
+	d.publisher.Put(s, commands)
 	d.configurePools()
 }
 
-func (d *Daemon) ownReport() *wire.BoxReport {
+func (d *Daemon) boxReport() *wire.BoxReport {
 	r := &wire.BoxReport{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
@@ -47,10 +47,10 @@
 		Version:     d.current.Load().state.Version(),
 		Stopping:    d.stop.begun(),
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lookTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), viewTimeout)
 	defer cancel()
 	for _, p := range d.poolList() {
-		v, err := p.look(ctx)
+		v, err := p.view(ctx)
 		if err != nil || !v.held {
 			continue
 		}
--- a/internal/entry/framing_test.go
+++ b/internal/entry/framing_test.go
@@ -3,30 +3,29 @@
 import "encoding/binary"
 
 const (
-	// frameHeader is the length of the header of a yamux frame; its last four
-	// bytes hold the length of the data that follows where its second byte,
-	// the type, is dataFrame.
+	// frameHeader is the length of a yamux frame header. Its second byte is the frame type. In
+	// frames of type dataFrame, the last four bytes are the length of the data that follows.
 	frameHeader = 12
 	dataFrame   = 0
 )
 
-// framing cuts what one end of a link writes into the frames of yamux. The
-// receiver holds a mutex while it waits for the rest of a frame, and virtual
-// time stands still while anyone waits for that mutex. So the network of the
-// bubble carries whole frames: a cut or a stall falls between two of them.
-type framing struct {
-	// greeted tells that the byte that opens a link has passed.
-	greeted bool
-	pending []byte
+// frameSplitter splits the data written by one end of a link into yamux frames. The receiver
+// holds a mutex while it waits for the rest of a frame, and virtual time does not advance while
+// a goroutine waits for that mutex. So the fake network only delivers complete frames, and
+// partitions and stalls take effect between frames.
+type frameSplitter struct {
+	// typeByteSeen is set once the byte that opens a link has been sent.
+	typeByteSeen bool
+	pending      []byte
 }
 
-// add takes what was written and returns the frames that are whole.
-func (f *framing) add(b []byte) [][]byte {
+// add appends written data and returns the frames that are complete.
+func (f *frameSplitter) add(b []byte) [][]byte {
 	f.pending = append(f.pending, b...)
 	var out [][]byte
 	for {
-		n, whole := f.next()
-		if !whole {
+		n, complete := f.nextLength()
+		if !complete {
 			return out
 		}
 		out = append(out, append([]byte(nil), f.pending[:n]...))
@@ -34,10 +33,10 @@
 	}
 }
 
-func (f *framing) next() (length int, whole bool) {
-	if !f.greeted {
-		f.greeted = len(f.pending) > 0
-		return 1, f.greeted
+func (f *frameSplitter) nextLength() (length int, complete bool) {
+	if !f.typeByteSeen {
+		f.typeByteSeen = len(f.pending) > 0
+		return 1, f.typeByteSeen
 	}
 	if len(f.pending) < frameHeader {
 		return 0, false
--- a/internal/entry/health.go
+++ b/internal/entry/health.go
@@ -12,14 +12,14 @@
 
 const (
 	probeTimeout     = time.Second
-	minProbePause    = 50 * time.Millisecond
+	minProbeInterval = 50 * time.Millisecond
 	platformInterval = time.Second
-	// failedProbes is how many probes in a row must fail before a target
-	// counts as not ready.
-	failedProbes = 2
+	// probeFailureThreshold is the number of consecutive failed probes after which a target counts
+	// as not ready.
+	probeFailureThreshold = 2
 )
 
-// targetHealth is the answer of a target's GET /healthz.
+// targetHealth is the body of a target's response to GET /healthz.
 type targetHealth struct {
 	Ready    bool `json:"ready"`
 	Draining bool `json:"draining"`
@@ -27,18 +27,18 @@
 	Busy     *int `json:"busy"`
 }
 
-// probeTargets reads the health and load of the targets of the pools that this
-// box holds.
+// probeTargets checks the health and load of the targets in the pools that this box holds the
+// leases on.
 func (d *Daemon) probeTargets(ctx context.Context) error {
 	failures := make(map[string]int)
 	for {
-		pause := time.Second
+		interval := time.Second
 		for _, p := range d.poolList() {
-			v, err := p.look(ctx)
+			v, err := p.view(ctx)
 			if err != nil || !v.held {
 				continue
 			}
-			pause = min(pause, max(v.values.ReportInterval, minProbePause))
+			interval = min(interval, max(v.values.ReportInterval, minProbeInterval))
 			targets, err := p.dueChecks(ctx)
 			if err != nil {
 				continue
@@ -48,70 +48,70 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// probePool probes the targets of one pool at once, so that one that hangs does
-// not delay the others.
+// probePool probes the targets of a pool concurrently, so that a target that hangs does not
+// delay the others.
 func (d *Daemon) probePool(ctx context.Context, p *pool, targets map[string]string, failures map[string]int) {
 	type result struct {
-		measure admission.HealthReport
-		failed  bool
+		report admission.HealthReport
+		failed bool
 	}
 	results := make(chan result, len(targets))
 	var running sync.WaitGroup
 	for name, address := range targets {
 		running.Go(func() {
-			m, err := d.probe(ctx, p, name, address)
-			results <- result{m, err != nil}
+			report, err := d.probe(ctx, p, name, address)
+			results <- result{report, err != nil}
 		})
 	}
 	running.Wait()
 	close(results)
 	for r := range results {
-		key := p.service + "/" + r.measure.Target
+		key := p.service + "/" + r.report.Target
 		if !r.failed {
 			failures[key] = 0
-			p.inbox <- poolEvent{r.measure}
+			p.inbox <- poolEvent{r.report}
 			continue
 		}
 		failures[key]++
-		if failures[key] >= failedProbes {
-			p.inbox <- poolEvent{r.measure}
+		if failures[key] >= probeFailureThreshold {
+			p.inbox <- poolEvent{r.report}
 		}
 	}
 }
 
 func (d *Daemon) probe(ctx context.Context, p *pool, name, address string) (admission.HealthReport, error) {
-	m := admission.HealthReport{Target: name, Busy: -1}
+	report := admission.HealthReport{Target: name, Busy: -1}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/healthz", nil)
 	if err != nil {
-		return m, err
+		return report, err
 	}
-	began := d.clock.Now()
-	response, err := d.probes.Do(request)
+	start := d.clock.Now()
+	response, err := d.probeClient.Do(request)
 	if err != nil {
-		return m, err
+		return report, err
 	}
 	defer response.Body.Close()
-	p.observeHealth(name, response, began)
+	p.recordHealthStatus(name, response, start)
 	var h targetHealth
 	if err := json.NewDecoder(response.Body).Decode(&h); err != nil {
-		return m, err
+		return report, err
 	}
-	m.Ready = h.Ready
-	m.Draining = h.Draining
-	m.Cold = h.Cold
+	report.Ready = h.Ready
+	report.Draining = h.Draining
+	report.Cold = h.Cold
 	if h.Busy != nil {
-		m.Busy = *h.Busy
+		report.Busy = *h.Busy
 	}
-	return m, nil
+	return report, nil
 }
 
-// platformList is the platform's list of boxes, which lags. It only ever takes
-// a target out of service; that it lists one as live proves nothing.
+// platformList is the platform's list of boxes. Since the list lags, it is only used to take
+// targets out of service: a target that it lists as live may be gone.
 type platformList struct {
 	Boxes []struct {
 		Address string `json:"address"`
@@ -121,7 +121,7 @@
 
 const platformLeaving = "leaving"
 
-// watchPlatform reads the platform's list of boxes.
+// watchPlatform polls the platform's list of boxes.
 func (d *Daemon) watchPlatform(ctx context.Context) error {
 	if d.config.PlatformList == "" {
 		<-ctx.Done()
@@ -130,7 +130,7 @@
 	ticker := time.NewTicker(platformInterval)
 	defer ticker.Stop()
 	for {
-		if leaving, err := d.readPlatform(ctx); err == nil && d.setLeaving(leaving) {
+		if leaving, err := d.fetchLeaving(ctx); err == nil && d.setLeaving(leaving) {
 			d.configurePools()
 		}
 		select {
@@ -141,12 +141,12 @@
 	}
 }
 
-func (d *Daemon) readPlatform(ctx context.Context) (map[string]bool, error) {
+func (d *Daemon) fetchLeaving(ctx context.Context) (map[string]bool, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, d.config.PlatformList, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := d.probes.Do(request)
+	response, err := d.probeClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	return leaving, nil
 }
 
-// setLeaving reports whether the set differs from the one before.
+// setLeaving stores the addresses and reports whether they have changed.
 func (d *Daemon) setLeaving(leaving map[string]bool) bool {
 	d.leaving.Lock()
 	defer d.leaving.Unlock()
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -9,18 +9,18 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// newIsolation returns what keeps requests from targets that ended under them.
+// newIsolation returns the isolation that quarantines requests which crash targets.
 func (d *Daemon) newIsolation() *isolation.Isolation {
-	looks := d.process.Counter("target_looks_total", "Targets that were looked at after a connection broke, by whether they had ended.", "found")
+	probes := d.process.Counter("target_looks_total", "Targets that were looked at after a connection broke, by whether they had ended.", "found")
 	return isolation.New(isolation.Config{
 		Clock:       d.clock,
 		Dial:        d.network.Dial,
 		DialTimeout: dialTargetTimeout,
-		Leaving:     func(string) bool { return false }, // a draining target that ends has no requests at work
+		Leaving:     func(string) bool { return false }, // a draining target has no running requests when it stops
 		Replicas:    func() []string { return d.config.Controls },
-		Tell:        d.tellEvidence,
+		Tell:        d.sendEvidence,
 		Looked: func(l isolation.Look) {
-			looks.WithLabelValues(l.String()).Inc()
+			probes.WithLabelValues(l.String()).Inc()
 		},
 		Ended: func(r isolation.Run) {
 			detail := fmt.Sprintf("target %s ended under request %s of %s", r.End.Incarnation, r.End.Request, r.End.Service)
@@ -29,28 +29,28 @@
 	})
 }
 
-// tellEvidence tells one control replica.
-func (d *Daemon) tellEvidence(ctx context.Context, address string, e *wire.Evidence) error {
+// sendEvidence sends evidence to one control replica.
+func (d *Daemon) sendEvidence(ctx context.Context, address string, e *wire.Evidence) error {
 	ctx, cancel := context.WithTimeout(ctx, evidenceTimeout)
 	defer cancel()
 	_, err := d.node.Call(ctx, address, &wire.CallRequest{Evidence: e})
 	return err
 }
 
-// evidenceTimeout bounds a call to a replica: several round trips between regions.
+// evidenceTimeout bounds a call to a replica, which takes several round trips between regions.
 const evidenceTimeout = helloTimeout
 
-// fingerprint is what the request is known by when it comes again.
+// fingerprint returns the digest by which a repeated request is recognized.
 func (r *request) fingerprint() quarantine.Digest {
 	return quarantine.Request{Method: r.method, Host: r.service, Target: r.path, Length: int64(len(r.body)), Body: r.body}.Digest()
 }
 
-// caller is who asks: requests come through other boxes, so that the block of its caller
-// is all that is known.
+// caller identifies the caller of the request. Requests may have been forwarded by other
+// boxes, so only the caller's home region and block are known.
 func (r *request) caller() quarantine.Caller { return quarantine.CallerOf(r.home + "/" + r.block) }
 
-// broke takes that the connection of an attempt at a target broke after it was sent.
-func (e *execution) broke(ctx context.Context, s *slot, target, address string) {
+// reportBrokenRun reports that the connection to a target broke after the request was sent.
+func (e *execution) reportBrokenRun(ctx context.Context, s *slot, target, address string) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -58,27 +58,29 @@
 	e.box.isolation.Broke(isolation.Run{
 		End: quarantine.Crash{
 			Request: e.request.fingerprint(), Caller: e.request.caller(),
-			// Targets tell no births; only this box, which holds the pool, sends to them.
+			// Targets don't report their start times, so the time of the crash distinguishes their
+			// incarnations. Only this box, which holds the pool's lease, sends to them.
 			Incarnation: fmt.Sprintf("%s@%d", target, now.UnixMilli()),
-			Service:     e.request.service, Began: s.began, Ended: now,
+			Service:     e.request.service, Began: s.startedAt, Ended: now,
 		},
 		Address: address,
 		Request: e.request.id,
 	})
 }
 
-// whole takes that a target gave a whole answer.
-func (e *execution) whole() {
+// reportAnswered reports that a target gave a complete response.
+func (e *execution) reportAnswered() {
 	if e.box.isolation.Idle() {
 		return
 	}
 	e.box.isolation.Answered(e.request.fingerprint(), e.request.caller())
 }
 
-// runUnlessHeld runs a request on this box's own pool unless targets ended under it.
-func (d *Daemon) runUnlessHeld(ctx context.Context, p *pool, r *request, v poolView) *answer {
+// runUnlessQuarantined runs a request on this box's own pool unless it is quarantined because
+// targets crashed while they ran it.
+func (d *Daemon) runUnlessQuarantined(ctx context.Context, p *pool, r *request, v poolView) *answer {
 	if d.isolation.Idle() {
-		return d.runHere(ctx, p, r, v)
+		return d.runLocally(ctx, p, r, v)
 	}
 	digest := r.fingerprint()
 	verdict := d.isolation.Admit(digest, r.caller())
@@ -89,5 +91,5 @@
 		defer d.isolation.Finish(digest)
 		v.values.RetryAttempts = 1
 	}
-	return d.runHere(ctx, p, r, v)
+	return d.runLocally(ctx, p, r, v)
 }
--- a/internal/entry/keys.go
+++ b/internal/entry/keys.go
@@ -17,14 +17,14 @@
 const (
 	maxKeys        = 200_000
 	witnessTimeout = 500 * time.Millisecond
-	// resultTries is how often the end of a key is sent to the witness.
-	resultTries = 3
+	// maxResultTries is how often the result of a key is sent to the witness.
+	maxResultTries = 3
 )
 
-// keys hosts the owner of this box's request keys and the witness of others.
+// keys hosts the owner of this box's request keys, and the witness for keys of other boxes.
 type keys struct {
 	box *Daemon
-	// call asks another box.
+	// call sends a request to another box.
 	call func(ctx context.Context, address string, r *wire.CallRequest) (*wire.CallAnswer, error)
 
 	mu      sync.Mutex
@@ -35,7 +35,7 @@
 }
 
 func newKeys(d *Daemon) *keys {
-	keep := settings.Tree{}.Values(settings.Path{}).KeyRetention
+	retention := settings.Tree{}.Values(settings.Path{}).KeyRetention
 	return &keys{
 		box: d,
 		call: func(ctx context.Context, address string, r *wire.CallRequest) (*wire.CallAnswer, error) {
@@ -44,10 +44,10 @@
 		owner: requestkey.NewOwner[*request](requestkey.OwnerConfig{
 			Name:        d.config.Name,
 			Incarnation: d.process.Incarnation,
-			Retention:   keep,
+			Retention:   retention,
 			MaxKeys:     maxKeys,
 		}),
-		witness: requestkey.NewWitness(d.config.Name, d.process.Incarnation, keep, maxKeys),
+		witness: requestkey.NewWitness(d.config.Name, d.process.Incarnation, retention, maxKeys),
 		waiting: make(map[uint64]chan requestkey.Reply),
 	}
 }
@@ -58,9 +58,9 @@
 	return k.owner.Len()
 }
 
-// scope issues a scope for request keys.
+// scope issues a new scope for request keys.
 func (k *keys) scope() string {
-	s := requestkey.Scope{Owner: k.box.config.Name, OwnerIncarnation: k.box.process.Incarnation, IssuedAt: time.Now()} // time of day: keys tell by it when they were issued
+	s := requestkey.Scope{Owner: k.box.config.Name, OwnerIncarnation: k.box.process.Incarnation, IssuedAt: time.Now()} // time of day: keys contain the time at which they were issued
 	if w, ok := k.box.peers.witness(); ok {
 		s.Witness = w.name
 		s.WitnessIncarnation = w.incarnation
@@ -68,44 +68,44 @@
 	return s.String()
 }
 
-// testify answers another box's questions as its witness.
-func (k *keys) testify(m *wire.WitnessRequest) *wire.WitnessAnswer {
+// answerAsWitness handles a request to this box as the witness of another.
+func (k *keys) answerAsWitness(m *wire.WitnessRequest) *wire.WitnessAnswer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.witness.Handle(time.Now(), m) // time of day: keys tell by it when they were issued
+	return k.witness.Handle(time.Now(), m) // time of day: keys contain the time at which they were issued
 }
 
-// serve runs a request that carries a key, or returns what became of it.
+// serve runs a request that carries a key, or returns the result of its earlier run.
 func (k *keys) serve(ctx context.Context, r *request) *answer {
 	key, err := requestkey.Parse(r.key)
 	if err != nil {
 		return invalid(err)
 	}
 	if key.Scope.Owner != k.box.config.Name {
-		return k.atOwner(ctx, key, r)
+		return k.forwardToOwner(ctx, key, r)
 	}
 	if key.Scope.OwnerIncarnation != k.box.process.Incarnation {
-		return k.askWitness(ctx, key, r)
+		return k.answerFromWitness(ctx, key, r)
 	}
-	return k.begin(ctx, key, r)
+	return k.runAsOwner(ctx, key, r)
 }
 
-// atOwner passes a request to the owner of its key. If the owner can't be
-// reached, or its answer is lost, the witness is asked.
-func (k *keys) atOwner(ctx context.Context, key requestkey.Key, r *request) *answer {
+// forwardToOwner forwards a request to the owner of its key. If the owner is unreachable or
+// its answer is lost, the witness is asked instead.
+func (k *keys) forwardToOwner(ctx context.Context, key requestkey.Key, r *request) *answer {
 	b, ok := k.box.current.Load().boxes[key.Scope.Owner]
 	if !ok || r.hops >= maxHops {
-		return k.askWitness(ctx, key, r)
+		return k.answerFromWitness(ctx, key, r)
 	}
 	a := k.box.forward(ctx, b, r)
 	if a.outcome == caller.Ran || a.header != nil {
 		return a
 	}
-	return k.askWitness(ctx, key, r)
+	return k.answerFromWitness(ctx, key, r)
 }
 
-// begin hands a request to the owner machine and waits for its answer.
-func (k *keys) begin(ctx context.Context, key requestkey.Key, r *request) *answer {
+// runAsOwner passes a request to the owner state machine and waits for the reply.
+func (k *keys) runAsOwner(ctx context.Context, key requestkey.Key, r *request) *answer {
 	reply := make(chan requestkey.Reply, 1)
 	k.mu.Lock()
 	k.token++
@@ -113,7 +113,7 @@
 	k.waiting[e.Token] = reply
 	k.handle(e)
 	k.mu.Unlock()
-	defer k.leave(key, e.Token)
+	defer k.callerLeft(key, e.Token)
 	select {
 	case got := <-reply:
 		return k.answer(got)
@@ -122,7 +122,7 @@
 	}
 }
 
-func (k *keys) leave(key requestkey.Key, token uint64) {
+func (k *keys) callerLeft(key requestkey.Key, token uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.waiting, token)
@@ -132,22 +132,22 @@
 func (k *keys) answer(r requestkey.Reply) *answer {
 	switch r.State {
 	case wire.KeyState_KEY_STATE_RAN:
-		return fromStored(r.Answer)
+		return answerFromStored(r.Answer)
 	case wire.KeyState_KEY_STATE_NOT_RUN:
 		return refusal(r.Reason, minRetryAfter)
 	}
 	if r.Answer != nil {
-		a := fromStored(r.Answer)
+		a := answerFromStored(r.Answer)
 		a.outcome = caller.Unknown
 		return a
 	}
 	return unknown(r.Reason)
 }
 
-// handle gives an event to the owner machine and carries out what it asks for.
-// The lock is held.
+// handle passes an event to the owner state machine and executes its output. The caller must
+// hold k.mu.
 func (k *keys) handle(e requestkey.Event) {
-	out := k.owner.Handle(time.Now(), e) // time of day: keys tell by it when they were issued
+	out := k.owner.Handle(time.Now(), e) // time of day: keys contain the time at which they were issued
 	for _, r := range out.Replies {
 		if reply, ok := k.waiting[r.Token]; ok {
 			delete(k.waiting, r.Token)
@@ -155,55 +155,56 @@
 		}
 	}
 	if out.Record != nil {
-		go k.record(out.Record)
+		go k.recordAtWitness(out.Record)
 	}
 	if out.Run != nil {
 		go k.run(out.Run.Key, out.Run.Request)
 	}
 }
 
-// run makes the one attempt of a key. It goes on if the caller leaves.
+// run makes the only attempt of a keyed request. It continues if the caller leaves.
 func (k *keys) run(key requestkey.Key, r *request) {
-	f := k.attempt(key, r)
+	result := k.dispatchKeyed(key, r)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.handle(f)
+	k.handle(result)
 }
 
-// attempt runs the request of a key. A panic ends it as one that may have run: the box goes on,
-// and arrivals of the key must not wait for an end that never comes.
-func (k *keys) attempt(key requestkey.Key, r *request) (f requestkey.Finished) {
+// dispatchKeyed runs a keyed request and returns its result. After a panic the state is
+// unknown, since the request may have run. The result must be returned even then, because
+// requests with the same key wait for it.
+func (k *keys) dispatchKeyed(key requestkey.Key, r *request) (result requestkey.Finished) {
 	defer func() {
 		if p := recover(); p != nil {
 			k.box.process.RecordPanic("keys", r.id, p)
-			f = requestkey.Finished{Key: key, State: wire.KeyState_KEY_STATE_UNKNOWN}
+			result = requestkey.Finished{Key: key, State: wire.KeyState_KEY_STATE_UNKNOWN}
 		}
 	}()
 	ctx, cancel := k.box.clock.WithDeadline(context.Background(), r.deadline)
 	defer cancel()
 	a := k.box.dispatch(ctx, r.withoutKey())
 	if a.stream != nil {
-		a = readWhole(a)
+		a = readFully(a)
 	}
-	f = requestkey.Finished{Key: key}
+	result = requestkey.Finished{Key: key}
 	switch a.outcome {
 	case caller.Ran:
-		f.State = wire.KeyState_KEY_STATE_RAN
-		f.Answer = a.stored()
+		result.State = wire.KeyState_KEY_STATE_RAN
+		result.Answer = a.stored()
 	case caller.NotRun:
-		f.State = wire.KeyState_KEY_STATE_NOT_RUN
+		result.State = wire.KeyState_KEY_STATE_NOT_RUN
 	default:
-		f.State = wire.KeyState_KEY_STATE_UNKNOWN
+		result.State = wire.KeyState_KEY_STATE_UNKNOWN
 		if a.header != nil {
-			f.Answer = a.stored()
+			result.Answer = a.stored()
 		}
 	}
-	return f
+	return result
 }
 
-// readWhole reads the rest of a large answer, since an answer under a key is
-// given whole to every arrival that waits for it.
-func readWhole(a *answer) *answer {
+// readFully reads the rest of a large response, since every waiting request with the same key
+// gets the complete response.
+func readFully(a *answer) *answer {
 	defer a.discard()
 	rest, err := io.ReadAll(io.LimitReader(a.stream, maxBody))
 	if err != nil {
@@ -215,26 +216,26 @@
 	return &whole
 }
 
-// record tells the witness of a key and, if it is about the start, the owner
-// machine what the witness said.
-func (k *keys) record(m *wire.WitnessRequest) {
+// recordAtWitness sends the start or the result of a keyed request to the witness. The owner
+// state machine gets the reply if it is about the start.
+func (k *keys) recordAtWitness(m *wire.WitnessRequest) {
 	key, err := requestkey.Parse(m.Key)
 	if err != nil {
-		return // the owner machine holds only keys that were read
+		return // the owner state machine only holds keys that have been parsed
 	}
-	starts := m.State == wire.KeyState_KEY_STATE_STARTED
-	tries := resultTries
-	if starts {
+	isStart := m.State == wire.KeyState_KEY_STATE_STARTED
+	tries := maxResultTries
+	if isStart {
 		tries = 1
 	}
 	var a *wire.WitnessAnswer
 	for range tries {
-		if a, err = k.ask(context.Background(), key, m); err == nil {
+		if a, err = k.sendToWitness(context.Background(), key, m); err == nil {
 			break
 		}
 	}
-	if !starts {
-		k.reportLoss(m, err)
+	if !isStart {
+		k.reportUnwitnessed(m, err)
 		return
 	}
 	k.mu.Lock()
@@ -242,32 +243,32 @@
 	k.handle(requestkey.WitnessResult{Key: key, Failed: err != nil, Refused: err == nil && a.Refused})
 }
 
-// reportLoss tells that the witness was not told the end of a key: if this box ends, a resend
-// is answered unknown.
-func (k *keys) reportLoss(m *wire.WitnessRequest, err error) {
+// reportUnwitnessed records that the witness does not know the result of a key. If this box
+// fails, a resend of the request is answered with an unknown outcome.
+func (k *keys) reportUnwitnessed(m *wire.WitnessRequest, err error) {
 	if err != nil {
 		k.box.process.Event(&wire.TimelineEvent{Kind: "keyNotWitnessed", Box: k.box.config.Name, Detail: fmt.Sprintf("key %s, %s: %v", m.Key, m.State, err)})
 	}
 }
 
-func (k *keys) ask(ctx context.Context, key requestkey.Key, m *wire.WitnessRequest) (*wire.WitnessAnswer, error) {
+func (k *keys) sendToWitness(ctx context.Context, key requestkey.Key, m *wire.WitnessRequest) (*wire.WitnessAnswer, error) {
 	if key.Scope.Witness == k.box.config.Name {
-		return k.testify(m), nil
+		return k.answerAsWitness(m), nil
 	}
 	b, ok := k.box.current.Load().boxes[key.Scope.Witness]
 	if !ok {
-		return nil, errNoAddress
+		return nil, errUnknownBox
 	}
 	return k.callWitness(ctx, b.PeerAddress, m)
 }
 
-// panicError says that a call panicked.
+// panicError is returned for a call that panicked.
 type panicError struct{ value any }
 
 // Error implements error.
 func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
 
-// callWitness asks a witness at another box. A panic of the call is its error.
+// callWitness calls a witness on another box. A panic is returned as an error.
 func (k *keys) callWitness(ctx context.Context, address string, m *wire.WitnessRequest) (answer *wire.WitnessAnswer, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -287,19 +288,19 @@
 	return a.Witness, nil
 }
 
-// askWitness answers a resend whose owner has died or can't be reached.
-func (k *keys) askWitness(ctx context.Context, key requestkey.Key, r *request) *answer {
+// answerFromWitness answers a resend whose owner has failed or is unreachable.
+func (k *keys) answerFromWitness(ctx context.Context, key requestkey.Key, r *request) *answer {
 	if key.Scope.Witness == "" {
 		return unknown("the entry box of the key is gone and no other knew of the request")
 	}
 	m := &wire.WitnessRequest{Action: wire.WitnessRequest_ACTION_ASK, Key: r.key, Digest: r.digest()}
-	a, err := k.ask(ctx, key, m)
+	a, err := k.sendToWitness(ctx, key, m)
 	if err != nil {
 		return unknown(fmt.Sprintf("neither the entry box of the key nor its witness can be reached: %v", err))
 	}
 	switch a.State {
 	case wire.KeyState_KEY_STATE_RAN:
-		return fromStored(a.Answer)
+		return answerFromStored(a.Answer)
 	case wire.KeyState_KEY_STATE_ABSENT, wire.KeyState_KEY_STATE_NOT_RUN:
 		return refusal("it did not run; look up again for a new key scope", minRetryAfter)
 	}
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -11,14 +11,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// A box that stalls between two writes of its peer, the header of a frame and
-// its data, does not stop virtual time.
+// Guards against virtual time that stops when a box stalls between a peer's writes of a frame
+// header and its data.
 func TestStallWithinAFrame(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := &system{t: t, network: newFakeNetwork()}
 		clock := timeline.NewClock(time.Now)
 		answer := func(context.Context, string, *wire.CallRequest) *wire.CallAnswer { return &wire.CallAnswer{} }
-		s.network.carryFrames("10.0.0.2:2")
+		s.network.setFramed("10.0.0.2:2")
 		server, err := link.Listen(s.networkOf("10.0.0.2"), "10.0.0.2:2", link.Identity{Name: "b2"}, clock, link.Handlers{Call: answer}, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -29,10 +29,10 @@
 			t.Fatal(err)
 		}
 		defer caller.Close()
-		s.network.hooks(func(string, string) {}, func(from, _ string, data []byte) {
+		s.network.setHooks(func(string, string) {}, func(from, _ string, data []byte) {
 			if from == "10.0.0.1" && strings.Contains(string(data), "b1") {
-				time.Sleep(2 * s.network.delayNow()) // the header has come
-				s.network.stall("10.0.0.2", true)
+				time.Sleep(2 * s.network.currentDelay()) // the frame header has arrived
+				s.network.setStalled("10.0.0.2", true)
 			}
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -40,10 +40,10 @@
 		if _, err := caller.Call(ctx, "10.0.0.2:2", &wire.CallRequest{Hello: &wire.HelloRequest{}}); err == nil {
 			t.Error("a call to a stalled box was answered")
 		}
-		s.network.hooks(func(string, string) {}, func(string, string, []byte) {})
-		s.network.stall("10.0.0.2", false)
+		s.network.setHooks(func(string, string) {}, func(string, string, []byte) {})
+		s.network.setStalled("10.0.0.2", false)
 		if _, err := caller.Call(t.Context(), "10.0.0.2:2", &wire.CallRequest{Hello: &wire.HelloRequest{}}); err != nil {
-			t.Errorf("after the stall: %v", err)
+			t.Errorf("call after the stall: %v", err)
 		}
 	})
 }
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// fakeNetwork connects hosts in the memory of a synctest bubble. A host is the
-// part of an address before the port; hosts stand in zones, between which
-// messages take time and can be cut.
+// fakeNetwork connects hosts in memory within a synctest bubble. A host is the part of an
+// address before the port. Each host is in a zone. Messages are delayed, and zones can be
+// partitioned from each other.
 type fakeNetwork struct {
-	mu        sync.Mutex
-	listeners map[string]*fakeListener
-	conns     []*fakeConn
-	zones     map[string]string
-	cuts      map[[2]string]bool
-	stalled   map[string]bool
-	dead      map[string]bool
-	// framed holds the addresses whose connections carry whole frames.
+	mu          sync.Mutex
+	listeners   map[string]*fakeListener
+	conns       []*fakeConn
+	zones       map[string]string
+	partitioned map[[2]string]bool
+	stalled     map[string]bool
+	dead        map[string]bool
+	// framed holds the addresses whose connections deliver complete frames only.
 	framed map[string]bool
 	delay  time.Duration
-	// onDial and onWrite see every dial and write before it takes effect.
+	// onDial and onWrite are called for every dial and write before it takes effect.
 	onDial  func(from, to string)
 	onWrite func(from, to string, data []byte)
 }
 
 func newFakeNetwork() *fakeNetwork {
 	return &fakeNetwork{
-		listeners: make(map[string]*fakeListener),
-		zones:     make(map[string]string),
-		cuts:      make(map[[2]string]bool),
-		stalled:   make(map[string]bool),
-		dead:      make(map[string]bool),
-		framed:    make(map[string]bool),
-		delay:     time.Millisecond,
-		onDial:    func(string, string) {},
-		onWrite:   func(string, string, []byte) {},
+		listeners:   make(map[string]*fakeListener),
+		zones:       make(map[string]string),
+		partitioned: make(map[[2]string]bool),
+		stalled:     make(map[string]bool),
+		dead:        make(map[string]bool),
+		framed:      make(map[string]bool),
+		delay:       time.Millisecond,
+		onDial:      func(string, string) {},
+		onWrite:     func(string, string, []byte) {},
 	}
 }
 
@@ -56,43 +56,43 @@
 	return host
 }
 
-// open reports whether messages pass from one host to another now.
-func (n *fakeNetwork) open(from, to string) bool {
+// reachable reports whether messages are delivered from one host to another at present.
+func (n *fakeNetwork) reachable(from, to string) bool {
 	if n.stalled[from] || n.stalled[to] {
 		return false
 	}
 	a, b := n.zones[from], n.zones[to]
-	return a == b || !n.cuts[[2]string{a, b}]
+	return a == b || !n.partitioned[[2]string{a, b}]
 }
 
-func (n *fakeNetwork) cut(a, b string, cut bool) {
+func (n *fakeNetwork) setPartitioned(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}] = cut
-	n.cuts[[2]string{b, a}] = cut
-	n.wake()
+	n.partitioned[[2]string{a, b}] = cut
+	n.partitioned[[2]string{b, a}] = cut
+	n.signalAll()
 }
 
-// stall holds back all messages of a host, as if it were frozen.
-func (n *fakeNetwork) stall(host string, stalled bool) {
+// setStalled holds back all messages from and to a host, as if it were frozen.
+func (n *fakeNetwork) setStalled(host string, stalled bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stalled[host] = stalled
-	n.wake()
+	n.signalAll()
 }
 
 // kill resets all connections of a host and refuses new ones.
 func (n *fakeNetwork) kill(host string) {
 	n.mu.Lock()
 	n.dead[host] = true
-	var hit []*fakeConn
+	var affected []*fakeConn
 	for _, c := range n.conns {
 		if c.host == host || c.peer.host == host {
-			hit = append(hit, c)
+			affected = append(affected, c)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range hit {
+	for _, c := range affected {
 		c.fail(errReset)
 	}
 }
@@ -108,28 +108,28 @@
 	}
 }
 
-// carryFrames makes connections to an address, where a link listens, carry
-// whole frames.
-func (n *fakeNetwork) carryFrames(address string) {
+// setFramed makes connections to the address, on which a link listens, deliver complete frames
+// only.
+func (n *fakeNetwork) setFramed(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.framed[address] = true
 }
 
-func (n *fakeNetwork) place(host, zone string) {
+func (n *fakeNetwork) setZone(host, zone string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.zones[host] = zone
 }
 
-// hooks sets what sees dials and writes.
-func (n *fakeNetwork) hooks(onDial func(from, to string), onWrite func(from, to string, data []byte)) {
+// setHooks sets the functions that are called for dials and writes.
+func (n *fakeNetwork) setHooks(onDial func(from, to string), onWrite func(from, to string, data []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.onDial, n.onWrite = onDial, onWrite
 }
 
-func (n *fakeNetwork) see() (onDial func(from, to string), onWrite func(from, to string, data []byte)) {
+func (n *fakeNetwork) hooks() (onDial func(from, to string), onWrite func(from, to string, data []byte)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.onDial, n.onWrite
@@ -141,13 +141,13 @@
 	n.delay = d
 }
 
-func (n *fakeNetwork) delayNow() time.Duration {
+func (n *fakeNetwork) currentDelay() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.delay
 }
 
-func (n *fakeNetwork) wake() {
+func (n *fakeNetwork) signalAll() {
 	for _, c := range n.conns {
 		c.signal()
 	}
@@ -165,16 +165,16 @@
 }
 
 func (n *fakeNetwork) dial(ctx context.Context, from, address string) (net.Conn, error) {
-	onDial, _ := n.see()
+	onDial, _ := n.hooks()
 	onDial(from, hostOf(address))
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(2 * n.delayNow()):
+	case <-time.After(2 * n.currentDelay()):
 	}
 	n.mu.Lock()
 	to := hostOf(address)
-	if !n.open(from, to) && !n.dead[from] {
+	if !n.reachable(from, to) && !n.dead[from] {
 		n.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -188,7 +188,7 @@
 	near.peer, far.peer = far, near
 	near.notify, far.notify = make(chan struct{}, 1), make(chan struct{}, 1)
 	if n.framed[address] {
-		near.frames, far.frames = &framing{}, &framing{greeted: true}
+		near.frames, far.frames = &frameSplitter{}, &frameSplitter{typeByteSeen: true}
 	}
 	n.conns = append(n.conns, near, far)
 	n.mu.Unlock()
@@ -237,9 +237,9 @@
 func (a fakeAddr) String() string  { return string(a) }
 
 type chunk struct {
-	at   time.Time
-	data []byte
-	end  bool
+	arrival time.Time
+	data    []byte
+	eof     bool
 }
 
 // fakeConn is one end of a connection.
@@ -254,10 +254,10 @@
 	err      error
 	closed   bool
 	deadline time.Time
-	// frames is nil where bytes are carried as they are written; begun tells
-	// that a part of the first incoming frame has been read.
-	frames *framing
-	begun  bool
+	// frames is nil if data is delivered as it is written. partlyRead is set while a part of the
+	// first incoming frame has been read.
+	frames     *frameSplitter
+	partlyRead bool
 }
 
 func (c *fakeConn) signal() {
@@ -291,11 +291,11 @@
 	}
 }
 
-const longWait = time.Hour
+const maxReadWait = time.Hour
 
 func (c *fakeConn) tryRead(b []byte) (n int, wait time.Duration, err error) {
 	c.network.mu.Lock()
-	open := c.network.open(c.peer.host, c.host)
+	open := c.network.reachable(c.peer.host, c.host)
 	c.network.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -306,26 +306,26 @@
 	if c.closed {
 		return 0, 0, net.ErrClosed
 	}
-	wait = longWait
+	wait = maxReadWait
 	if !c.deadline.IsZero() {
 		if !now.Before(c.deadline) {
 			return 0, 0, os.ErrDeadlineExceeded
 		}
 		wait = c.deadline.Sub(now)
 	}
-	if (!open && !c.begun) || len(c.incoming) == 0 {
+	if (!open && !c.partlyRead) || len(c.incoming) == 0 {
 		return 0, wait, nil
 	}
 	first := &c.incoming[0]
-	if now.Before(first.at) {
-		return 0, min(wait, first.at.Sub(now)), nil
+	if now.Before(first.arrival) {
+		return 0, min(wait, first.arrival.Sub(now)), nil
 	}
-	if first.end {
+	if first.eof {
 		return 0, 0, io.EOF
 	}
 	n = copy(b, first.data)
 	first.data = first.data[n:]
-	c.begun = c.frames != nil && len(first.data) > 0
+	c.partlyRead = c.frames != nil && len(first.data) > 0
 	if len(first.data) == 0 {
 		c.incoming = c.incoming[1:]
 	}
@@ -333,7 +333,7 @@
 }
 
 func (c *fakeConn) Write(b []byte) (int, error) {
-	_, onWrite := c.network.see()
+	_, onWrite := c.network.hooks()
 	onWrite(c.host, c.peer.host, b)
 	c.mu.Lock()
 	err, closed := c.err, c.closed
@@ -348,9 +348,9 @@
 	if err != nil {
 		return 0, err
 	}
-	at := time.Now().Add(c.network.delayNow())
+	at := time.Now().Add(c.network.currentDelay())
 	for _, data := range chunks {
-		c.peer.push(chunk{at: at, data: append([]byte(nil), data...)})
+		c.peer.push(chunk{arrival: at, data: append([]byte(nil), data...)})
 	}
 	return len(b), nil
 }
@@ -364,12 +364,12 @@
 
 func (c *fakeConn) Close() error {
 	c.mu.Lock()
-	was := c.closed
+	wasClosed := c.closed
 	c.closed = true
 	c.mu.Unlock()
 	c.signal()
-	if !was {
-		c.peer.push(chunk{at: time.Now().Add(c.network.delayNow()), end: true})
+	if !wasClosed {
+		c.peer.push(chunk{arrival: time.Now().Add(c.network.currentDelay()), eof: true})
 	}
 	return nil
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -13,46 +13,45 @@
 const (
 	helloInterval = 500 * time.Millisecond
 	helloTimeout  = 400 * time.Millisecond
-	// deadAfter is after how long without an answer a watched box counts as
-	// dead.
+	// deadAfter is the time without a hello answer after which a watched box counts as dead.
 	deadAfter = 1500 * time.Millisecond
-	// avoidFor is how long a box is avoided after a request to it failed.
-	avoidFor = 2 * time.Second
-	// watchedInZone bounds the boxes of its own zone that a box watches, so
-	// that the traffic does not grow with the size of the zone.
-	watchedInZone = 3
+	// avoidTime is how long a box is avoided after a request to it failed.
+	avoidTime = 2 * time.Second
+	// maxWatchedInZone limits how many boxes of its own zone a box watches, so that the traffic
+	// does not grow with the size of the zone.
+	maxWatchedInZone = 3
 )
 
 type peer struct {
-	name        string
-	incarnation string
-	stopping    bool
-	heardAt     time.Time
-	failedAt    time.Time
-	watched     bool
-	watchedAt   time.Time
+	name         string
+	incarnation  string
+	stopping     bool
+	lastHello    time.Time
+	lastFailure  time.Time
+	watched      bool
+	watchedSince time.Time
 }
 
-// peers watches a few other entry boxes: the next ones in its zone and one of
-// another zone of the region. One of them is the witness of its request keys.
+// peers monitors a few other entry boxes: its successors in the zone and one box of another
+// zone of the region. One of them is the witness of this box's request keys.
 type peers struct {
 	box *Daemon
 
-	mu     sync.Mutex
-	byName map[string]*peer
-	order  []string
+	mu         sync.Mutex
+	byName     map[string]*peer
+	watchOrder []string
 }
 
 func newPeers(d *Daemon) *peers { return &peers{box: d, byName: make(map[string]*peer)} }
 
-// run watches until the context ends.
+// run sends hellos to the watched boxes until the context ends.
 func (p *peers) run(ctx context.Context) error {
 	ticker := time.NewTicker(helloInterval)
 	defer ticker.Stop()
 	for {
 		var running sync.WaitGroup
-		for _, b := range p.choose() {
-			running.Go(func() { p.hello(ctx, b) })
+		for _, b := range p.updateWatched() {
+			running.Go(func() { p.sendHello(ctx, b) })
 		}
 		running.Wait()
 		select {
@@ -63,52 +62,51 @@
 	}
 }
 
-// choose returns the boxes to watch.
-func (p *peers) choose() []settings.Box {
-	f := p.box.current.Load()
-	watched := nextBoxes(f.zone.Boxes, p.box.config.Name, watchedInZone)
-	if b, ok := boxElsewhere(f.tree.Zones(), f.zone, p.box.config.Name); ok {
+// updateWatched selects the boxes to watch and returns them.
+func (p *peers) updateWatched() []settings.Box {
+	active := p.box.current.Load()
+	watched := successors(active.zone.Boxes, p.box.config.Name, maxWatchedInZone)
+	if b, ok := boxInNextZone(active.tree.Zones(), active.zone, p.box.config.Name); ok {
 		watched = append(watched, b)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.order = nil
+	p.watchOrder = nil
 	for _, b := range watched {
-		p.order = append(p.order, b.Name)
-		v := p.get(b.Name)
+		p.watchOrder = append(p.watchOrder, b.Name)
+		v := p.getOrAdd(b.Name)
 		if !v.watched {
 			v.watched = true
-			v.watchedAt = p.box.clock.Now()
+			v.watchedSince = p.box.clock.Now()
 		}
 	}
 	return watched
 }
 
-// boxElsewhere returns a box of the next zone of the region. The boxes of a zone
-// choose different ones as far as there are enough, so that none is watched by
-// all.
-func boxElsewhere(zones []settings.Zone, own settings.Zone, name string) (settings.Box, bool) {
+// boxInNextZone returns a box of the next zone of the region. Boxes of the same zone select
+// different ones as far as there are enough, so that no box is watched by all of them.
+func boxInNextZone(zones []settings.Zone, own settings.Zone, name string) (settings.Box, bool) {
 	var others []settings.Zone
-	after := 0
+	preceding := 0
 	for _, z := range zones {
 		if z.Region != own.Region || z.Name == own.Name || len(z.Boxes) == 0 {
 			continue
 		}
 		others = append(others, z)
 		if z.Name < own.Name {
-			after++
+			preceding++
 		}
 	}
 	if len(others) == 0 {
 		return settings.Box{}, false
 	}
-	z := others[after%len(others)]
-	place := slices.IndexFunc(own.Boxes, func(b settings.Box) bool { return b.Name == name })
-	return z.Boxes[max(place, 0)%len(z.Boxes)], true
+	z := others[preceding%len(others)]
+	position := slices.IndexFunc(own.Boxes, func(b settings.Box) bool { return b.Name == name })
+	return z.Boxes[max(position, 0)%len(z.Boxes)], true
 }
 
-// nextBoxes returns up to n boxes that follow the named one in a ring.
-func nextBoxes(boxes []settings.Box, name string, n int) []settings.Box {
+// successors returns up to n boxes that follow the named one in the ring of boxes.
+func successors(boxes []settings.Box, name string, n int) []settings.Box {
 	var out []settings.Box
 	for i, b := range boxes {
 		if b.Name != name {
@@ -121,7 +119,7 @@
 	return out
 }
 
-func (p *peers) get(name string) *peer {
+func (p *peers) getOrAdd(name string) *peer {
 	v := p.byName[name]
 	if v == nil {
 		v = &peer{name: name}
@@ -130,7 +128,7 @@
 	return v
 }
 
-func (p *peers) hello(ctx context.Context, b settings.Box) {
+func (p *peers) sendHello(ctx context.Context, b settings.Box) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
 	a, err := p.box.node.Call(ctx, b.PeerAddress, &wire.CallRequest{Hello: &wire.HelloRequest{}})
@@ -139,20 +137,20 @@
 	if err != nil || a.Hello == nil {
 		return
 	}
-	v := p.get(b.Name)
+	v := p.getOrAdd(b.Name)
 	v.incarnation = a.Hello.Incarnation
 	v.stopping = a.Hello.Stopping
-	v.heardAt = p.box.clock.Now()
+	v.lastHello = p.box.clock.Now()
 }
 
-// failed notes that a request to a box failed.
-func (p *peers) failed(name string) {
+// recordFailure records that a request to a box failed.
+func (p *peers) recordFailure(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.get(name).failedAt = p.box.clock.Now()
+	p.getOrAdd(name).lastFailure = p.box.clock.Now()
 }
 
-// usable reports whether a box may be sent to.
+// usable reports whether requests may be sent to a box.
 func (p *peers) usable(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,23 +159,23 @@
 		return true
 	}
 	now := p.box.clock.Now()
-	if v.stopping && now.Sub(v.heardAt) < deadAfter {
+	if v.stopping && now.Sub(v.lastHello) < deadAfter {
 		return false
 	}
-	if v.failedAt.After(v.heardAt) && now.Sub(v.failedAt) < avoidFor {
+	if v.lastFailure.After(v.lastHello) && now.Sub(v.lastFailure) < avoidTime {
 		return false
 	}
-	return !v.watched || now.Sub(v.heardAt) < deadAfter || now.Sub(v.watchedAt) < deadAfter
+	return !v.watched || now.Sub(v.lastHello) < deadAfter || now.Sub(v.watchedSince) < deadAfter
 }
 
-// witness returns the watched box that is the witness of new request keys: the
-// first that answers and does not stop.
+// witness returns the witness for new request keys: the first watched box that answers and is
+// not stopping.
 func (p *peers) witness() (peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, name := range p.order {
+	for _, name := range p.watchOrder {
 		v := p.byName[name]
-		if v.incarnation != "" && !v.stopping && p.box.clock.Since(v.heardAt) < deadAfter {
+		if v.incarnation != "" && !v.stopping && p.box.clock.Since(v.lastHello) < deadAfter {
 			return *v, true
 		}
 	}
--- a/internal/entry/pool.go
+++ b/internal/entry/pool.go
@@ -13,14 +13,14 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// poolMessage is one input of a pool's loop.
+// poolMessage is an input of a pool's event loop.
 type poolMessage interface{ pool() }
 
 type poolEvent struct{ event admission.Event }
 
 type poolArrival struct {
 	arrive admission.Arrive
-	reply  chan<- admitted
+	reply  chan<- admitResult
 }
 
 type poolSettings struct {
@@ -31,39 +31,39 @@
 
 type poolLeaseAnswer struct{ answer *wire.LeaseAnswer }
 
-type poolLook struct{ reply chan<- poolView }
+type poolViewRequest struct{ reply chan<- poolView }
 
-// poolChecks asks which targets may be checked now, by name with their addresses.
-type poolChecks struct{ reply chan<- map[string]string }
+// poolChecksRequest asks for the targets whose health checks are due, as names with addresses.
+type poolChecksRequest struct{ reply chan<- map[string]string }
 
 type poolRelease struct{ done chan<- struct{} }
 
-func (poolEvent) pool()       {}
-func (poolArrival) pool()     {}
-func (poolSettings) pool()    {}
-func (poolLeaseAnswer) pool() {}
-func (poolLook) pool()        {}
-func (poolChecks) pool()      {}
-func (poolRelease) pool()     {}
+func (poolEvent) pool()         {}
+func (poolArrival) pool()       {}
+func (poolSettings) pool()      {}
+func (poolLeaseAnswer) pool()   {}
+func (poolViewRequest) pool()   {}
+func (poolChecksRequest) pool() {}
+func (poolRelease) pool()       {}
 
-// admitted is the answer to an arrival: a grant or a refusal.
-type admitted struct {
+// admitResult is the reply to an arrival: a granted target or a refusal.
+type admitResult struct {
 	target  string
 	address string
-	refused *admission.Refusal
+	refusal *admission.Refusal
 }
 
 type poolView struct {
 	load     admission.Load
 	held     bool
 	draining int
-	// targets maps names to addresses.
+	// targets maps the names of targets to their addresses.
 	targets map[string]string
 	values  settings.Values
 }
 
-// pool hosts the admission and the lease of one service in the box's zone. Its
-// loop owns the machines.
+// pool hosts the admission and the lease of one service in the box's zone. Its event loop owns
+// both state machines.
 type pool struct {
 	service   string
 	box       string
@@ -73,32 +73,31 @@
 	seed      uint64
 	clock     *boottime.Clock
 
-	inbox    chan poolMessage
-	waiting  map[uint64]chan<- admitted
-	targets  map[string]string
-	draining int
-	values   settings.Values
-	held     bool
-	resting  bool
-	// other is the box that the voters named as the holder.
-	other atomic.Pointer[string]
-	// limited tells that a target names a limit: while none does, answers without one say
-	// nothing new.
-	limited atomic.Bool
-	// backOffs are what a request that has its slot looks at once more when its connection
-	// is there.
+	inbox     chan poolMessage
+	waiting   map[uint64]chan<- admitResult
+	targets   map[string]string
+	draining  int
+	values    settings.Values
+	held      bool
+	releasing bool
+	// knownHolder is the box that the voters last named as the holder of the lease.
+	knownHolder atomic.Pointer[string]
+	// hasLimitedTarget is set if any target reports a rate limit. While none does, responses
+	// without a limit need no update.
+	hasLimitedTarget atomic.Bool
+	// backOffs is checked again for a request that has a slot once its connection is established.
 	backOffs backOffs
 
-	ask     func([]lease.Request)
-	changed func(held bool)
-	refused func(admission.Reason)
-	// backedOff is called when a target asked for a back-off, and unread with the headers of
-	// an answer that could not be read.
-	backedOff func(target string, wait time.Duration)
-	unread    func(target string, headers []string)
+	sendLeaseRequests func([]lease.Request)
+	onLeaseChange     func(held bool)
+	onRefusal         func(admission.Reason)
+	// onBackOff is called when a target asks for a back-off, onUnparsed with the response headers
+	// that could not be parsed.
+	onBackOff  func(target string, wait time.Duration)
+	onUnparsed func(target string, headers []string)
 }
 
-const poolInbox = 4096
+const poolInboxSize = 4096
 
 func newPool(service, box, incarnation string, seed uint64) *pool {
 	return &pool{
@@ -107,30 +106,30 @@
 		holderID:  incarnation,
 		seed:      seed,
 		admission: admission.NewPool(seed),
-		inbox:     make(chan poolMessage, poolInbox),
-		waiting:   make(map[uint64]chan<- admitted),
+		inbox:     make(chan poolMessage, poolInboxSize),
+		waiting:   make(map[uint64]chan<- admitResult),
 	}
 }
 
-// run is the loop. It returns when the context ends.
+// run is the event loop. It returns when the context ends.
 func (p *pool) run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var wake time.Time
+	var nextTick time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-			wake = p.handle(poolEvent{admission.Tick{}})
+			nextTick = p.handle(poolEvent{admission.Tick{}})
 		case m := <-p.inbox:
-			wake = p.handle(m)
+			nextTick = p.handle(m)
 		}
-		timer.Reset(max(p.clock.Until(wake), 0))
+		timer.Reset(max(p.clock.Until(nextTick), 0))
 	}
 }
 
-// handle takes one message and returns when the loop must wake.
+// handle processes one message and returns when the next tick is due.
 func (p *pool) handle(m poolMessage) time.Time {
 	now := p.clock.Now()
 	switch m := m.(type) {
@@ -140,28 +139,28 @@
 		}
 		out := p.admission.Handle(now, m.event)
 		if _, ok := m.event.(admission.TargetUpdate); ok {
-			p.limited.Store(p.admission.HasLimitedTarget())
+			p.hasLimitedTarget.Store(p.admission.HasLimitedTarget())
 		}
-		return p.carryOut(now, out)
+		return p.execute(now, out)
 	case poolArrival:
 		p.waiting[m.arrive.ID] = m.reply
-		return p.carryOut(now, p.admission.Handle(now, m.arrive))
+		return p.execute(now, p.admission.Handle(now, m.arrive))
 	case poolSettings:
-		return p.carryOut(now, p.configure(now, m))
+		return p.execute(now, p.configure(now, m))
 	case poolLeaseAnswer:
 		p.lease.HandleAnswer(now, m.answer)
-		return p.carryOut(now, p.admission.Handle(now, p.hold()))
+		return p.execute(now, p.admission.Handle(now, p.leaseState()))
 	case poolRelease:
 		p.release(m.done)
-	case poolChecks:
-		m.reply <- p.checks(now)
-	case poolLook:
+	case poolChecksRequest:
+		m.reply <- p.dueTargets(now)
+	case poolViewRequest:
 		m.reply <- poolView{load: p.admission.Load(now), held: p.held, draining: p.draining, targets: p.targets, values: p.values}
 	}
-	return p.carryOut(now, p.admission.Handle(now, admission.Tick{}))
+	return p.execute(now, p.admission.Handle(now, admission.Tick{}))
 }
 
-func (p *pool) checks(now time.Time) map[string]string {
+func (p *pool) dueTargets(now time.Time) map[string]string {
 	out := make(map[string]string)
 	for _, name := range p.admission.DueHealthChecks(now) {
 		if address, ok := p.targets[name]; ok {
@@ -171,55 +170,57 @@
 	return out
 }
 
-func (p *pool) hold() admission.SetLease {
-	if p.lease == nil || p.resting {
+func (p *pool) leaseState() admission.SetLease {
+	if p.lease == nil || p.releasing {
 		return admission.SetLease{}
 	}
 	return admission.SetLease{Until: p.lease.Until()}
 }
 
-// release stops granting and, when nothing runs any more, gives the lease up.
+// release stops granting slots and, once no request is running, releases the lease.
 func (p *pool) release(done chan<- struct{}) {
-	p.resting = true
+	p.releasing = true
 	now := p.clock.Now()
-	p.carryOut(now, p.admission.Handle(now, admission.SetLease{}))
+	p.execute(now, p.admission.Handle(now, admission.SetLease{}))
 	if p.admission.Load(now).Busy > 0 {
 		return
 	}
 	if p.lease != nil {
-		p.ask(p.lease.Release())
+		p.sendLeaseRequests(p.lease.Release())
 	}
 	close(done)
 }
 
-func (p *pool) carryOut(now time.Time, out admission.Output) time.Time {
+// execute carries out the output of the admission state machine and returns when the next tick
+// is due.
+func (p *pool) execute(now time.Time, out admission.Output) time.Time {
 	for _, g := range out.Grants {
-		p.reply(g.ID, admitted{target: g.Target, address: p.targets[g.Target]})
+		p.reply(g.ID, admitResult{target: g.Target, address: p.targets[g.Target]})
 	}
 	for _, r := range out.Refusals {
-		p.refused(r.Reason)
-		p.reply(r.ID, admitted{refused: &r})
+		p.onRefusal(r.Reason)
+		p.reply(r.ID, admitResult{refusal: &r})
 	}
-	wake := now.Add(time.Second)
-	if p.lease != nil && !p.resting {
+	nextTick := now.Add(time.Second)
+	if p.lease != nil && !p.releasing {
 		if requests := p.lease.Tick(now); len(requests) > 0 {
-			p.ask(requests)
+			p.sendLeaseRequests(requests)
 		}
-		wake = p.lease.NextTick()
+		nextTick = p.lease.NextTick()
 		name, _ := p.lease.KnownHolder(now)
-		p.other.Store(&name)
+		p.knownHolder.Store(&name)
 	}
-	if held := p.lease != nil && !p.resting && p.lease.Held(now); held != p.held {
+	if held := p.lease != nil && !p.releasing && p.lease.Held(now); held != p.held {
 		p.held = held
-		p.changed(held)
+		p.onLeaseChange(held)
 	}
-	if !out.NextTick.IsZero() && out.NextTick.Before(wake) {
-		wake = out.NextTick
+	if !out.NextTick.IsZero() && out.NextTick.Before(nextTick) {
+		nextTick = out.NextTick
 	}
-	return wake
+	return nextTick
 }
 
-func (p *pool) reply(id uint64, a admitted) {
+func (p *pool) reply(id uint64, a admitResult) {
 	reply, ok := p.waiting[id]
 	if !ok {
 		return
@@ -228,7 +229,7 @@
 	reply <- a
 }
 
-// configure puts settings in force and follows changes of the lease's voters.
+// configure applies new settings, including changes of the lease's voters.
 func (p *pool) configure(now time.Time, m poolSettings) admission.Output {
 	s := m.service
 	p.values = s.Values
@@ -273,12 +274,12 @@
 func poolName(service, zone string) string { return service + "@" + zone }
 
 // admit waits for a slot or a refusal.
-func (p *pool) admit(ctx context.Context, a admission.Arrive) (admitted, error) {
-	reply := make(chan admitted, 1)
+func (p *pool) admit(ctx context.Context, a admission.Arrive) (admitResult, error) {
+	reply := make(chan admitResult, 1)
 	select {
 	case p.inbox <- poolArrival{a, reply}:
 	case <-ctx.Done():
-		return admitted{}, ctx.Err()
+		return admitResult{}, ctx.Err()
 	}
 	select {
 	case got := <-reply:
@@ -286,11 +287,11 @@
 	case <-ctx.Done():
 	}
 	p.abandon(a.ID)
-	return admitted{}, ctx.Err()
+	return admitResult{}, ctx.Err()
 }
 
-// abandon takes an arrival back that nobody waits for, or ends the grant that it has or that
-// is on its way.
+// abandon cancels an arrival that nobody waits for, or finishes its grant if it has one or one
+// is already queued.
 func (p *pool) abandon(id uint64) {
 	p.inbox <- poolEvent{admission.Cancel{ID: id}}
 	p.inbox <- poolEvent{admission.Finish{ID: id, Result: admission.Canceled}}
@@ -298,11 +299,11 @@
 
 func (p *pool) finish(f admission.Finish) { p.inbox <- poolEvent{f} }
 
-// dueChecks returns the targets to be checked now.
+// dueChecks returns the targets whose health checks are due.
 func (p *pool) dueChecks(ctx context.Context) (map[string]string, error) {
 	reply := make(chan map[string]string, 1)
 	select {
-	case p.inbox <- poolChecks{reply}:
+	case p.inbox <- poolChecksRequest{reply}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -314,10 +315,10 @@
 	}
 }
 
-func (p *pool) look(ctx context.Context) (poolView, error) {
+func (p *pool) view(ctx context.Context) (poolView, error) {
 	reply := make(chan poolView, 1)
 	select {
-	case p.inbox <- poolLook{reply}:
+	case p.inbox <- poolViewRequest{reply}:
 	case <-ctx.Done():
 		return poolView{}, ctx.Err()
 	}
@@ -329,6 +330,5 @@
 	}
 }
 
-// admissionIsBaseline reports whether the pool runs the baseline policy, which
-// has no retries.
-func admissionIsBaseline(v poolView) bool { return v.values.Policy == settings.RoundRobin }
+// isBaseline reports whether the pool uses the baseline policy, which has no retries.
+func isBaseline(v poolView) bool { return v.values.Policy == settings.RoundRobin }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -13,33 +13,33 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// A request that ends each target that runs it reached both targets of both zones each
-// time they were back: boxes booked each failure to the target and knew nothing of the
-// request when it came again. The control of this test does what a leader does with the
-// evidence of the boxes.
-func TestRequestThatEndsItsTargetsIsHeld(t *testing.T) {
-	const contact = 3 * time.Second
-	bubble(t, func(t *testing.T) {
+// Guards against a request that crashes every target that runs it and returns each time they
+// have restarted. It reached both targets of both zones, because boxes attributed each failure
+// to the target and did not recognize the request. The control replica of this test handles
+// the evidence of the boxes as a leader does.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	const reactionTime = 3 * time.Second
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
-		stop := s.keepQuarantine()
+		stop := s.runQuarantineControl()
 		var mu sync.Mutex
-		var reached []time.Time
-		var ending sync.WaitGroup
+		var arrivals []time.Time
+		var restarts sync.WaitGroup
 		names := map[string]string{}
 		for name := range s.allTargets() {
 			names[targetHost(name)] = name
 		}
-		s.network.hooks(func(string, string) {}, func(_, to string, data []byte) {
+		s.network.setHooks(func(string, string) {}, func(_, to string, data []byte) {
 			if names[to] == "" || !strings.HasPrefix(string(data), "POST /fatal") {
 				return
 			}
 			mu.Lock()
-			reached = append(reached, time.Now())
+			arrivals = append(arrivals, time.Now())
 			mu.Unlock()
-			ending.Go(func() {
+			restarts.Go(func() {
 				time.Sleep(5 * time.Millisecond)
 				s.network.kill(to)
-				s.endTarget(names[to], 2)
+				s.stopTarget(names[to], 2)
 				time.Sleep(500 * time.Millisecond)
 				s.startTarget(names[to], 2, nil)
 			})
@@ -51,34 +51,35 @@
 			if a.Outcome == caller.NotRun {
 				refused++
 			}
-			ending.Wait()
+			restarts.Wait()
 			time.Sleep(time.Second)
 		}
 		if a := s.read(s.client("flags"), time.Second); a.Outcome != caller.Ran {
-			t.Errorf("another request got %s", a.Outcome)
+			t.Errorf("outcome of another request is %s", a.Outcome)
 		}
 		late := 0
-		for _, at := range reached {
-			if len(reached) > 2 && at.After(reached[2].Add(contact)) {
+		for _, at := range arrivals {
+			if len(arrivals) > 2 && at.After(arrivals[2].Add(reactionTime)) {
 				late++
 			}
 		}
-		if len(reached) < 3 || late > 3 {
-			t.Errorf("the request reached %d targets, %d of them later than %s after the third", len(reached), late, contact)
+		if len(arrivals) < 3 || late > 3 {
+			t.Errorf("the request reached %d targets, %d of them more than %s after the third; want at least 3, and at most 3 that late", len(arrivals), late, reactionTime)
 		}
 		if refused < 15 {
-			t.Errorf("%d of 30 were told that they did not run", refused)
+			t.Errorf("%d of 30 requests were answered as not run, want at least 15", refused)
 		}
 		stop()
 		s.close(2)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-// keepQuarantine has the control take evidence and put what is due on the list.
-func (s *system) keepQuarantine() (stop func()) {
+// runQuarantineControl makes control collect evidence and apply the pending changes to the
+// quarantine list.
+func (s *system) runQuarantineControl() (stop func()) {
 	var mu sync.Mutex
-	ledger := quarantine.NewEvidenceStore()
+	store := quarantine.NewEvidenceStore()
 	s.onEvidence = func(e *wire.Evidence) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -89,7 +90,7 @@
 				Ended: now.Add(-time.Duration(r.EndedAgoMilli) * time.Millisecond),
 			}
 			copy(end.Request[:], r.Digest)
-			ledger.RecordCrash(now, end)
+			store.RecordCrash(now, end)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -98,12 +99,12 @@
 		defer close(ended)
 		for ctx.Err() == nil {
 			mu.Lock()
-			orders := ledger.PendingChanges(time.Now(), time.Now(), quarantine.EntriesOf(s.state.Catalog().Quarantined()))
+			changes := store.PendingChanges(time.Now(), time.Now(), quarantine.EntriesOf(s.state.Catalog().Quarantined()))
 			mu.Unlock()
-			for _, o := range orders {
-				c := &wire.Command{Quarantine: &wire.QuarantineCommand{Request: o.Entry.Message(), Release: o.Release}}
+			for _, change := range changes {
+				c := &wire.Command{Quarantine: &wire.QuarantineCommand{Request: change.Entry.Message(), Release: change.Release}}
 				s.state, _ = s.state.Apply(c)
-				s.publish.Put(s.state, []*wire.Command{c})
+				s.publisher.Put(s.state, []*wire.Command{c})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -24,17 +24,17 @@
 
 const (
 	maxBody = 8 << 20
-	// maxHops bounds how often a request goes from box to box: to the owner of
-	// its key, to another zone, and to the holder of the pool there.
+	// maxHops limits how often a request is forwarded from box to box: to the owner of its key, to
+	// another zone, and to the holder of the pool's lease there.
 	maxHops = 3
 )
 
-// request is one request of a caller, as read from HTTP.
+// request is a caller's request, as read from HTTP.
 type request struct {
 	id         string
 	service    string
 	method     string
-	path       string // path and query at the target
+	path       string // with query, as sent to the target
 	header     http.Header
 	body       []byte
 	repeatable bool
@@ -43,14 +43,14 @@
 	block      string
 	key        string
 	hops       int
-	// foreign is set by the box that took the request from its caller.
+	// foreign is set by the box that received the request from its caller.
 	foreign    bool
 	foreignSet bool
-	// noWait asks for a slot at once or a refusal.
+	// noWait asks for a slot or a refusal at once, without queueing.
 	noWait bool
 }
 
-// requestError says what is wrong with a request; it did not run.
+// requestError describes why a request is invalid. Such a request did not run.
 type requestError struct {
 	status int
 	text   string
@@ -63,10 +63,10 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// readRequest reads a request and its whole body.
+// readRequest reads a request with its entire body.
 func readRequest(now time.Time, h *http.Request, defaultTimeout func(service string) time.Duration) (*request, error) {
-	rest := strings.TrimPrefix(h.URL.Path, caller.ServicePrefix)
-	service, _, _ := strings.Cut(rest, "/")
+	path := strings.TrimPrefix(h.URL.Path, caller.ServicePrefix)
+	service, _, _ := strings.Cut(path, "/")
 	if service == "" {
 		return nil, badRequest("the path must be %sservice/path", caller.ServicePrefix)
 	}
@@ -130,10 +130,10 @@
 	}
 }
 
-func readMillis(h *http.Request, header string, otherwise time.Duration) (time.Duration, error) {
+func readMillis(h *http.Request, header string, fallback time.Duration) (time.Duration, error) {
 	text := h.Header.Get(header)
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	millis, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || millis <= 0 {
@@ -149,15 +149,15 @@
 	return admission.Unrepeatable
 }
 
-// digest tells a resend from another request under the same key.
+// digest distinguishes a resend from a different request with the same key.
 func (r *request) digest() uint64 {
 	d := xxhash.New()
 	fmt.Fprintf(d, "%s\n%s\n%s\n%d\n", r.service, r.method, r.path, len(r.body))
-	_, _ = d.Write(r.body) // a hash takes every write
+	_, _ = d.Write(r.body) // a hash never returns an error
 	return d.Sum64()
 }
 
-// withRange returns the request for the rest of an answer from an offset.
+// withRange returns a request for the rest of a resource from an offset on.
 func (r *request) withRange(offset int64, etag string) *request {
 	next := *r
 	next.header = r.header.Clone()
@@ -166,8 +166,8 @@
 	return &next
 }
 
-// withoutKey returns the request as its owner runs it: another box that it is
-// passed to must not send it back to the owner.
+// withoutKey returns the request that the owner of its key dispatches. Without the key, a box
+// that it is forwarded to does not send it back to the owner.
 func (r *request) withoutKey() *request {
 	next := *r
 	next.key = ""
@@ -176,56 +176,56 @@
 	return &next
 }
 
-// own are the headers of the system, which do not go to targets.
-var own = []string{
+// internalHeaders are used within the system and are not sent to targets.
+var internalHeaders = []string{
 	caller.HeaderKey, caller.HeaderRepeatable, caller.HeaderHome, caller.HeaderBlock, headerHops, headerForeign, headerNoWait,
 }
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = []string{
+// hopByHopHeaders apply to a single connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// replayTriggers are headers that make the transport send a request again by
-// itself; they go out in lower case, which the transport does not look at.
+// replayTriggers are headers that make http.Transport retry a request by itself. They are sent
+// in lower case, which the transport does not recognize.
 var replayTriggers = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// toTarget returns the HTTP request for a target.
-func (r *request) toTarget(now time.Time, address string) (*http.Request, error) {
+// targetRequest returns the HTTP request to be sent to a target.
+func (r *request) targetRequest(now time.Time, address string) (*http.Request, error) {
 	h, err := http.NewRequest(r.method, "http://"+address+r.path, bytes.NewReader(r.body))
 	if err != nil {
 		return nil, fmt.Errorf("making the request for the target: %w", err)
 	}
 	h.Header = r.header.Clone()
-	for _, name := range own {
+	for _, name := range internalHeaders {
 		h.Header.Del(name)
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Header.Del(name)
 	}
-	r.finish(now, h)
+	r.setOutgoingHeaders(now, h)
 	return h, nil
 }
 
-// toPeer returns the HTTP request for another entry box.
-func (r *request) toPeer(now time.Time) (*http.Request, error) {
+// peerRequest returns the HTTP request to be sent to another entry box.
+func (r *request) peerRequest(now time.Time) (*http.Request, error) {
 	h, err := http.NewRequest(r.method, "http://peer"+caller.ServicePrefix+r.service+r.path, bytes.NewReader(r.body))
 	if err != nil {
 		return nil, fmt.Errorf("making the request for another entry box: %w", err)
 	}
 	h.Header = r.header.Clone()
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		h.Header.Del(name)
 	}
 	h.Header.Set(headerHops, strconv.Itoa(r.hops+1))
 	h.Header.Set(headerForeign, strconv.FormatBool(r.foreign))
 	h.Header.Set(headerNoWait, strconv.FormatBool(r.noWait))
 	h.Header.Set(caller.HeaderRepeatable, strconv.FormatBool(r.repeatable))
-	r.finish(now, h)
+	r.setOutgoingHeaders(now, h)
 	return h, nil
 }
 
-func (r *request) finish(now time.Time, h *http.Request) {
+func (r *request) setOutgoingHeaders(now time.Time, h *http.Request) {
 	h.ContentLength = int64(len(r.body))
 	if len(r.body) == 0 {
 		h.Body = http.NoBody
--- a/internal/entry/stopping.go
+++ b/internal/entry/stopping.go
@@ -18,25 +18,25 @@
 
 const (
 	stopPoll = 20 * time.Millisecond
-	// ttlMargin is added to the time for which callers may use old answers.
+	// ttlMargin is added to the time for which callers may use cached lookup answers.
 	ttlMargin = 500 * time.Millisecond
 )
 
-// stopping hosts the planned stop of this box.
-type stopping struct {
+// gracefulStop hosts the state machine of this box's graceful stop.
+type gracefulStop struct {
 	clock *boottime.Clock
 	mu    sync.Mutex
 	stop  drain.Stop
 }
 
-func (s *stopping) begun() bool {
+func (s *gracefulStop) begun() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stop.Phase() != drain.Serving
 }
 
-// enter counts a request in unless new ones are refused.
-func (s *stopping) enter(inFlight *atomic.Int64) bool {
+// admitRequest counts a new request as in flight, unless new requests are refused.
+func (s *gracefulStop) admitRequest(inFlight *atomic.Int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stop.Phase() >= drain.Refusing {
@@ -46,38 +46,38 @@
 	return true
 }
 
-func (s *stopping) begin(ttl, longest time.Duration) {
+func (s *gracefulStop) begin(ttl, maxRequestTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stop.Begin(s.clock.Now(), ttl, longest)
+	s.stop.Begin(s.clock.Now(), ttl, maxRequestTime)
 }
 
-func (s *stopping) update(inFlight *atomic.Int64) drain.Phase {
+func (s *gracefulStop) update(inFlight *atomic.Int64) drain.Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	phase, _ := s.stop.Update(s.clock.Now(), int(inFlight.Load()))
 	return phase
 }
 
-func (s *stopping) progress() drain.Progress {
+func (s *gracefulStop) progress() drain.Progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stop.Progress(s.clock.Now())
 }
 
-// stopAsPlanned leaves the look-ups, serves until cached answers have run out,
+// stopGracefully removes the box from lookup answers, serves until cached answers have expired,
 // refuses new requests and waits for those in flight.
-func (d *Daemon) stopAsPlanned() {
-	f := d.current.Load()
-	var ttl, longest time.Duration
-	for _, service := range f.tree.Services() {
-		for _, z := range f.tree.Zones() {
-			v := f.tree.Service(z.Region, z.Name, service).Values
+func (d *Daemon) stopGracefully() {
+	active := d.current.Load()
+	var ttl, maxRequestTime time.Duration
+	for _, service := range active.tree.Services() {
+		for _, z := range active.tree.Zones() {
+			v := active.tree.Service(z.Region, z.Name, service).Values
 			ttl = max(ttl, v.AnswerTTL)
-			longest = max(longest, v.RequestTimeout)
+			maxRequestTime = max(maxRequestTime, v.RequestTimeout)
 		}
 	}
-	d.stop.begin(ttl+ttlMargin, longest)
+	d.stop.begin(ttl+ttlMargin, maxRequestTime)
 	last := drain.Serving
 	ticker := time.NewTicker(stopPoll)
 	defer ticker.Stop()
@@ -96,7 +96,7 @@
 	}
 }
 
-// releasePools gives up the leases once nothing runs under them.
+// releasePools releases the leases once no request runs under them.
 func (d *Daemon) releasePools() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
@@ -105,7 +105,7 @@
 			time.Sleep(stopPoll)
 		}
 	}
-	// The releases are sent by workers of their own; give them a moment.
+	// The releases are sent by separate goroutines; give them time to finish.
 	time.Sleep(releaseGrace)
 }
 
@@ -126,7 +126,7 @@
 	}
 }
 
-// serveOperators serves metrics and the progress of a stop.
+// serveOperators serves the operator API: metrics and the status of the box.
 func (d *Daemon) serveOperators(ctx context.Context) error {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -134,11 +134,11 @@
 	app.Get("/metrics", iris.FromStd(promhttp.HandlerFor(d.process.Metrics, promhttp.HandlerOpts{})))
 	app.Get("/v1/status", d.getStatus)
 	if err := app.Build(); err != nil {
-		return fmt.Errorf("building the operators' interface: %w", err)
+		return fmt.Errorf("building the operator API: %w", err)
 	}
 	server := &http.Server{Handler: app, ReadHeaderTimeout: readHeaderTimeout}
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(d.operators) }()
+	go func() { ended <- server.Serve(d.operatorListener) }()
 	select {
 	case err := <-ended:
 		return err
@@ -151,7 +151,7 @@
 	return err
 }
 
-// boxStatus is what an entry box says of itself to operators.
+// boxStatus is the status of an entry box as shown to operators.
 type boxStatus struct {
 	Name            string `json:"name"`
 	Zone            string `json:"zone"`
@@ -164,11 +164,11 @@
 
 func (d *Daemon) getStatus(c iris.Context) {
 	p := d.stop.progress()
-	_ = c.JSON(boxStatus{ // the client sees a broken answer
+	_ = c.JSON(boxStatus{ // the client gets a truncated response
 		Name:            d.config.Name,
 		Zone:            d.config.Zone,
 		Version:         d.current.Load().state.Version(),
-		AgeMillis:       d.following.Age().Milliseconds(),
+		AgeMillis:       d.follower.Age().Milliseconds(),
 		Phase:           p.Phase.String(),
 		InFlight:        int(d.inFlight.Load()),
 		RemainingMillis: p.Remaining.Milliseconds(),
--- a/internal/entry/system_basic_test.go
+++ b/internal/entry/system_basic_test.go
@@ -11,17 +11,17 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-func report(t *testing.T, s *system) {
+func reportProblems(t *testing.T, s *system) {
 	t.Helper()
 	for _, p := range s.problems {
 		t.Error(p)
 	}
 }
 
-// TestKeyedRequestThroughAnyBox guards against a request under a key going
-// round between its owner and the box that holds the pool.
+// Guards against forwarding a keyed request back and forth between the owner of its key and
+// the box that holds the pool.
 func TestKeyedRequestThroughAnyBox(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
 		for name, host := range boxHosts {
 			c := s.client("flags")
@@ -33,14 +33,14 @@
 			}
 		}
 		s.close(2)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-// TestBoxThatDoesNotVote sends through a box that has no vote on the leases of
-// its zone and must learn from others who holds the pool.
-func TestBoxThatDoesNotVote(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Guards against failed requests through a box that does not vote on the leases of its zone,
+// and so must learn the holder of the pool from other boxes.
+func TestNonVotingBoxFindsHolder(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
 		s.change(&wire.Edit{Path: "/east/za", Key: "leaseVoters", Value: "b1"})
 		time.Sleep(5 * time.Second)
@@ -52,14 +52,14 @@
 			}
 		}
 		s.close(2)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-// TestPlatformListTakesTargetsOut lets the platform say that a target leaves,
-// two seconds late, and checks that it gets no work after that.
-func TestPlatformListTakesTargetsOut(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+// Guards against requests to a target that the platform lists as leaving. The list lags by two
+// seconds.
+func TestPlatformListDrainsTargets(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		const lag = 2 * time.Second
 		s := newSystemWith(t, 2, "http://10.0.7.1:1/")
 		list := standin.NewPlatform(lag, time.Now)
@@ -84,12 +84,12 @@
 		_ = server.Close()
 		<-done
 		s.close(2)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
 func TestTraffic(t *testing.T) {
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
 		c := s.client("flags")
 		for i := range 20 {
@@ -104,6 +104,6 @@
 			t.Errorf("export: %s", a.Outcome)
 		}
 		s.close(2)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -34,27 +34,27 @@
 	exportBytes = 300_000
 )
 
-// system runs three real entry boxes, two in zone a and one in zone b, with two
-// targets in each zone, a control that only publishes, and callers, all in the
-// memory of a synctest bubble.
+// system runs three real entry boxes, two in zone a and one in zone b, with two targets in each
+// zone, a control replica that only publishes, and callers, all in memory within a synctest
+// bubble.
 type system struct {
-	t       *testing.T
-	network *fakeNetwork
-	state   steering.State
-	publish *relay.Publishing
-	// stopPublish ends the publishing's loop.
-	stopPublish func()
-	control     *link.Node
-	boxes       map[string]*runningBox
-	targets     map[string]*runningTarget
-	runs        map[string]int
-	over        int
-	ended       []chan error
-	clients     []*http.Client
-	nonce       int
-	// platform is the address of the platform's list, if there is one.
+	t         *testing.T
+	network   *fakeNetwork
+	state     steering.State
+	publisher *relay.Publishing
+	// stopPublisher stops the publisher's loop.
+	stopPublisher func()
+	control       *link.Node
+	boxes         map[string]*runningBox
+	targets       map[string]*runningTarget
+	runs          map[string]int
+	overloaded    int
+	killed        []chan error
+	clients       []*http.Client
+	nonce         int
+	// platform is the URL of the platform's list, or empty.
 	platform string
-	// onEvidence takes what boxes tell control of requests under which targets ended.
+	// onEvidence is called with the evidence that boxes send about requests which crashed targets.
 	onEvidence func(*wire.Evidence)
 
 	mu       sync.Mutex
@@ -67,13 +67,13 @@
 	daemon           *Daemon
 	cancel           context.CancelFunc
 	done             chan error
-	// asleep is for how long its machine was suspended, in nanoseconds. Virtual time stands
-	// still meanwhile, as its steady clock does.
-	asleep *atomic.Int64
+	// suspended is how long the box's machine has been suspended, in nanoseconds. Virtual time
+	// does not advance in a suspension, and neither does the steady clock of a real machine.
+	suspended *atomic.Int64
 }
 
-// suspend has the box's machine be suspended.
-func (b *runningBox) suspend(d time.Duration) { b.asleep.Add(int64(d)) }
+// suspend simulates a suspension of the box's machine.
+func (b *runningBox) suspend(d time.Duration) { b.suspended.Add(int64(d)) }
 
 type runningTarget struct {
 	host   string
@@ -102,14 +102,14 @@
 		runs: make(map[string]int), sent: make(map[string]caller.Outcome),
 	}
 	for name, host := range boxHosts {
-		s.network.place(host, zoneOfBox(name))
+		s.network.setZone(host, zoneOfBox(name))
 	}
-	s.network.place(controlHost, "zc")
+	s.network.setZone(controlHost, "zc")
 	s.startControl()
 	for _, name := range []string{"a1", "a2", "b1", "b2"} {
 		s.startTarget(name, slots, nil)
 	}
-	s.change(s.edits(slots)...)
+	s.change(s.initialSettings(slots)...)
 	for name := range boxHosts {
 		s.startBox(name)
 	}
@@ -117,16 +117,16 @@
 	return s
 }
 
-// bubble runs a test in virtual time. Channels that a library keeps in a pool
-// must not go from one bubble to the next; two collections empty all pools.
-func bubble(t *testing.T, run func(t *testing.T)) {
+// runInBubble runs a test in a synctest bubble. Channels that a library keeps in a sync.Pool
+// must not move from one bubble to the next; two garbage collections empty all pools.
+func runInBubble(t *testing.T, run func(t *testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
 	synctest.Test(t, run)
 }
 
-func (s *system) problem(format string, args ...any) {
+func (s *system) addProblem(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.problems) < 6 {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (s *system) edits(slots int) []*wire.Edit {
+func (s *system) initialSettings(slots int) []*wire.Edit {
 	set := func(path, key, value string) *wire.Edit { return &wire.Edit{Path: path, Key: key, Value: value} }
 	return []*wire.Edit{
 		set("/", "slots", fmt.Sprint(slots)),
@@ -149,29 +149,29 @@
 	}
 }
 
-// change puts a change in force at control.
+// change applies a change of settings and publishes it.
 func (s *system) change(edits ...*wire.Edit) {
 	c := &wire.Command{Change: &wire.Change{Id: fmt.Sprint(s.state.Version()), BaseVersion: s.state.SettingsVersion(), Edits: edits}}
 	next, result := s.state.Apply(c)
 	if !result.Changed {
-		s.t.Fatalf("the change is refused: %v", result.Verdict)
+		s.t.Fatalf("the change was refused: %v", result.Verdict)
 	}
 	s.state = next
-	s.publish.Put(next, []*wire.Command{c})
+	s.publisher.Put(next, []*wire.Command{c})
 }
 
 func (s *system) startControl() {
 	clock := timeline.NewClock(time.Now)
-	s.publish = relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
+	s.publisher = relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
 	ctx, cancel := context.WithCancel(context.Background())
 	published := make(chan error, 1)
-	go func() { published <- s.publish.Run(ctx) }()
-	s.stopPublish = func() {
+	go func() { published <- s.publisher.Run(ctx) }()
+	s.stopPublisher = func() {
 		cancel()
 		<-published
 	}
 	handlers := link.Handlers{
-		Subscribe: func(ctx context.Context, _ string, m *link.Messages) { s.publish.Serve(ctx, m) },
+		Subscribe: func(ctx context.Context, _ string, m *link.Messages) { s.publisher.Serve(ctx, m) },
 		Call: func(_ context.Context, _ string, r *wire.CallRequest) *wire.CallAnswer {
 			if r.Evidence != nil && s.onEvidence != nil {
 				s.onEvidence(r.Evidence)
@@ -179,7 +179,7 @@
 			return &wire.CallAnswer{}
 		},
 	}
-	s.network.carryFrames(controlHost + ":1")
+	s.network.setFramed(controlHost + ":1")
 	node, err := link.Listen(s.networkOf(controlHost), controlHost+":1", link.Identity{Name: "control"}, clock, handlers, nil)
 	if err != nil {
 		s.t.Fatal(err)
@@ -211,7 +211,7 @@
 			}
 		},
 	})
-	s.network.place(r.host, r.zone)
+	s.network.setZone(r.host, r.zone)
 	s.network.revive(r.host)
 	l, err := s.network.listen(r.host + ":1")
 	if err != nil {
@@ -249,19 +249,19 @@
 	return maps.Clone(s.boxes)
 }
 
-// endTarget ends a target and keeps what it has run.
-func (s *system) endTarget(name string, slots int) {
+// stopTarget stops a target and keeps the record of what it has run.
+func (s *system) stopTarget(name string, slots int) {
 	r := s.target(name)
 	r.cancel()
 	<-r.done
-	runs, most := r.target.Runs()
+	runs, maxConcurrent := r.target.Runs()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, n := range runs {
 		s.runs[id] += n
 	}
-	if most > slots {
-		s.over++
+	if maxConcurrent > slots {
+		s.overloaded++
 	}
 	delete(s.targets, name)
 }
@@ -269,8 +269,8 @@
 func (s *system) startBox(name string) {
 	host := boxHosts[name]
 	s.network.revive(host)
-	asleep := &atomic.Int64{}
-	clock := boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
+	suspended := &atomic.Int64{}
+	clock := boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 	c := config.Entry{
 		Common:        config.Common{Clock: clock, Name: name, PeerAddress: host + ":2", LogLevel: "error"},
 		CallerAddress: host + ":1",
@@ -279,27 +279,27 @@
 		Controls:      []string{controlHost + ":1"},
 		PlatformList:  s.platform,
 	}
-	s.network.carryFrames(c.PeerAddress)
+	s.network.setFramed(c.PeerAddress)
 	d, err := Open(c, io.Discard, s.networkOf(host))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &runningBox{name: name, host: host, zone: c.Zone, daemon: d, cancel: cancel, done: make(chan error, 1), asleep: asleep}
+	b := &runningBox{name: name, host: host, zone: c.Zone, daemon: d, cancel: cancel, done: make(chan error, 1), suspended: suspended}
 	go func() { b.done <- d.Run(ctx) }()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.boxes[name] = b
 }
 
-// killBox cuts a box off for good and lets its goroutines end by themselves.
+// killBox disconnects a box permanently and lets its goroutines end in the background.
 func (s *system) killBox(name string) {
 	b := s.box(name)
 	s.network.kill(b.host)
 	b.cancel()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = append(s.ended, b.done)
+	s.killed = append(s.killed, b.done)
 }
 
 func (s *system) client(service string) *caller.Client {
@@ -320,11 +320,11 @@
 	})
 }
 
-// toggle sends a request that may not be repeated and notes its outcome.
+// toggle sends an unrepeatable request and records its outcome.
 func (s *system) toggle(c *caller.Client, name string, timeout time.Duration) caller.Answer {
 	a, err := c.Do(context.Background(), caller.Request{Method: http.MethodPost, Path: "/toggle", Body: []byte(name), Timeout: timeout})
 	if err == nil && a.Outcome == caller.Ran && a.Status == http.StatusOK && !strings.HasPrefix(string(a.Body), "/toggle "+name[:min(len(name), 20)]) {
-		s.problem("toggle %.20s got the answer %.40q", name, a.Body)
+		s.addProblem("toggle %.20s got the answer %.40q", name, a.Body)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -335,7 +335,7 @@
 func (s *system) read(c *caller.Client, timeout time.Duration) caller.Answer {
 	a, _ := c.Do(context.Background(), caller.Request{Method: http.MethodGet, Path: "/flag", Timeout: timeout, Repeatable: true})
 	if a.Outcome == caller.Ran && a.Status == http.StatusOK && string(a.Body) != "/flag " {
-		s.problem("a read got the answer %.40q", a.Body)
+		s.addProblem("a read got the answer %.40q", a.Body)
 	}
 	return a
 }
@@ -344,12 +344,12 @@
 	path := fmt.Sprintf("/export?size=%d", exportBytes)
 	a, _ := c.Do(context.Background(), caller.Request{Method: http.MethodGet, Path: path, Timeout: timeout, Repeatable: true})
 	if a.Outcome == caller.Ran && a.Status == http.StatusOK && !bytes.Equal(a.Body, standin.ExportContent(exportBytes)) {
-		s.problem("an export of %d bytes came as %d others", exportBytes, len(a.Body))
+		s.addProblem("an export of %d bytes came back as %d bytes with other content", exportBytes, len(a.Body))
 	}
 	return a
 }
 
-// close ends everything and checks what ran.
+// close stops everything and checks what has run.
 func (s *system) close(slots int) {
 	boxes := s.allBoxes()
 	for _, b := range boxes {
@@ -358,30 +358,30 @@
 	for _, b := range boxes {
 		<-b.done
 	}
-	for _, done := range s.ended {
+	for _, done := range s.killed {
 		<-done
 	}
 	for name := range s.allTargets() {
-		s.endTarget(name, slots)
+		s.stopTarget(name, slots)
 	}
 	_ = s.control.Close()
-	s.stopPublish()
+	s.stopPublisher()
 	for _, h := range s.clients {
 		h.CloseIdleConnections()
 	}
 	for name, outcome := range s.sent {
 		n := s.runs[name]
 		if n > 1 {
-			s.problem("toggle %.20s ran %d times", name, n)
+			s.addProblem("toggle %.20s ran %d times", name, n)
 		}
 		if n > 0 && outcome == caller.NotRun {
-			s.problem("toggle %.20s ran and its caller was told that it did not", name)
+			s.addProblem("toggle %.20s ran, but its outcome is not run", name)
 		}
 		if n == 0 && outcome == caller.Ran {
-			s.problem("toggle %.20s did not run and its caller was told that it did", name)
+			s.addProblem("toggle %.20s did not run, but its outcome is ran", name)
 		}
 	}
-	if s.over > 0 {
-		s.problem("%d targets had more requests at once than slots", s.over)
+	if s.overloaded > 0 {
+		s.addProblem("%d targets had more requests at once than slots", s.overloaded)
 	}
 }
--- a/internal/entry/targetlimits_test.go
+++ b/internal/entry/targetlimits_test.go
@@ -12,70 +12,70 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against a rate-limited target that gets more than it names, checks of its health
-// included.
-func TestTargetGetsNoMoreThanItNames(t *testing.T) {
+// Guards against sending a target more requests, health checks included, than the rate limit
+// that it reports.
+func TestTargetRateLimitIsRespected(t *testing.T) {
 	const (
 		limit  = 3.0
 		window = 4 * time.Second
 	)
-	bubble(t, func(t *testing.T) {
+	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 4)
 		s.change(&wire.Edit{Path: "/", Key: settings.ReportIntervalMillis, Value: "100"})
-		s.reads(time.Second)
+		s.readFor(time.Second)
 		s.target("a1").target.SetLimit("3")
-		named := time.Now()
-		s.reads(14 * time.Second)
-		most, used := 0, 0
-		var counted []time.Time
+		limitedSince := time.Now()
+		s.readFor(14 * time.Second)
+		maxInWindow, arrivals := 0, 0
+		var inWindow []time.Time
 		for _, at := range s.target("a1").target.Arrivals() {
-			if at.After(named.Add(window)) {
-				used++
+			if at.After(limitedSince.Add(window)) {
+				arrivals++
 			}
-			if at.After(named.Add(500 * time.Millisecond)) {
-				counted = append(counted, at)
+			if at.After(limitedSince.Add(500 * time.Millisecond)) {
+				inWindow = append(inWindow, at)
 			}
-			for len(counted) > 0 && at.Sub(counted[0]) > window {
-				counted = counted[1:]
+			for len(inWindow) > 0 && at.Sub(inWindow[0]) > window {
+				inWindow = inWindow[1:]
 			}
-			if at.After(named.Add(window)) {
-				most = max(most, len(counted))
+			if at.After(limitedSince.Add(window)) {
+				maxInWindow = max(maxInWindow, len(inWindow))
 			}
 		}
-		if allowed := int(1.5*limit*window.Seconds()) + 5; most > allowed {
-			t.Errorf("a target that names %v a second got %d requests in %s, allowed %d", limit, most, window, allowed)
+		if allowed := int(1.5*limit*window.Seconds()) + 5; maxInWindow > allowed {
+			t.Errorf("a target with a limit of %v per second got %d requests in %s, want at most %d", limit, maxInWindow, window, allowed)
 		}
-		if perSecond := float64(used) / 10; perSecond < 0.9*limit {
-			t.Errorf("it got %v a second of %v", perSecond, limit)
+		if perSecond := float64(arrivals) / 10; perSecond < 0.9*limit {
+			t.Errorf("the target got %v requests per second, want at least 0.9 of %v", perSecond, limit)
 		}
-		t.Logf("most %d, used %d in 10 s", most, used)
+		t.Logf("at most %d requests in a window, %d in 10 s", maxInWindow, arrivals)
 		s.close(4)
-		report(t, s)
+		reportProblems(t, s)
 	})
 }
 
-func TestWhatAnswersSayOfALimit(t *testing.T) {
+func TestLimitFromResponse(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		header http.Header
 		want   float64
 	}{
-		"names one":                    {200, http.Header{caller.HeaderLimit: {"2.5"}}, 2.5},
-		"names none":                   {200, http.Header{}, targetstatus.NoLimit},
-		"names one and is shed":        {429, http.Header{caller.HeaderLimit: {"2.5"}}, 2.5},
-		"names none and is shed":       {429, http.Header{}, 0},
-		"names one that can't be read": {200, http.Header{caller.HeaderLimit: {"some"}}, 0},
+		"limit":              {200, http.Header{caller.HeaderLimit: {"2.5"}}, 2.5},
+		"no limit":           {200, http.Header{}, targetstatus.NoLimit},
+		"rejected, limit":    {429, http.Header{caller.HeaderLimit: {"2.5"}}, 2.5},
+		"rejected, no limit": {429, http.Header{}, 0},
+		"invalid limit":      {200, http.Header{caller.HeaderLimit: {"some"}}, 0},
 	}
 	for name, c := range cases {
 		p := newPool("s", "box", "i", 1)
-		p.limited.Store(true)
-		p.observe("t", &http.Response{StatusCode: c.status, Header: c.header}, time.Time{})
-		got := 0.0 // for no update
+		p.hasLimitedTarget.Store(true)
+		p.recordStatus("t", &http.Response{StatusCode: c.status, Header: c.header}, time.Time{})
+		got := 0.0 // stays 0 without an update
 		if len(p.inbox) > 0 {
 			got = (<-p.inbox).(poolEvent).event.(admission.TargetUpdate).Update.Limit
 		}
 		if got != c.want {
-			t.Errorf("%s: the pool is told %v, want %v", name, got, c.want)
+			t.Errorf("%s: the limit is %v, want %v", name, got, c.want)
 		}
 	}
 }
--- a/internal/entry/targetstatus.go
+++ b/internal/entry/targetstatus.go
@@ -12,47 +12,49 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// statusHeaders are the headers in which targets say how they are.
+// statusHeaders are the headers in which targets report their status.
 var statusHeaders = targetstatus.Headers{Limit: caller.HeaderLimit, Leaving: caller.HeaderLeaving}
 
-// observe tells the pool what an answer says of its target; began is when the request was
-// sent.
-func (p *pool) observe(target string, response *http.Response, began time.Time) targetstatus.Status {
+// recordStatus passes the status that a response reports to the pool. The request was sent at
+// sentAt.
+func (p *pool) recordStatus(target string, response *http.Response, sentAt time.Time) targetstatus.Status {
 	status := statusHeaders.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
-	status.NotRun = shed(response)
-	p.report(target, status, began)
+	status.NotRun = isRejection(response)
+	p.reportStatus(target, status, sentAt)
 	return status
 }
 
-// observeHealth tells the pool what the answer to a check of its health says of a target. One
-// without a limit does not take a limit back: it may come from elsewhere in the target.
-func (p *pool) observeHealth(target string, response *http.Response, began time.Time) {
+// recordHealthStatus passes the status that a health check's response reports to the pool. A
+// response without a limit does not withdraw an earlier one, since another part of the target
+// may answer health checks.
+func (p *pool) recordHealthStatus(target string, response *http.Response, sentAt time.Time) {
 	status := statusHeaders.Decode(response.StatusCode, response.Header, time.Now) // time of day: a Retry-After may be a date
 	status.NotRun = true
-	p.report(target, status, began)
+	p.reportStatus(target, status, sentAt)
 }
 
-func (p *pool) report(target string, status targetstatus.Status, began time.Time) {
-	if len(status.Unparsed) > 0 && p.unread != nil {
-		p.unread(target, status.Unparsed)
+func (p *pool) reportStatus(target string, status targetstatus.Status, sentAt time.Time) {
+	if len(status.Unparsed) > 0 && p.onUnparsed != nil {
+		p.onUnparsed(target, status.Unparsed)
 	}
 	if status.BackOff > 0 {
-		if now := p.clock.Now(); p.backOffs.add(now, target, now.Add(status.BackOff)) && p.backedOff != nil {
-			p.backedOff(target, status.BackOff)
+		if now := p.clock.Now(); p.backOffs.extend(now, target, now.Add(status.BackOff)) && p.onBackOff != nil {
+			p.onBackOff(target, status.BackOff)
 		}
 		p.inbox <- poolEvent{admission.BackOff{Target: target, Wait: status.BackOff}}
 	}
-	if !status.HasLimit && !status.Leaving && !(status.ReportsLimit() && p.limited.Load()) {
-		return // says nothing new
+	if !status.HasLimit && !status.Leaving && !(status.ReportsLimit() && p.hasLimitedTarget.Load()) {
+		return // nothing new
 	}
-	u := status.Update(target, began, p.clock.Now())
+	u := status.Update(target, sentAt, p.clock.Now())
 	p.inbox <- poolEvent{admission.TargetUpdate{Target: target, Update: u}}
 }
 
-// slotKey is the key of a request's slot in its context.
+// slotKey is the context key of a request's slot.
 type slotKey struct{}
 
-// BackedOffError says that a request was not sent to the target that was chosen for it.
+// BackedOffError is returned for a request that was not sent because its target asked for a
+// back-off.
 type BackedOffError struct{ Target string }
 
 // Error implements error.
@@ -60,8 +62,8 @@
 	return "not sent: " + e.Target + " has asked for a back-off meanwhile"
 }
 
-// dialForSlot connects to the target of a slot. The choice is made again once the connection
-// is there: the target may have asked for a back-off since.
+// dialForSlot connects to the target of a slot. The target's back-off is checked again after
+// the connection is established, since it may have started in the meantime.
 func (d *Daemon) dialForSlot(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := d.dialTarget(ctx, network, address)
 	if err != nil {
@@ -75,24 +77,24 @@
 	return conn, nil
 }
 
-// backOffs are the ends of the back-offs that targets asked this box for, by their names.
+// backOffs holds, by target name, when the back-offs end that targets asked this box for.
 type backOffs struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// add reports whether the target was not backed off before.
-func (b *backOffs) add(now time.Time, target string, until time.Time) (began bool) {
+// extend adds or extends a back-off. It reports whether the target was not backed off before.
+func (b *backOffs) extend(now time.Time, target string, until time.Time) (started bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.until == nil {
 		b.until = make(map[string]time.Time)
 	}
-	began = !now.Before(b.until[target])
+	started = !now.Before(b.until[target])
 	if until.After(b.until[target]) {
 		b.until[target] = until
 	}
-	return began
+	return started
 }
 
 func (b *backOffs) isActive(now time.Time, target string) bool {
@@ -101,7 +103,7 @@
 	return now.Before(b.until[target])
 }
 
-func (b *backOffs) active(now time.Time) (n int) {
+func (b *backOffs) countActive(now time.Time) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, until := range b.until {
@@ -112,18 +114,20 @@
 	return n
 }
 
-// backedOffTargets returns how many targets this box sends nothing at their request.
+// backedOffTargets returns the number of targets to which this box sends nothing because they
+// asked for a back-off.
 func (d *Daemon) backedOffTargets() float64 {
 	n := 0
 	for _, p := range d.poolList() {
-		n += p.backOffs.active(d.clock.Now())
+		n += p.backOffs.countActive(d.clock.Now())
 	}
 	return float64(n)
 }
 
-// retryAfterOf is when the caller of a rejected request may come back: when the target
-// says so, or at once where that was about the box, as another target may have room.
-func retryAfterOf(response *http.Response, status targetstatus.Status) time.Duration {
+// callerRetryAfter returns when the caller of a rejected request may retry: after the target's
+// Retry-After, or soon if only this box was asked to back off, since another target may have
+// capacity.
+func callerRetryAfter(response *http.Response, status targetstatus.Status) time.Duration {
 	if status.BackOff > 0 {
 		return minRetryAfter
 	}
