--- a/contrib/demo/drill.go
+++ b/contrib/demo/drill.go
@@ -166,7 +166,7 @@
 	if err := d.signal(follower, syscall.SIGSTOP); err != nil {
 		return err
 	}
-	version := s.SettingsAt
+	version := s.SettingsVersion
 	for i := range missedCount {
 		change := operator.Change{
 			ID: fmt.Sprint("missed-", i), BaseVersion: version,
--- a/internal/entry/daemon.go
+++ b/internal/entry/daemon.go
@@ -49,8 +49,8 @@
 	seed             uint64
 	network          link.Network
 	node             *link.Node
-	publisher        *relay.Publishing
-	follower         *relay.Following
+	publisher        *relay.Publisher
+	follower         *relay.Follower
 	callerListener   net.Listener
 	operatorListener net.Listener
 	forwardListener  *link.StreamListener
@@ -111,7 +111,7 @@
 	}
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(c.Name + p.Incarnation)) // a hash never returns an error
-	p.Time = c.Clock
+	p.BootClock = c.Clock
 	d := &Daemon{config: c, clock: c.Clock, process: p, seed: seed.Sum64(), network: network}
 	d.votes.voter = lease.NewVoter(d.clock.Now(), c.Name, maxLease)
 	d.budgets.byService = make(map[string]*retry.Budget)
@@ -119,7 +119,7 @@
 	d.leaving.addresses = make(map[string]bool)
 	d.setState(steering.State{})
 	d.follower = newFollower(d)
-	d.publisher = relay.NewPublishing(steering.State{}, d.follower.Age, p.Clock.Stamp)
+	d.publisher = relay.NewPublisher(steering.State{}, d.follower.ControlAge, p.Clock.Stamp)
 	d.keys = newKeys(d)
 	d.peers = newPeers(d)
 	d.publisher.SetClock(d.clock)
@@ -139,7 +139,7 @@
 		return err
 	}
 	id := link.Identity{Name: d.config.Name, Incarnation: d.process.Incarnation}
-	handlers := link.Handlers{Subscribe: d.serveSubscriber, Call: d.serveCall, Forward: d.serveForward, Refused: d.process.LinkRefused}
+	handlers := link.Handlers{Subscribe: d.serveSubscriber, Call: d.serveCall, Forward: d.serveForward, Refused: d.process.RecordRefusedLink}
 	if d.callerListener, err = d.network.Listen(d.config.CallerAddress); err != nil {
 		return fmt.Errorf("listening for callers: %w", err)
 	}
@@ -191,7 +191,7 @@
 	}, []string{"service"})
 	d.process.Metrics.MustRegister(d.latency)
 	d.process.Gauge("version", "Version of the state in force.", func() float64 { return float64(d.current.Load().state.Version()) })
-	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.follower.Age().Seconds() })
+	d.process.Gauge("control_age_seconds", "Age of the word of control; a box that is cut off shows it growing.", func() float64 { return d.follower.ControlAge().Seconds() })
 	d.process.Gauge("in_flight", "Requests in flight.", func() float64 { return float64(d.inFlight.Load()) })
 	d.process.Gauge("request_keys", "Request keys kept.", func() float64 { return float64(d.keys.len()) })
 }
@@ -219,7 +219,7 @@
 	root.Add(process.Service{Name: "peers", Run: d.peers.run})
 	root.Add(process.Service{Name: "health", Run: d.probeTargets})
 	root.Add(process.Service{Name: "isolation", Run: d.isolation.Run})
-	root.Add(process.Service{Name: "suspensions", Run: d.process.NoteSuspensions})
+	root.Add(process.Service{Name: "suspensions", Run: d.process.LogSuspensions})
 	root.Add(process.Service{Name: "platform", Run: d.watchPlatform})
 	if d.operatorListener != nil {
 		root.Add(process.Service{Name: "operators", Run: d.serveOperators})
@@ -270,7 +270,7 @@
 	d.publisher.Serve(ctx, m)
 }
 
-func (d *Daemon) serveForward(c net.Conn) { d.forwardListener.Put(c) }
+func (d *Daemon) serveForward(c net.Conn) { d.forwardListener.Deliver(c) }
 
 func (d *Daemon) serveCall(_ context.Context, _ string, request *wire.CallRequest) *wire.CallAnswer {
 	switch {
--- a/internal/entry/follower.go
+++ b/internal/entry/follower.go
@@ -12,18 +12,18 @@
 )
 
 // newFollower returns the follower that keeps the box's steering state up to date.
-func newFollower(d *Daemon) *relay.Following {
-	return relay.NewFollowing(relay.Subscriber{
+func newFollower(d *Daemon) *relay.Follower {
+	return relay.NewFollower(relay.FollowerConfig{
 		Box:         d.config.Name,
 		Incarnation: d.process.Incarnation,
 		Zone:        d.config.Zone,
 		PeerAddress: d.config.PeerAddress,
 		Node:        func() *link.Node { return d.node },
 		Clock:       d.process.Clock,
-		Time:        d.clock,
+		BootClock:   d.clock,
 		Seed:        d.seed,
 		Sources:     d.sources,
-		PutInForce:  d.applyState,
+		ApplyState:  d.applyState,
 		Reports:     func() []*wire.BoxReport { return append(d.publisher.Reports(), d.boxReport()) },
 		Event:       d.process.Event,
 	})
@@ -34,7 +34,7 @@
 		d.isolation.SetList(quarantine.EntriesOf(s.Catalog().Quarantined()))
 	}
 	d.setState(s)
-	d.publisher.Put(s, commands)
+	d.publisher.SetState(s, commands)
 	d.configurePools()
 }
 
--- a/internal/entry/isolation.go
+++ b/internal/entry/isolation.go
@@ -13,17 +13,17 @@
 func (d *Daemon) newIsolation() *isolation.Isolation {
 	probes := d.process.Counter("target_looks_total", "Targets that were looked at after a connection broke, by whether they had ended.", "found")
 	return isolation.New(isolation.Config{
-		Clock:       d.clock,
-		Dial:        d.network.Dial,
-		DialTimeout: dialTargetTimeout,
-		Leaving:     func(string) bool { return false }, // a draining target has no running requests when it stops
-		Replicas:    func() []string { return d.config.Controls },
-		Tell:        d.sendEvidence,
-		Looked: func(l isolation.Look) {
+		Clock:        d.clock,
+		Dial:         d.network.Dial,
+		DialTimeout:  dialTargetTimeout,
+		Leaving:      func(string) bool { return false }, // a draining target has no running requests when it stops
+		Replicas:     func() []string { return d.config.Controls },
+		SendEvidence: d.sendEvidence,
+		OnProbe: func(l isolation.ProbeResult) {
 			probes.WithLabelValues(l.String()).Inc()
 		},
-		Ended: func(r isolation.Run) {
-			detail := fmt.Sprintf("target %s ended under request %s of %s", r.End.Incarnation, r.End.Request, r.End.Service)
+		OnCrash: func(r isolation.BrokenRun) {
+			detail := fmt.Sprintf("target %s ended under request %s of %s", r.Crash.Incarnation, r.Crash.Request, r.Crash.Service)
 			d.process.Event(&wire.TimelineEvent{Kind: "targetEnded", Request: r.Request, Detail: detail})
 		},
 	})
@@ -55,8 +55,8 @@
 		return
 	}
 	now := e.box.clock.Now()
-	e.box.isolation.Broke(isolation.Run{
-		End: quarantine.Crash{
+	e.box.isolation.ConnectionBroke(isolation.BrokenRun{
+		Crash: quarantine.Crash{
 			Request: e.request.fingerprint(), Caller: e.request.caller(),
 			// Targets don't report their start times, so the time of the crash distinguishes their
 			// incarnations. Only this box, which holds the pool's lease, sends to them.
@@ -70,16 +70,16 @@
 
 // reportAnswered reports that a target gave a complete response.
 func (e *execution) reportAnswered() {
-	if e.box.isolation.Idle() {
+	if e.box.isolation.IsIdle() {
 		return
 	}
-	e.box.isolation.Answered(e.request.fingerprint(), e.request.caller())
+	e.box.isolation.RecordAnswer(e.request.fingerprint(), e.request.caller())
 }
 
 // runUnlessQuarantined runs a request on this box's own pool unless it is quarantined because
 // targets crashed while they ran it.
 func (d *Daemon) runUnlessQuarantined(ctx context.Context, p *pool, r *request, v poolView) *answer {
-	if d.isolation.Idle() {
+	if d.isolation.IsIdle() {
 		return d.runLocally(ctx, p, r, v)
 	}
 	digest := r.fingerprint()
--- a/internal/entry/pools.go
+++ b/internal/entry/pools.go
@@ -107,17 +107,17 @@
 	p.clock = d.clock
 	p.sendLeaseRequests = func(requests []lease.Request) { d.sendLeaseRequests(p, requests) }
 	p.onRefusal = func(reason admissionReason) { d.refusals.WithLabelValues(service, string(reason)).Inc() }
-	logLimit := process.NewLineLimit(targetLogLinesPerSecond)
+	logLimit := process.NewLineLimiter(targetLogLinesPerSecond)
 	p.onBackOff = func(target string, wait time.Duration) {
 		d.backOffs.WithLabelValues(service).Inc()
-		if !logLimit.Take(d.clock.Now()) {
+		if !logLimit.Allow(d.clock.Now()) {
 			return
 		}
 		d.process.Log.Warn().Str("kind", "backOff").Str("service", service).Str("target", target).Dur("retryAfter", wait).
 			Msg("target asked for a back-off")
 	}
 	p.onUnparsed = func(target string, headers []string) {
-		if logLimit.Take(d.clock.Now()) {
+		if logLimit.Allow(d.clock.Now()) {
 			d.process.Log.Warn().Str("kind", "unreadHeaders").Str("service", service).Str("target", target).Strs("headers", headers).
 				Msg("invalid headers in a response of a target")
 		}
@@ -127,7 +127,7 @@
 		if held {
 			detail = "holds the lease on " + service
 		}
-		d.process.StateChange(&wire.TimelineEvent{Kind: "lease", Box: d.config.Name, Detail: detail})
+		d.process.RecordStateChange(&wire.TimelineEvent{Kind: "lease", Box: d.config.Name, Detail: detail})
 	}
 	return &runningPool{p, d.pools.supervisor.Add(process.Service{Name: "pool " + service, Run: p.run})}
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -104,7 +104,7 @@
 			for _, change := range changes {
 				c := &wire.Command{Quarantine: &wire.QuarantineCommand{Request: change.Entry.Message(), Release: change.Release}}
 				s.state, _ = s.state.Apply(c)
-				s.publisher.Put(s.state, []*wire.Command{c})
+				s.publisher.SetState(s.state, []*wire.Command{c})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
--- a/internal/entry/stopping.go
+++ b/internal/entry/stopping.go
@@ -87,7 +87,7 @@
 			last = phase
 			p := d.stop.progress()
 			detail := fmt.Sprintf("%s after %s with %d in flight, at most %s left", phase, p.Since.Round(time.Millisecond), p.InFlight, p.Remaining.Round(time.Millisecond))
-			d.process.StateChange(&wire.TimelineEvent{Kind: "stop", Box: d.config.Name, Detail: detail})
+			d.process.RecordStateChange(&wire.TimelineEvent{Kind: "stop", Box: d.config.Name, Detail: detail})
 		}
 		if phase == drain.Ended {
 			return
@@ -168,7 +168,7 @@
 		Name:            d.config.Name,
 		Zone:            d.config.Zone,
 		Version:         d.current.Load().state.Version(),
-		AgeMillis:       d.follower.Age().Milliseconds(),
+		AgeMillis:       d.follower.ControlAge().Milliseconds(),
 		Phase:           p.Phase.String(),
 		InFlight:        int(d.inFlight.Load()),
 		RemainingMillis: p.Remaining.Milliseconds(),
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -41,7 +41,7 @@
 	t         *testing.T
 	network   *fakeNetwork
 	state     steering.State
-	publisher *relay.Publishing
+	publisher *relay.Publisher
 	// stopPublisher stops the publisher's loop.
 	stopPublisher func()
 	control       *link.Node
@@ -157,12 +157,12 @@
 		s.t.Fatalf("the change was refused: %v", result.Verdict)
 	}
 	s.state = next
-	s.publisher.Put(next, []*wire.Command{c})
+	s.publisher.SetState(next, []*wire.Command{c})
 }
 
 func (s *system) startControl() {
 	clock := timeline.NewClock(time.Now)
-	s.publisher = relay.NewPublishing(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
+	s.publisher = relay.NewPublisher(steering.State{}, func() time.Duration { return 0 }, clock.Stamp)
 	ctx, cancel := context.WithCancel(context.Background())
 	published := make(chan error, 1)
 	go func() { published <- s.publisher.Run(ctx) }()
