--- a/internal/gateway/applystate_bench_test.go
+++ b/internal/gateway/applystate_bench_test.go
@@ -58,9 +58,9 @@
 	return s
 }
 
-// BenchmarkPutRoutes measures applying a decoded document in a box that has served all of its
+// BenchmarkApplyRoutes measures applying a decoded document in a box that has served all of its
 // routes.
-func BenchmarkPutRoutes(b *testing.B) {
+func BenchmarkApplyRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			document := documentOf(1, n)
@@ -80,9 +80,9 @@
 	}
 }
 
-// BenchmarkForgetRoutes measures how long requests wait for a document that drops no more routes
+// BenchmarkPruneRoutes measures how long requests wait for a document that drops no more routes
 // than it has.
-func BenchmarkForgetRoutes(b *testing.B) {
+func BenchmarkPruneRoutes(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
@@ -98,8 +98,9 @@
 	}
 }
 
-// BenchmarkKeepSplits measures how long they wait for one that drops more.
-func BenchmarkKeepSplits(b *testing.B) {
+// BenchmarkPruneSplits measures the further time that requests wait for a document that drops more
+// routes than it has, and with them their splits.
+func BenchmarkPruneSplits(b *testing.B) {
 	for _, n := range []int{1000, 5000, 20_000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
 			splits := make(map[string]*balance.Split)
@@ -114,8 +115,9 @@
 	}
 }
 
-// BenchmarkPutTargets measures applying a state of which only the routes changed.
-func BenchmarkPutTargets(b *testing.B) {
+// BenchmarkApplyUnchangedTargets measures applying the targets of a state in which only the routes
+// changed.
+func BenchmarkApplyUnchangedTargets(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
@@ -130,8 +132,8 @@
 	}
 }
 
-// BenchmarkPutJoined measures applying a state with one new target.
-func BenchmarkPutJoined(b *testing.B) {
+// BenchmarkApplyNewTarget measures applying states between which one target joins or leaves in turn.
+func BenchmarkApplyNewTarget(b *testing.B) {
 	for _, n := range []int{100, 400, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			d := newBoxWithoutCallers(b, io.Discard, testRoutes)
--- a/internal/gateway/applystate_test.go
+++ b/internal/gateway/applystate_test.go
@@ -13,9 +13,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// These tests guard against a box that applies all targets again with every state, which took 0.12
-// ms at 400 targets on one core, 0.7 ms on the 0.16 cores of a box, and a log line, and against
-// state of routes that is kept forever after they left the document.
+// These tests guard against two faults. A box applied all targets again with every state. That took
+// 0.12 ms for 400 targets on one core and 0.7 ms on the 0.16 cores of a box, and a log line each time.
+// It also kept the state of routes forever after they had left the document.
 
 // numbered decodes the documents that withDocument writes.
 func numbered(routesOf func(number uint64) catalog.Document) func([]byte) (catalog.Document, error) {
@@ -28,9 +28,9 @@
 	}
 }
 
-// A state with the same targets and evacuations as the one before leaves the balancer's targets
-// alone.
-func TestStateWithTheSameTargetsLeavesThemAlone(t *testing.T) {
+// A state with the same targets and evacuations as the one before must not set the balancer's
+// targets again.
+func TestUnchangedTargetsAreNotAppliedAgain(t *testing.T) {
 	var lines bytes.Buffer
 	d := newBoxWithoutCallers(t, &lines, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	s := withTarget(withDocument(steering.State{}, 1), "i", false)
@@ -51,7 +51,7 @@
 }
 
 // Every change of targets and evacuations is applied.
-func TestStateWithOtherTargetsIsPutInForce(t *testing.T) {
+func TestChangedTargetsAreApplied(t *testing.T) {
 	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document { return documentOf(n, 2) }))
 	usable := func(want bool) {
 		t.Helper()
@@ -106,7 +106,7 @@
 
 // The state that the box keeps of routes is bounded by the size of its document, also if each
 // document has different routes.
-func TestRoutesThatLeftTheDocumentAreForgotten(t *testing.T) {
+func TestStateOfRemovedRoutesIsBounded(t *testing.T) {
 	const routes = 10
 	d := newBoxWithoutCallers(t, &bytes.Buffer{}, numbered(func(n uint64) catalog.Document {
 		document := documentOf(n, routes)
@@ -128,7 +128,7 @@
 			d.recordOutcome(balance.Report{TargetID: c.Target.ID, Route: r.Name, Outcome: balance.Answered, Took: time.Millisecond})
 		}
 	}
-	const most = 3 * routes // twice the document's, and those of the last one
+	const most = 3 * routes // twice the number in the document, and those added by the last one
 	if got := d.balancing.balancer.RouteCount(); got > most {
 		t.Errorf("state of %d routes is kept, want at most %d", got, most)
 	}
--- a/internal/gateway/backoff_test.go
+++ b/internal/gateway/backoff_test.go
@@ -130,7 +130,7 @@
 
 // Guards against requests to a target that responded to this box with 503 and Retry-After, before
 // that time has passed.
-func TestTargetGetsNothingWhileABoxBacksOff(t *testing.T) {
+func TestNoRequestsDuringBackOff(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150} {
 		for _, targets := range []int{1, 2, 4} {
 			for _, notRun := range []bool{true, false} {
@@ -156,8 +156,8 @@
 }
 
 // Guards against sending a request to a target that asked for a back-off while the request waited
-// for its connection.
-func TestRequestThatWaitsForAConnectionIsSentElsewhere(t *testing.T) {
+// for its connection. It must go to another target.
+func TestBackOffWhileConnecting(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
@@ -186,7 +186,7 @@
 }
 
 // Guards against back-offs timed by a clock that stops while the machine is suspended.
-func TestBackOffEndsWhileTheBoxIsSuspended(t *testing.T) {
+func TestBackOffExpiresDuringSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
@@ -209,7 +209,7 @@
 
 // Guards against requests that wait, or are sent in vain, while all targets are backed off. They
 // must be refused at once, with the end of the first back-off as Retry-After.
-func TestRequestIsRefusedAtOnceWhereAllTargetsAreBackedOff(t *testing.T) {
+func TestRequestIsRefusedWhenAllTargetsAreBackedOff(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
 		for i := range s.targets {
@@ -229,7 +229,7 @@
 
 // Guards against counting attempts that were not sent because of back-offs as failed connections:
 // the request would give up after maxDials of them.
-func TestWithdrawnAttemptsAreNoFailedConnections(t *testing.T) {
+func TestBackedOffAttemptsAreNotCountedAsFailedDials(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, maxDials+3)
 		d := s.boxes[0]
--- a/internal/gateway/budget_test.go
+++ b/internal/gateway/budget_test.go
@@ -8,7 +8,7 @@
 
 // In a rolling restart each box loses its count of retries. A restarted box must take no extra
 // retries until a window has passed, because the process before it may have taken them.
-func TestRestartedBoxTakesNoFixedRetriesAtFirst(t *testing.T) {
+func TestRestartedBoxHasNoExtraRetries(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		config := testConfig()
 		config.RetryShare, config.RetryExtra, config.Restarted = 0, 1.5, true
--- a/internal/gateway/callerleaves_test.go
+++ b/internal/gateway/callerdisconnect_test.go
@@ -38,17 +38,17 @@
 	}
 }
 
-// leavingStep is a step of a request at which its caller disconnects, with the number of
+// disconnectStep is a step of a request at which its caller disconnects, with the number of
 // connections that must close at targets because of it.
-type leavingStep struct {
+type disconnectStep struct {
 	name    string
 	prepare func(s *rig, leave func())
 	ended   int
 }
 
-func leavingSteps() []leavingStep {
+func disconnectSteps() []disconnectStep {
 	const half = "HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 100\r\n\r\nhalf"
-	return []leavingStep{
+	return []disconnectStep{
 		{"connect", func(s *rig, leave func()) {
 			s.daemon.connections.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				leave()
@@ -73,9 +73,10 @@
 }
 
 // Guards against a request whose caller disconnects at some step and which still counts as in
-// flight afterwards, at the box, at a target or on the link, or which continues at its target.
-func TestCallerLeavesAtEachStep(t *testing.T) {
-	for _, step := range leavingSteps() {
+// flight afterwards, at the box, at a target or on the link, or whose connection to its target stays
+// open.
+func TestCallerDisconnectsAtEachStep(t *testing.T) {
+	for _, step := range disconnectSteps() {
 		t.Run(step.name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
 				config := testConfig()
--- a/internal/gateway/fullservice_test.go
+++ b/internal/gateway/fullservice_test.go
@@ -21,7 +21,7 @@
 	// fullBackOff is the back-off, in seconds, that a target with a full queue asks for.
 	fullBackOff = 3
 	// maxBackOffLoss is the fraction of all requests that back-offs may cost: those of the first
-	// burst, by which the boxes learn the capacity of the targets.
+	// burst, from which all boxes learn how much the targets take.
 	maxBackOffLoss = 0.03
 	// fullObjective is the objective of the route in these tests.
 	fullObjective = time.Second
@@ -122,7 +122,7 @@
 
 // Guards against boxes that obey back-offs and thereby serve much less than the targets could: the
 // requests that backed-off targets don't get would fill up the others, until all are backed off.
-func TestFullServiceServesOnWhileTargetsAskForBackOffs(t *testing.T) {
+func TestFullServiceIsServedDespiteBackOffs(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		for _, load := range []float64{0.9, 1.1} {
 			t.Run(fmt.Sprint(boxes, " boxes, load ", load), func(t *testing.T) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	for i := range 5 {
@@ -222,8 +222,9 @@
 	}
 }
 
-// Data after a complete response belongs to no request: the connection must not be reused.
-func TestSurplusAnswerIsNotPassedOn(t *testing.T) {
+// Data after a complete response belongs to no request: it must not be forwarded as the response to
+// the next one, and the connection must not be reused.
+func TestSurplusResponseIsNotForwarded(t *testing.T) {
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		id := r.Header.Get("Test-Id")
 		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nTest-Id: %s\r\nContent-Length: 2\r\n\r\n%02d", id, n)
@@ -238,8 +239,9 @@
 	}
 }
 
-// A response to an earlier request may arrive before the one to this request.
-func TestAnswerToAnotherRequestIsPassedOver(t *testing.T) {
+// A response to an earlier request may arrive before the one to this request. It must be skipped, and
+// the connection must not be reused.
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		writeResponse(c, "other", "wrong")
 		writeResponse(c, r.Header.Get("Test-Id"), "right")
@@ -274,7 +276,7 @@
 	},
 }
 
-func TestBrokenAnswerOfAnUnrepeatableRequestIsUnknown(t *testing.T) {
+func TestBrokenResponseIsNotRetriedIfUnrepeatable(t *testing.T) {
 	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
@@ -293,7 +295,7 @@
 	}
 }
 
-func TestBrokenAnswerOfARepeatableRequestIsTriedElsewhere(t *testing.T) {
+func TestBrokenResponseIsRetriedIfRepeatable(t *testing.T) {
 	for name, respondBroken := range brokenResponses {
 		t.Run(name, func(t *testing.T) {
 			var total atomic.Int32
@@ -317,7 +319,7 @@
 	return true
 }
 
-func TestRequestThatDidNotRunIsRefusedWithATime(t *testing.T) {
+func TestRequestThatDidNotRunGetsRetryAfter(t *testing.T) {
 	a, b := newTarget(t, rejectNotRun), newTarget(t, rejectNotRun)
 	g := newGateway(t, a, b)
 	response, _ := g.do(t, "POST", "/unsafe/", "id1", "")
@@ -332,7 +334,7 @@
 	}
 }
 
-func TestTargetsOwnFailureIsPassedOn(t *testing.T) {
+func TestTargetFailureIsForwarded(t *testing.T) {
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 500 Oops\r\nTest-Id: %s\r\nSeal: x\r\nContent-Length: 2\r\n\r\nno", r.Header.Get("Test-Id"))
 		return true
@@ -344,7 +346,7 @@
 	}
 }
 
-func TestUnreachableTargetIsPassedOver(t *testing.T) {
+func TestUnreachableTargetIsSkipped(t *testing.T) {
 	dead := newTarget(t, respondHello)
 	_ = dead.listener.Close()
 	g := newGateway(t, dead, newTarget(t, respondHello))
@@ -355,7 +357,7 @@
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestResponsesGeneratedByBox(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	if response, _ := g.do(t, "GET", "/none/", "id1", ""); response.StatusCode != http.StatusNotFound {
 		t.Fatalf("unknown route: got %d", response.StatusCode)
@@ -373,7 +375,7 @@
 // Guards against answering 404 for a route that was added while the box had no contact with
 // control. A box did so for seconds: its last contact was seven seconds ago, and it answered from
 // an older routes document than the active one as if that were up to date.
-func TestRouteThatMayHaveBeenAddedIsNotDenied(t *testing.T) {
+func TestUnknownRouteIsNotDeniedWithoutControl(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	age := maxControlAge + time.Millisecond
 	g.daemon.controlAge = func() time.Duration { return age }
@@ -391,7 +393,7 @@
 }
 
 // Large request and response bodies are streamed.
-func TestLongBodies(t *testing.T) {
+func TestLargeBodies(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 40_000)
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
--- a/internal/gateway/hedging.go
+++ b/internal/gateway/hedging.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// minSearchInterval and maxHedgeInterval bound the pause before the next search for a target
+	// minSearchInterval and maxSearchInterval bound the pause before the next search for a target
 	// after one that found none. A shorter pause would ask again before any slot can have become
 	// free; a longer one would miss a target that is readmitted after the shortest ejection.
 	minSearchInterval = 50 * time.Millisecond
--- a/internal/gateway/hedging_test.go
+++ b/internal/gateway/hedging_test.go
@@ -20,18 +20,18 @@
 
 // Guards against canceling an attempt at a target that takes longer than the hedge delay before
 // another target has responded, or before another target is even known.
-func TestTargetAtWorkIsNotGivenUp(t *testing.T) {
+func TestSlowAttemptIsNotCanceled(t *testing.T) {
 	t.Run("there is no other", waitsWithoutAlternative)
 	t.Run("the body is long", waitsWithStreamedBody)
 	t.Run("the box stops", waitsDuringShutdown)
 	t.Run("no retries are left", waitsWithoutRetryBudget)
 	t.Run("the second does not answer", firstTargetWins)
 	t.Run("the second can't be reached", secondIsUnreachable)
-	t.Run("another gets room later", secondRegistersLater)
-	t.Run("both stay silent", bothUnresponsive)
+	t.Run("the second registers later", secondRegistersLater)
+	t.Run("neither responds", bothUnresponsive)
 	t.Run("the first may have run it", rejectedAfterOverdue)
 	t.Run("the first broke", rejectedAfterBroken)
-	t.Run("the second tells a failure", secondFails)
+	t.Run("the second fails", secondFails)
 }
 
 // A target that takes longer than the hedge delay is waited for if there is no other.
@@ -129,7 +129,7 @@
 // counts.
 func firstTargetWins(t *testing.T) {
 	for name, second := range map[string]func(s *rig) script{
-		"turns away":     func(s *rig) script { return s.rejects() },
+		"rejects":        func(s *rig) script { return s.rejects() },
 		"breaks":         func(s *rig) script { return s.breaks(100 * time.Millisecond) },
 		"fails":          func(s *rig) script { return s.respondsStatus(100*time.Millisecond, http.StatusInternalServerError) },
 		"breaks at once": func(s *rig) script { return s.breaks(0) },
@@ -152,7 +152,7 @@
 }
 
 // Of two targets the first response counts, and the other attempt is canceled.
-func TestSecondTargetThatAnswersFirstWins(t *testing.T) {
+func TestFirstResponseWins(t *testing.T) {
 	for name, first := range map[string]func(s *rig) script{
 		"slow":   func(s *rig) script { return s.responds(slowResponseTime, "first") },
 		"silent": func(s *rig) script { return s.silent() },
@@ -169,7 +169,7 @@
 }
 
 // A streamed response cancels the other attempt as soon as it begins, and is forwarded completely.
-func TestLongAnswerOfTheSecondTargetIsWhole(t *testing.T) {
+func TestStreamedResponseOfSecondTargetIsComplete(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		long := strings.Repeat("0123456789abcdef", maxBufferedResponse/4)
 		s := newRig(t, testConfig(), 2)
@@ -236,7 +236,7 @@
 }
 
 // There is no hedged attempt for unrepeatable requests and routes with one attempt.
-func TestNoSecondTargetWhereItIsForbidden(t *testing.T) {
+func TestNoHedgedAttemptWhereForbidden(t *testing.T) {
 	for name, path := range map[string]string{"unrepeatable": "/once/", "one attempt": "/single/"} {
 		t.Run(name, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -277,7 +277,8 @@
 	})
 }
 
-// The same if the first attempt broke before the second one was started.
+// A rejection by the second target must not make the request count as not run either if the first
+// attempt broke before the second one was started.
 func rejectedAfterBroken(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
@@ -304,7 +305,7 @@
 }
 
 // A caller that disconnects cancels the attempts at both targets.
-func TestCallerThatLeavesEndsItAtBothTargets(t *testing.T) {
+func TestDisconnectCancelsBothAttempts(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
 		s.scripts = scripts(s.silent(), s.silent())
@@ -320,7 +321,7 @@
 
 // The log line of a request reports the hedged attempt, its delay, and the outcome of the other
 // attempt.
-func TestLogTellsOfTheSecondTarget(t *testing.T) {
+func TestLogReportsHedgedAttempt(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 2)
 		var lines bytes.Buffer
@@ -336,7 +337,7 @@
 }
 
 // The log line of a request reports why there was no hedged attempt.
-func TestLogTellsWhyThereWasNoSecondTarget(t *testing.T) {
+func TestLogReportsWhyNoHedgedAttempt(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
--- a/internal/gateway/idle_test.go
+++ b/internal/gateway/idle_test.go
@@ -27,7 +27,7 @@
 }
 
 // A request that is read while its connection is being closed as idle must be served.
-func TestRequestThatCrossesTheEndOfItsConnectionIsServed(t *testing.T) {
+func TestRequestDuringIdleCloseIsServed(t *testing.T) {
 	g := newIdleTestServer(t, func(c *callerServer, s http.ConnState) {
 		if s == http.StateActive {
 			c.closeIdle(time.Now().Add(time.Hour))
@@ -42,7 +42,7 @@
 }
 
 // A connection that has been idle for too long is closed.
-func TestConnectionThatRestsTooLongIsClosed(t *testing.T) {
+func TestIdleConnectionIsClosed(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	idle := make(chan struct{}, 8)
 	g := newIdleTestServer(t, func(_ *callerServer, s http.ConnState) {
@@ -65,20 +65,20 @@
 	}
 }
 
-// crossingConn is a connection that starts to close after a request was read and before the server
+// closeRaceConn is a connection that starts to close after a request was read and before the server
 // gets it.
-type crossingConn struct {
+type closeRaceConn struct {
 	net.Conn
 	read func()
-	// crossing is set once a request has been read; from then on, ending is closed when the
+	// requestRead is set once a request has been read; from then on, ending is closed when the
 	// connection is told to close.
-	crossing atomic.Bool
-	endOnce  sync.Once
-	ending   chan struct{}
+	requestRead atomic.Bool
+	endOnce     sync.Once
+	ending      chan struct{}
 }
 
 // Read implements net.Conn.
-func (c *crossingConn) Read(b []byte) (int, error) {
+func (c *closeRaceConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.read()
@@ -87,7 +87,7 @@
 }
 
 // SetReadDeadline implements net.Conn.
-func (c *crossingConn) SetReadDeadline(at time.Time) error {
+func (c *closeRaceConn) SetReadDeadline(at time.Time) error {
 	if !at.IsZero() && at.Before(time.Now()) {
 		c.recordEnd()
 	}
@@ -95,37 +95,37 @@
 }
 
 // Close implements net.Conn.
-func (c *crossingConn) Close() error {
+func (c *closeRaceConn) Close() error {
 	c.recordEnd()
 	return c.Conn.Close()
 }
 
-func (c *crossingConn) recordEnd() {
-	if c.crossing.Load() {
+func (c *closeRaceConn) recordEnd() {
+	if c.requestRead.Load() {
 		c.endOnce.Do(func() { close(c.ending) })
 	}
 }
 
-// crossingListener wraps its connections in crossingConn.
-type crossingListener struct {
+// closeRaceListener wraps its connections in closeRaceConn.
+type closeRaceListener struct {
 	net.Listener
-	read func(c *crossingConn)
+	read func(c *closeRaceConn)
 }
 
 // Accept implements net.Listener.
-func (l *crossingListener) Accept() (net.Conn, error) {
+func (l *closeRaceListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &crossingConn{Conn: accepted, ending: make(chan struct{})}
+	c := &closeRaceConn{Conn: accepted, ending: make(chan struct{})}
 	c.read = func() { l.read(c) }
 	return c, nil
 }
 
 // Guards against a box that, while shutting down, closes a connection on which a request has just
 // been read.
-func TestRequestThatCrossesTheStopIsServed(t *testing.T) {
+func TestRequestDuringShutdownIsServed(t *testing.T) {
 	g := newGateway(t, newTarget(t, respondHello))
 	c := g.daemon.callerServer
 	idle := make(chan struct{}, 8)
@@ -137,11 +137,11 @@
 	}
 	stopped := make(chan error, 1)
 	reads := 0
-	c.listener = &crossingListener{Listener: c.listener, read: func(conn *crossingConn) {
+	c.listener = &closeRaceListener{Listener: c.listener, read: func(conn *closeRaceConn) {
 		if reads++; reads != 2 {
 			return
 		}
-		conn.crossing.Store(true)
+		conn.requestRead.Store(true)
 		go func() { stopped <- c.shutdown(t.Context()) }()
 		<-conn.ending
 	}}
--- a/internal/gateway/incompleterequests_test.go
+++ b/internal/gateway/incompleterequests_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// openTo connects to a box and writes the beginning of a request.
-func openTo(t *testing.T, g *testGateway, begin string) net.Conn {
+// openPartialRequest connects to a box and writes the beginning of a request.
+func openPartialRequest(t *testing.T, g *testGateway, begin string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", strings.TrimPrefix(g.server.URL, "http://"))
 	if err != nil {
@@ -23,11 +23,11 @@
 }
 
 // Nothing is sent to a target if the caller disconnects before its body has been read.
-func TestCallerThatLeavesWithinItsBodySendsNothing(t *testing.T) {
+func TestIncompleteBodyIsNotSent(t *testing.T) {
 	s := newTarget(t, respondHello)
 	g := newGateway(t, s)
 	head := "POST /unsafe/ HTTP/1.1\r\nHost: a.example\r\nTest-Id: id1\r\nTest-Key: k\r\nContent-Length: 100\r\n\r\n"
-	c := openTo(t, g, head+"half of")
+	c := openPartialRequest(t, g, head+"half of")
 	_ = c.Close()
 	g.server.Close() // waits for the request to end
 	if n := s.requests.Load(); n != 0 {
@@ -36,7 +36,7 @@
 }
 
 // Callers that connect and send nothing, or half a header, must not block others.
-func TestHalfOpenConnectionsKeepNoneOut(t *testing.T) {
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	const many = 300
 	g := newGateway(t, newTarget(t, respondHello))
 	for n := range many {
@@ -44,7 +44,7 @@
 		if n%2 == 0 {
 			begin = "GET /safe/ HTTP/1.1\r\nHo"
 		}
-		defer openTo(t, g, begin).Close()
+		defer openPartialRequest(t, g, begin).Close()
 	}
 	for n := range 5 {
 		response, _ := g.do(t, http.MethodGet, "/safe/", fmt.Sprint("id", n), "")
--- a/internal/gateway/largeresponses_test.go
+++ b/internal/gateway/largeresponses_test.go
@@ -12,8 +12,7 @@
 
 // The load of downloads at one of 273 boxes: 1.3 requests per second with responses of 90 KB on
 // average, on a link of 2.6 Mbit/s. The link carries such a response in 0.28 s, once to the box and
-// once from it. A target that has the object cached responds after 0.54 s, and the objective is 1.2
-// s.
+// once from it. A target that has the object cached responds after 0.54 s. The objective is 1.2 s.
 const (
 	busyLink      = 2_600_000 / 8
 	busyRate      = 1.3
@@ -38,7 +37,7 @@
 }
 
 // Guards against large responses that share a narrow link so that none of them completes.
-func TestLongAnswersOfABusyBoxEnd(t *testing.T) {
+func TestLargeResponsesCompleteOnNarrowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(1, 1))
 		q, s := newLinkQueue(busyLink), newShaper(busyLink)
--- a/internal/gateway/leavingtargets_test.go
+++ b/internal/gateway/leavingtargets_test.go
@@ -19,7 +19,7 @@
 
 // Guards against requests to a target long after a response to this box reported that the target is
 // shutting down, with and without control.
-func TestTargetThatLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingTargetGetsNoRequests(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150} {
 		for _, targets := range []int{1, 2, 4} {
 			for _, control := range []bool{true, false} {
@@ -47,7 +47,7 @@
 
 // Guards against boxes that each have to send a request of their own to learn that a target is
 // shutting down.
-func TestAllBoxesAreToldThatATargetLeaves(t *testing.T) {
+func TestLeavingTargetIsReportedToAllBoxes(t *testing.T) {
 	for _, boxes := range []int{9, 150} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -75,7 +75,7 @@
 
 // Guards against using a target that is shutting down again because of a late heartbeat, an earlier
 // state or an earlier response; only a new incarnation may be used.
-func TestTargetThatLeavesIsNotRevived(t *testing.T) {
+func TestLeavingTargetIsNotUsedAgain(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
@@ -120,7 +120,7 @@
 
 // Guards against refusing requests while targets that have just reported that they are shutting
 // down still serve, and against requests to them after that.
-func TestTargetsThatLeaveServeWhereThereIsNoOther(t *testing.T) {
+func TestLeavingTargetsServeIfNoOther(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 3)
 		s.sendLoad(40, time.Second)
@@ -145,7 +145,7 @@
 
 // Guards against a rejection which reports that the target is shutting down and is taken to
 // withdraw the target's rate limit, or is ignored because it is a rejection.
-func TestRejectionTellsThatATargetLeaves(t *testing.T) {
+func TestRejectionReportsLeavingTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 1})
 		s.scripts = scripts(respondsWithHeader(503, "Test-Not-Executed: 1\r\nTest-Leaving: 1\r\n"))
@@ -159,7 +159,7 @@
 
 // Guards against counting a target as serving if another box learned that it is shutting down
 // before it was registered here.
-func TestTargetThatLeavesBeforeItIsRegisteredHere(t *testing.T) {
+func TestTargetLeavesBeforeRegistration(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 1)
 		d := s.boxes[0]
@@ -174,8 +174,9 @@
 	})
 }
 
-// Guards against a box that does not report what it knows better than another box.
-func TestBoxTellsThatATargetLeaves(t *testing.T) {
+// Guards against a box that does not report a leaving target again when another box's update shows
+// that it does not know of it.
+func TestLeavingTargetIsReportedAfterOlderUpdate(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
 		d := s.daemon
@@ -193,7 +194,7 @@
 
 // Guards against sending a request to a target that was shutting down when it was chosen and may
 // have ended since.
-func TestRequestThatWaitsIsNotSentToATargetThatIsGone(t *testing.T) {
+func TestRequestIsNotSentToTargetThatMayHaveEnded(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 2)
 		d := s.boxes[0]
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Requests beyond a workspace's rate limit are refused at once, without reaching a target, after
+// Requests beyond a workspace's rate limit must be refused without reaching a target, but only after
 // the shares of all replicas have been used.
 func TestRequestBeyondTheLimitIsRefused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
@@ -110,7 +110,7 @@
 }
 
 // A target that rejected a request did not run it, so its permit serves the next request.
-func TestPermitOfARequestThatDidNotRunIsUsedAgain(t *testing.T) {
+func TestPermitOfRejectedRequestIsReused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1})
 		s.scripts = scripts(s.rejects(), s.responds(0, "next"))
@@ -124,7 +124,7 @@
 
 // Each run at a target counts against the limit: a second attempt needs a permit of its own, and is
 // not made without one.
-func TestSecondRunTakesAPermit(t *testing.T) {
+func TestSecondAttemptNeedsPermit(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newWorkspaceLimitedRig(t, 2, map[string]int{"a": 1})
 		s.scripts = scripts(s.breaks(0), s.responds(0, "second"))
--- a/internal/gateway/linkqueue_test.go
+++ b/internal/gateway/linkqueue_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestLongAnswersAreAdmittedAtTheLinksRate(t *testing.T) {
+func TestLargeResponsesAreAdmittedAtLinkRate(t *testing.T) {
 	const link, size, objective = 500_000, 100_000, 800 * time.Millisecond
 	q := newLinkQueue(link)
 	q.recordSize("long", size)
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestWideLinkRefusesNothing(t *testing.T) {
+func TestUnlimitedLinkAdmitsAll(t *testing.T) {
 	q := newLinkQueue(0)
 	q.recordSize("long", 1<<20)
 	for range 1000 {
@@ -45,7 +45,7 @@
 
 // Capacity that a request reserved and did not need is released, and what it needed beyond its
 // reservation is added.
-func TestBookingsAreSettled(t *testing.T) {
+func TestReservationsAreSettled(t *testing.T) {
 	const link, size, objective = 500_000, 100_000, 800 * time.Millisecond
 	now := time.Unix(0, 0)
 	waitAfter := func(settled int64) time.Duration {
@@ -71,7 +71,7 @@
 
 // Guards against a box that starts while the callers of its zone come back, admits all their
 // downloads because it knows no sizes yet, and loses contact with control on the full link.
-func TestDownloadsOfUnknownSizeLeaveTheLinkRoom(t *testing.T) {
+func TestDownloadsOfUnknownSizeAreLimited(t *testing.T) {
 	const link, objective = 325_000, 1200 * time.Millisecond // 2.6 Mbit/s
 	q := newLinkQueue(link)
 	q.assumeLarge([]string{"download"})
--- a/internal/gateway/nativeinterface_test.go
+++ b/internal/gateway/nativeinterface_test.go
@@ -142,7 +142,7 @@
 
 // Routes, targets and evacuations work through the native interface, from the operator's command to
 // the response of a target.
-func TestOwnInterface(t *testing.T) {
+func TestNativeInterface(t *testing.T) {
 	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
 	s.addTarget("t2", "z2")
@@ -184,7 +184,7 @@
 }
 
 // Invalid commands are refused with a specific code and change nothing.
-func TestOwnInterfaceRefuses(t *testing.T) {
+func TestNativeInterfaceRefusesInvalidCommands(t *testing.T) {
 	s := startTestSystem(t)
 	s.eventually(func() error { return s.putRoutes(shopDocument(1, 0)) })
 	unknown := shopDocument(2, 1)
--- a/internal/gateway/nativelimits_test.go
+++ b/internal/gateway/nativelimits_test.go
@@ -15,7 +15,7 @@
 // Workspace keys and rate limits work through the native interface, from the operator's document to
 // the response, with a real replica and a real box. Of far more requests than the bound allows, no
 // more than the bound are served; the others are refused with a Retry-After.
-func TestOwnInterfaceKeepsLimits(t *testing.T) {
+func TestNativeInterfaceLimits(t *testing.T) {
 	s := startTestSystem(t)
 	s.addTarget("t1", "z1")
 	d := shopDocument(1, 0)
--- a/internal/gateway/overdue_test.go
+++ b/internal/gateway/overdue_test.go
@@ -32,10 +32,10 @@
 
 // Guards against a healthy target that gets no requests for as long as one request to it is
 // overdue.
-func TestTargetWithAnOverdueRequestIsTriedAgain(t *testing.T) {
-	t.Run("one connection is silent", oneSilentConnection)
-	t.Run("all targets are at work", busyTargets)
-	t.Run("by one request at once", singleProbe)
+func TestOverdueTargetIsProbed(t *testing.T) {
+	t.Run("one connection gets no response", oneSilentConnection)
+	t.Run("all targets run long requests", busyTargets)
+	t.Run("by one request at a time", singleProbe)
 }
 
 // firstEjection is how long the balancer ejects a target the first time.
--- a/internal/gateway/panic_test.go
+++ b/internal/gateway/panic_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a panic in an attempt that ends the box with all its requests.
-func TestPanicOfAnAttemptEndsItsRequestOnly(t *testing.T) {
+func TestPanicInAttemptFailsOnlyItsRequest(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
--- a/internal/gateway/permits.go
+++ b/internal/gateway/permits.go
@@ -50,7 +50,7 @@
 }
 
 // acquire returns a permit of a workspace or target and may wait for one. The error is an
-// OverLimitError or SilentError of package quota, or the context's.
+// OverLimitError or NoIssuerError of package quota, errPermitTimeout or the context's.
 func (p *permits) acquire(ctx context.Context, subject string) (until time.Time, err error) {
 	now := p.clock.Now()
 	p.mu.Lock()
--- a/internal/gateway/permitstreams_test.go
+++ b/internal/gateway/permitstreams_test.go
@@ -49,7 +49,7 @@
 }
 
 // Concurrent requests get their own answers over one stream.
-func TestPermitsOfOneStreamAreNotMixedUp(t *testing.T) {
+func TestConcurrentPermitCallsGetOwnAnswers(t *testing.T) {
 	open, opened := fakePermitStreams(func(_ int, r *wire.PermitRequest) *wire.PermitAnswer {
 		return &wire.PermitAnswer{Grants: []*wire.PermitGrant{{Workspace: r.Asks[0].Workspace}}}
 	})
@@ -74,7 +74,7 @@
 
 // A stream on which an answer is late is closed, so that the late answer can't be taken for that to
 // the next request.
-func TestLateAnswerIsNotTakenForTheNext(t *testing.T) {
+func TestStreamIsClosedAfterLateAnswer(t *testing.T) {
 	open, opened := fakePermitStreams(func(stream int, r *wire.PermitRequest) *wire.PermitAnswer {
 		if stream == 1 {
 			return nil
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxSpreadTime is the time in which all boxes must learn of a request that has crashed three
+	// maxSpreadTime is the time within which all boxes must learn of a request that has crashed three
 	// targets, and maxLateRetries how many more targets it may reach after that.
 	maxSpreadTime  = 3 * time.Second
 	maxLateRetries = 3
@@ -74,7 +74,7 @@
 // targets crashed within seconds, and a tenth of all other requests failed. Each box attributed the
 // failure to the target and forgot the request. Before the quarantine, the 20 requests below
 // reached 40 targets.
-func TestRequestThatEndsItsTargetsIsHeld(t *testing.T) {
+func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	for _, route := range []string{"long", "once", "single"} {
 		t.Run(route, func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
--- a/internal/gateway/restartedtarget_test.go
+++ b/internal/gateway/restartedtarget_test.go
@@ -15,7 +15,7 @@
 // target crashes and starts again: its load, its failures in a row, its requests in flight, and its
 // old connections. The new incarnation must get requests at once though the old one was ejected, on
 // new connections, and be addressed by the same id.
-func TestTargetThatStartsAgainIsNewToTheBox(t *testing.T) {
+func TestRestartedTargetIsNewIncarnation(t *testing.T) {
 	expected := make(chan string, 1)
 	s := newTarget(t, func(n int, r *http.Request, c net.Conn) bool {
 		expected <- r.Header.Get("Test-Expect")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -35,8 +35,8 @@
 	workspace *catalog.Workspace
 	regions   []string
 	// permits are the expiry times of the permits that the request holds of its workspace's rate
-	// limit, possibleRuns is how many targets may have run it, and permitWait how long it took
-	// until the first permit was granted.
+	// limit, possibleRuns is how many targets may have run it, and permitWait how long after the
+	// start of the request its permit was granted or refused.
 	permits      []time.Time
 	possibleRuns int
 	permitWait   time.Duration
@@ -94,7 +94,7 @@
 	count int
 	// delay is the time between the start of the oldest pending attempt and of the last hedged one.
 	delay time.Duration
-	// lastError is why the last search for a target found none.
+	// lastError is why the last search for a further target that failed did so.
 	lastError error
 }
 
--- a/internal/gateway/shaper_test.go
+++ b/internal/gateway/shaper_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestLongAnswersTakeTheirShareOfTheLink(t *testing.T) {
+func TestLargeResponsesUseTheirShareOfTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const link = 100_000
 		s := newShaper(link)
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestShaperWithoutBoundDoesNotWait(t *testing.T) {
+func TestUnlimitedShaperDoesNotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		var out bytes.Buffer
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestShaperEndsWithItsCaller(t *testing.T) {
+func TestShaperStopsWhenCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -61,9 +61,9 @@
 	})
 }
 
-// Responses of known length are sent one after the other, each with the whole share of the link.
+// Responses of known length are sent one after the other, each at the full rate for large responses.
 // One whose caller disconnects releases the rest of its reservation.
-func TestLongAnswersGoOneAfterTheOther(t *testing.T) {
+func TestLargeResponsesAreSentInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const link, size = 100_000, 50_000
 		s := newShaper(link)
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,7 +13,7 @@
 )
 
 // If a caller disconnects, the target of its request sees its connection close.
-func TestCallerThatLeavesEndsTheRequestAtItsTarget(t *testing.T) {
+func TestDisconnectClosesTargetConnection(t *testing.T) {
 	began := make(chan struct{}, 2)
 	ended := make(chan error, 2)
 	s := newTarget(t, func(_ int, _ *http.Request, c net.Conn) bool {
@@ -56,7 +56,7 @@
 
 // A box that shuts down finishes the requests that it has read, tells callers that the connection
 // will close, and is no longer ready.
-func TestStoppingBoxFinishesWhatItHasRead(t *testing.T) {
+func TestShutdownFinishesReadRequests(t *testing.T) {
 	began, release := make(chan struct{}, 1), make(chan struct{})
 	s := newTarget(t, func(_ int, r *http.Request, c net.Conn) bool {
 		began <- struct{}{}
--- a/internal/gateway/splits_test.go
+++ b/internal/gateway/splits_test.go
@@ -28,7 +28,7 @@
 }
 
 // The first request after each of many documents must not always go to the same service.
-func TestSharesHoldOverManyDocuments(t *testing.T) {
+func TestSplitHoldsOverManyDocuments(t *testing.T) {
 	d := newSplitBox("box")
 	document := catalog.Document{Hosts: []catalog.Host{{Routes: []catalog.Route{splitRoute}}}}
 	count := make(map[string]int)
@@ -40,7 +40,7 @@
 }
 
 // The shares also hold over many boxes with one request each.
-func TestSharesHoldOverManyBoxes(t *testing.T) {
+func TestSplitHoldsOverManyBoxes(t *testing.T) {
 	count := make(map[string]int)
 	for i := range 100 {
 		count[newSplitBox(fmt.Sprintf("box%d", i)).destination(splitRoute)]++
@@ -49,7 +49,7 @@
 }
 
 // The split of a route that left the document is dropped.
-func TestSplitsOfGoneRoutesAreForgotten(t *testing.T) {
+func TestSplitsOfRemovedRoutesArePruned(t *testing.T) {
 	d := newSplitBox("box")
 	d.destination(splitRoute)
 	pruneSplits(d.balancing.splits, catalog.Document{})
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -224,8 +224,8 @@
 	usualRoutesDelay = 700 * time.Millisecond
 	// overdueRoutesRetryAfter is the Retry-After once that time has passed.
 	overdueRoutesRetryAfter = 250 * time.Millisecond
-	// maxRoutesRetryAfter bounds the Retry-After for unknown routes, which is otherwise the time since
-	// the last contact with control: a partition may last for minutes.
+	// maxRoutesRetryAfter bounds the Retry-After for unknown routes and keys, which is otherwise the
+	// time since the last contact with control: a partition may last for minutes.
 	maxRoutesRetryAfter = 5 * time.Second
 	// minRetryAfter is the minimum Retry-After while there are no routes or no permits.
 	minRetryAfter = 50 * time.Millisecond
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -26,8 +26,8 @@
 	return func(d time.Duration) { asleep.Add(int64(d)) }
 }
 
-// The tests below guard against using what expired while the machine was suspended. A permit of a
-// window that has passed would count in two windows.
+// This test and those below guard against using what expired while the machine was suspended. A
+// permit of a window that has passed would count in two windows.
 func TestPermitIsNotUsedAfterASuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
@@ -84,7 +84,7 @@
 }
 
 // A request whose deadline has passed is not sent to another target.
-func TestRequestIsNotSentAfterItsTime(t *testing.T) {
+func TestRequestIsNotRetriedAfterDeadline(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 2)
@@ -103,7 +103,7 @@
 
 // A request that waits for its target when the machine is suspended is answered when the machine
 // wakes up, not after the rest of its timeout by a clock that stopped.
-func TestWaitingRequestEndsOnWaking(t *testing.T) {
+func TestWaitingRequestTimesOutAfterSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 1)
@@ -144,7 +144,7 @@
 
 // A request whose target was chosen before the suspension must not be sent after its deadline. It
 // has not run.
-func TestChosenRequestIsNotSentAfterItsTime(t *testing.T) {
+func TestRequestIsNotSentIfDeadlinePassesWhileConnecting(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 1)
@@ -155,7 +155,7 @@
 
 // A permit that was taken before the suspension and not used belongs to a window that has passed:
 // the request must not be sent with it.
-func TestTakenPermitIsNotUsedAfterASuspension(t *testing.T) {
+func TestPermitIsNotUsedIfItExpiresWhileConnecting(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
@@ -192,9 +192,9 @@
 	})
 }
 
-// Expiry of cached permits includes the time of a suspension, also if nothing else has read the
-// clock since.
-func TestStockIsForgottenInASuspension(t *testing.T) {
+// The expiry of cached permits includes the time of a suspension, also if nothing else has read the
+// clock since then.
+func TestCachedPermitExpiresDuringSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newWorkspaceLimitedRig(t, 1, map[string]int{"a": 0, "b": 0})
@@ -212,7 +212,7 @@
 
 // A target that was warming up when the machine was suspended for longer than its warm-up time is
 // warm afterwards.
-func TestColdTargetsWarmUpInASuspension(t *testing.T) {
+func TestWarmupIncludesSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s := newRig(t, testConfig(), 1)
@@ -231,9 +231,9 @@
 	})
 }
 
-// The age of evidence recorded after a suspension does not include the suspension: evidence that
-// counts as old quarantines nothing.
-func TestEvidenceAfterASuspensionIsFresh(t *testing.T) {
+// The age of evidence about a crash after a suspension must not include the suspension: evidence that
+// counts as old would quarantine nothing.
+func TestAgeOfEvidenceExcludesEarlierSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		m := newCrashingTargets(t, 4)
@@ -273,7 +273,7 @@
 
 // Updates received before a long suspension are no longer reported, and a box without control may
 // use the capacity that was freed meanwhile.
-func TestLimitsOfTargetsAgeInASuspension(t *testing.T) {
+func TestTargetLimitsAgeDuringSuspension(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": -1, "b": -1})
--- a/internal/gateway/targetlimits.go
+++ b/internal/gateway/targetlimits.go
@@ -169,7 +169,7 @@
 }
 
 // prune drops targets whose incarnations have ended.
-func (l *targetLimits) prune(now time.Time, registered func(life string) bool) {
+func (l *targetLimits) prune(now time.Time, registered func(incarnation string) bool) {
 	l.permits.prune(now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gateway/targetlimits_test.go
+++ b/internal/gateway/targetlimits_test.go
@@ -12,9 +12,9 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// Guards against a rate-limited target that gets more than its limit from all boxes together, also
-// while no control replica can be reached.
-func TestTargetGetsNoMoreThanItNames(t *testing.T) {
+// Guards against a rate-limited target that gets more than its limit from all boxes together while no
+// control replica can be reached.
+func TestLimitHoldsWithoutControl(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -40,9 +40,9 @@
 	}
 }
 
-// A rate-limited target gets as many requests as its limit allows, or the load if that is less. The
-// other requests are served elsewhere.
-func TestTargetGetsWhatItNames(t *testing.T) {
+// A rate-limited target must get as many requests as its limit allows, and no more. The others are
+// served by other targets.
+func TestTargetGetsItsLimit(t *testing.T) {
 	for _, boxes := range []int{1, 9, 30, 150, 300} {
 		for _, limit := range []float64{0, 1.5, 5.6, 9.6} {
 			t.Run(fmt.Sprint(boxes, " boxes, ", limit), func(t *testing.T) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// A limit holds while it is lowered and raised. After it is withdrawn the target gets as many
-// requests as the others.
-func TestLimitThatChanges(t *testing.T) {
+// A limit holds while it is lowered and raised. After it is withdrawn the target must get about as
+// many requests as the others.
+func TestLimitHoldsWhileItChanges(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -118,7 +118,7 @@
 
 // If all targets of a service are rate-limited, the service gets the sum of their limits. Further
 // requests are refused at once, with Retry-After times that are spread out.
-func TestServiceOfLimitedTargets(t *testing.T) {
+func TestServiceGetsSumOfTargetLimits(t *testing.T) {
 	for _, boxes := range []int{1, 9, 60} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
 			inVirtualTime(t, func(t *testing.T) {
@@ -216,7 +216,7 @@
 
 // While a rate-limited target is throttled, each of its objects has one other home target, and
 // returns to it once the limit is withdrawn. Other objects stay.
-func TestObjectsOfALimitedTargetHaveASecondHome(t *testing.T) {
+func TestKeysOfThrottledTargetMoveToOneOtherTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 8)
 		homes := func() map[string]string {
@@ -252,7 +252,7 @@
 
 // A request with an affinity key goes from its rate-limited home target to one without a limit,
 // never to another rate-limited one.
-func TestObjectIsKeptFromItsHomeAlone(t *testing.T) {
+func TestAffinityRequestSkipsOnlyItsHomeTarget(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newTestCluster(t, 1, 4)
 		d := s.boxes[0]
--- a/internal/gateway/targetpermits_test.go
+++ b/internal/gateway/targetpermits_test.go
@@ -64,21 +64,21 @@
 	}
 }
 
-func TestWhatAnswersSayOfALimit(t *testing.T) {
+func TestLimitHeaderOfResponses(t *testing.T) {
 	cases := map[string]struct {
 		script script
 		want   float64
 	}{
-		"names one":                        {respondsWithHeader(200, "Test-Limit: 2.5\r\n"), 2.5},
-		"names one as it fails":            {respondsWithHeader(500, "Test-Limit: 2.5\r\n"), 2.5},
-		"names one and turns it away":      {respondsWithHeader(503, "Test-Not-Executed: 1\r\nTest-Limit: 2.5\r\n"), 2.5},
-		"names none":                       {respondsWithHeader(200, ""), targetstatus.NoLimit},
-		"names none and turns it away":     {respondsWithHeader(503, "Test-Not-Executed: 1\r\n"), 5},
-		"is another target":                {respondsWithHeader(421, "Test-Limit: 2.5\r\n"), 5},
-		"names what can't be read":         {respondsWithHeader(200, "Test-Limit: many\r\n"), 5},
-		"names less than nothing":          {respondsWithHeader(200, "Test-Limit: -1\r\n"), 5},
-		"names what has no end":            {respondsWithHeader(200, "Test-Limit: Inf\r\n"), 5},
-		"names nothing that is comparable": {respondsWithHeader(200, "Test-Limit: NaN\r\n"), 5},
+		"valid":                      {respondsWithHeader(200, "Test-Limit: 2.5\r\n"), 2.5},
+		"valid, failure":             {respondsWithHeader(500, "Test-Limit: 2.5\r\n"), 2.5},
+		"valid, rejection":           {respondsWithHeader(503, "Test-Not-Executed: 1\r\nTest-Limit: 2.5\r\n"), 2.5},
+		"missing":                    {respondsWithHeader(200, ""), targetstatus.NoLimit},
+		"missing, rejection":         {respondsWithHeader(503, "Test-Not-Executed: 1\r\n"), 5},
+		"response of another target": {respondsWithHeader(421, "Test-Limit: 2.5\r\n"), 5},
+		"unparsable":                 {respondsWithHeader(200, "Test-Limit: many\r\n"), 5},
+		"negative":                   {respondsWithHeader(200, "Test-Limit: -1\r\n"), 5},
+		"infinite":                   {respondsWithHeader(200, "Test-Limit: Inf\r\n"), 5},
+		"NaN":                        {respondsWithHeader(200, "Test-Limit: NaN\r\n"), 5},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 
 // A box that has newer information than another box's update reports it; one that has older
 // information applies the update.
-func TestBoxTellsWhatItKnowsBetter(t *testing.T) {
+func TestNewerLimitIsReportedOrApplied(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
 		now := boottime.Now()
@@ -139,7 +139,7 @@
 }
 
 // A permit with which nothing was sent serves the next request.
-func TestTargetPermitThatWasNotUsedIsUsedAgain(t *testing.T) {
+func TestUnusedTargetPermitIsReused(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
 		s.scripts = scripts(respondsWithHeader(200, "Test-Limit: 5\r\n"))
@@ -160,7 +160,7 @@
 var errRefusedDial = &net.OpError{Op: "dial", Err: net.ErrClosed}
 
 // A permit that was taken before a suspension belongs to a window that has passed.
-func TestTargetPermitIsNotUsedAfterASuspension(t *testing.T) {
+func TestTargetPermitIsNotUsedIfItExpiresWhileConnecting(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		suspend := simulateSuspension(t)
 		s, _ := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
@@ -171,7 +171,7 @@
 
 // A retry for which the budget runs out while it waits for a permit undoes the choice of its
 // target.
-func TestRetryWithoutBudgetLeavesNothingCounted(t *testing.T) {
+func TestRetryWithoutBudgetUndoesChoice(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newTargetLimitedRig(t, 1, map[string]int{"a": 1, "b": 0})
 		s.daemon.targetLimits.permits.call = func(ctx context.Context, address string, request *wire.PermitRequest) (*wire.PermitAnswer, error) {
@@ -194,7 +194,7 @@
 
 // If many targets are at their limits, a request asks for permits of a few of them and then goes to
 // a target without a limit, or is refused.
-func TestRequestAsksForFewTargetsInNeed(t *testing.T) {
+func TestRequestSkipsFewLimitedTargets(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, r := newTargetLimitedRig(t, 20, map[string]int{"a": 0, "b": 0})
 		s.scripts = scripts(respondsWithHeader(200, ""))
@@ -217,7 +217,7 @@
 }
 
 // Limits that change with each response trigger reports no more often than every minReportInterval.
-func TestReportsForLimitsAreSpaced(t *testing.T) {
+func TestLimitReportsAreSpaced(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s, _ := newTargetLimitedRig(t, 1, nil)
 		reports := 0
--- a/internal/gateway/withdrawn_test.go
+++ b/internal/gateway/withdrawn_test.go
@@ -19,7 +19,7 @@
 
 // Guards against sending a request to a target that drained, ended or was evacuated while the
 // request waited for its connection.
-func TestRequestIsNotSentToATargetThatIsClosedMeanwhile(t *testing.T) {
+func TestRequestIsNotSentToTargetWithdrawnWhileConnecting(t *testing.T) {
 	serving := balance.Target{ID: "t0", Name: "t0", Service: "s", Address: "0", Zone: "z", Slots: 4}
 	draining := serving
 	draining.Draining = true
@@ -63,9 +63,10 @@
 	}
 }
 
-// Guards against a request whose log line does not tell which evacuations it was subject to: the
-// routes and the targets of one state are applied one after the other.
-func TestRequestLineTellsTheVersionOfItsTargets(t *testing.T) {
+// Guards against a request whose log line does not tell which evacuations it was subject to. The
+// version of the routes does not tell it, as the routes and the targets of a state are applied one
+// after the other.
+func TestLogLineReportsTargetsVersion(t *testing.T) {
 	inVirtualTime(t, func(t *testing.T) {
 		s := newRig(t, testConfig(), 1)
 		var lines bytes.Buffer
--- a/internal/gateway/workspace_test.go
+++ b/internal/gateway/workspace_test.go
@@ -16,7 +16,7 @@
 
 // These tests guard against a box that ignores the workspaces of its document. Such a box sent each
 // request to a target with its key and without the name of its workspace, ran a request with a key
-// that had been revoked, and ran one outside the regions of its workspace.
+// that had been revoked, and ran a request outside the regions of its workspace.
 
 // workspaceRoutes adds two workspaces to testRoutes, one of them restricted to a region without
 // targets. The route /open/ needs no key, and /there/ is restricted to the box's region.
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestRegionsOfWorkspaceAndRouteBothBind(t *testing.T) {
+func TestRegionsOfWorkspaceAndRouteBothApply(t *testing.T) {
 	send, seen, _ := newWorkspaceBox(t)
 	south := http.Header{"Test-Secret": {"key-s"}}
 	for _, path := range []string{"/safe/", "/there/"} {
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestKeysStandInNoLog(t *testing.T) {
+func TestKeysAreNotLogged(t *testing.T) {
 	send, _, d := newWorkspaceBox(t)
 	var lines bytes.Buffer
 	d.log = zerolog.New(&lines)
