--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -61,7 +61,7 @@
 	events  chan distribution.Event
 	started time.Time
 	// lastContact is the time of the last contact with control, in nanoseconds
-	// after started; zero for never. It does not depend on the time of day.
+	// after started; zero for never. It does not depend on the wall clock.
 	lastContact atomic.Int64
 	stream      *link.Messages
 	// current is the subscription that is being read, set before its first update.
--- a/internal/relay/follower_test.go
+++ b/internal/relay/follower_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// Guards against following a parent that has departed: queued updates set the
-// sources of an older state last. The sources of the latest state must win, also
-// if it waited behind another.
+// Guards against following a parent that has departed, because queued updates set
+// the sources of an older state last. The sources of the latest state must be
+// used, also if it was queued behind another.
 func TestSourcesOfTheLatestStateAreFollowed(t *testing.T) {
 	followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 		time.Sleep(2 * heartbeatInterval)
@@ -49,7 +49,7 @@
 }
 
 // Queued updates must be handled one after the other, not recursively.
-func TestStackDoesNotGrowWithWhatWaits(t *testing.T) {
+func TestQueuedUpdatesAreNotHandledRecursively(t *testing.T) {
 	const queued = 25
 	followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 		time.Sleep(2 * heartbeatInterval)
@@ -76,7 +76,7 @@
 }
 
 // Queued states must not be applied once the follower's context has ended.
-func TestNothingIsPutInForceAfterTheEnd(t *testing.T) {
+func TestNothingIsAppliedAfterStop(t *testing.T) {
 	const queued = 20
 	followPair(t, func(t *testing.T, p *replicaPair, _ <-chan uint64) {
 		time.Sleep(2 * heartbeatInterval)
@@ -98,7 +98,7 @@
 }
 
 // The control age counts from the arrival of an update, also if a busy box handles it later.
-func TestWordThatWaitedIsAsOldAsItsArrival(t *testing.T) {
+func TestControlAgeCountsFromArrival(t *testing.T) {
 	followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 		time.Sleep(2*heartbeatInterval + heartbeatInterval/2)
 		p.applyTime = 4 * time.Second
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -13,7 +13,7 @@
 )
 
 // A subscriber gets a changed limit at once, and each change once.
-func TestSubscribersAreToldOfLimits(t *testing.T) {
+func TestChangedLimitsAreSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/relay/publisher_test.go
+++ b/internal/relay/publisher_test.go
@@ -72,7 +72,7 @@
 
 // A subscriber at version 0 gets the full state, even if all commands are still
 // kept, and then the following changes as commands.
-func TestSubscriptionWithoutAStateGetsTheWhole(t *testing.T) {
+func TestSubscriberWithoutStateGetsFullState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -114,7 +114,7 @@
 
 // SetState does not block and keeps the order. Run ends with its context, and
 // drops pending states.
-func TestPublishingEndsWithItsContext(t *testing.T) {
+func TestPublisherStopsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		state := steering.State{}
@@ -153,8 +153,9 @@
 	})
 }
 
-// Guards against a publisher that announces an old version as current after Run was started again.
-func TestPublishingThatStartsAgainHasTheLatestState(t *testing.T) {
+// Guards against a publisher that sends an old version as the current one after
+// Run has ended, dropping the latest state, and was started again.
+func TestRestartedPublisherPublishesLatestState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPublisher(steering.State{}, func() time.Duration { return 0 }, func() *wire.Clock { return nil })
 		c := &wire.Command{Evacuation: &wire.EvacuationCommand{Zone: "a"}}
--- a/internal/relay/reportfilter.go
+++ b/internal/relay/reportfilter.go
@@ -11,8 +11,8 @@
 // RefreshInterval is how often a report without significant changes is repeated.
 const RefreshInterval = 5 * time.Second
 
-// loadChangeDivisor makes a change of a pool's load significant from a tenth of
-// its capacity on.
+// loadChangeDivisor makes a change of a pool's load significant if it is more than
+// a tenth of the pool's capacity, and more than one request.
 const loadChangeDivisor = 10
 
 // ReportFilter drops reports that the upstream already has. It is a state
--- a/internal/relay/transfer_test.go
+++ b/internal/relay/transfer_test.go
@@ -164,7 +164,7 @@
 
 // Guards against an update over a slow link that is aborted and restarted without
 // end, because it takes longer than the follower's timeout.
-func TestLongUpdateArrivesOnce(t *testing.T) {
+func TestLargeUpdateIsSentOnce(t *testing.T) {
 	for _, length := range []int{1_500_000, 5_000_000} {
 		followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 			time.Sleep(2 * heartbeatInterval)
@@ -176,8 +176,9 @@
 	}
 }
 
-// The first update, a full state, may take longer than the connect timeout.
-func TestLongFirstUpdateArrivesOnce(t *testing.T) {
+// The first update, a full state, may take longer than the connect timeout. It
+// must not be aborted and sent again either.
+func TestLargeFirstUpdateIsSentOnce(t *testing.T) {
 	for _, length := range []int{1_500_000, 5_000_000} {
 		followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 			s, _ := steering.State{}.Apply(commandOfLength(length))
@@ -189,7 +190,7 @@
 
 // A replica must stop serving when a subscriber leaves in the middle of an
 // update, rather than hold the rest until the connection ends.
-func TestServingEndsWithASubscriberThatLeaves(t *testing.T) {
+func TestServeEndsWhenSubscriberLeaves(t *testing.T) {
 	followPair(t, func(t *testing.T, p *replicaPair, _ <-chan uint64) {
 		s, _ := steering.State{}.Apply(commandOfLength(5_000_000))
 		p.publish(s, nil)
@@ -211,7 +212,7 @@
 	})
 }
 
-// newClient returns a node without handlers.
+// newClient returns a node on the same network that only dials.
 func (p *replicaPair) newClient(t *testing.T) *link.Node {
 	t.Helper()
 	n, err := link.Listen(link.Network{Listen: p.network.Listen, Dial: p.network.Dial}, "other", link.Identity{Name: "other"},
@@ -242,8 +243,9 @@
 	})
 }
 
-// As above, with more states queued, each of which keeps the box busy.
-func TestBusyBoxKeepsItsUpstreamWhileUpdatesWait(t *testing.T) {
+// The same if more states are queued, each of which keeps the box busy for longer
+// than its timeout.
+func TestBusyBoxKeepsItsUpstreamWithQueuedUpdates(t *testing.T) {
 	followPair(t, func(t *testing.T, p *replicaPair, applied <-chan uint64) {
 		const queued = 20
 		time.Sleep(2 * heartbeatInterval)
