--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -54,7 +54,7 @@
 
 // A broken connection alone proves little: a target has crashed only if it refuses
 // connections twice and is not shutting down as planned.
-func TestLookTellsEndedTargets(t *testing.T) {
+func TestProbeDetectsCrashedTargets(t *testing.T) {
 	unreachable := errors.New("no response")
 	connect := func() (net.Conn, error) {
 		near, far := net.Pipe()
@@ -111,10 +111,10 @@
 	}
 }
 
-// Boxes must learn from each other through control: nine boxes and three replicas, whose
+// Boxes must learn from each other through control: nine boxes and two replicas, whose
 // leader fails at first. The request reaches another box each time, with one attempt, so
 // that no box sees two targets crash.
-func TestBoxesLearnOfEachOther(t *testing.T) {
+func TestBoxesShareEvidence(t *testing.T) {
 	const contact, arrivals = 3 * time.Second, 60
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
