--- a/internal/link/node.go
+++ b/internal/link/node.go
@@ -40,7 +40,8 @@
 	// Forward takes over a stream that carries HTTP.
 	Forward func(c net.Conn)
 	// Refused is called for each connection that was refused because its
-	// certificate is missing or invalid.
+	// certificate is missing or invalid, or because the TLS configuration of this
+	// process can't be read.
 	Refused func(remote string, err error)
 }
 
--- a/internal/link/redial_test.go
+++ b/internal/link/redial_test.go
@@ -50,7 +50,7 @@
 
 // Guards against a server that starts to listen and is reached only after the first
 // attempt has timed out.
-func TestProcessThatStartsIsReachedSoon(t *testing.T) {
+func TestStartingServerIsReachedBeforeDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &startingServer{listensAt: time.Now().Add(250 * time.Millisecond)}
 		ctx, cancel := context.WithTimeout(t.Context(), dialTimeout)
@@ -70,9 +70,9 @@
 	})
 }
 
-// A server that listens is dialled once and one that is gone a few times; surplus
-// connections are closed.
-func TestDialRepeatedlyLeavesNothingBehind(t *testing.T) {
+// A server that listens or refuses must be dialled once, and one that is gone a few
+// times. All attempts have ended when dialStaggered returns.
+func TestDialStaggeredLimitsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &startingServer{listensAt: time.Now()}
 		if _, err := dialStaggered(t.Context(), s.dial, "a"); err != nil || s.dials.Load() != 1 {
@@ -98,8 +98,9 @@
 	})
 }
 
-// Two attempts that succeed at once must yield one connection.
-func TestDialRepeatedlyGivesOneConnection(t *testing.T) {
+// If two attempts succeed at once, one connection must be returned and the other
+// closed.
+func TestDialStaggeredReturnsOneConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var closed, dials atomic.Int64
 		c, err := dialStaggered(t.Context(), func(context.Context, string) (net.Conn, error) {
--- a/internal/link/session_test.go
+++ b/internal/link/session_test.go
@@ -122,7 +122,7 @@
 
 // Guards against readers of streams that spin while a session ends after a failed
 // write. Virtual time would not advance then, and the test would hang.
-func TestReadersRestWhileASessionEnds(t *testing.T) {
+func TestReadersDoNotSpinWhileSessionEnds(t *testing.T) {
 	withNodes(t, func(t *testing.T, caller *Node, last func() *faultyConn) {
 		m, err := caller.Subscribe(t.Context(), "server", &wire.Subscribe{})
 		if err != nil {
@@ -142,9 +142,9 @@
 	})
 }
 
-// A connection that goes silent for good is abandoned, and calls succeed again over
-// a new one.
-func TestSilentConnectionIsLeft(t *testing.T) {
+// A connection that goes silent for good must be closed, so that calls succeed again
+// over a new one.
+func TestDeadConnectionIsReplaced(t *testing.T) {
 	withNodes(t, func(t *testing.T, caller *Node, last func() *faultyConn) {
 		call := func() error {
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
--- a/internal/link/tls_test.go
+++ b/internal/link/tls_test.go
@@ -82,7 +82,7 @@
 	return out
 }
 
-func TestOnlySignedAndValidCertificatesAreLetIn(t *testing.T) {
+func TestInvalidCertificatesAreRefused(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	serverFiles := ours.issue(t.TempDir(), time.Now().Add(time.Hour))
 	secure, err := serverFiles.TLS()
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestHalfConfiguredTLSIsRefused(t *testing.T) {
+func TestAuthorityFileWithoutCertificateIsRefused(t *testing.T) {
 	files := newAuthority(t).issue(t.TempDir(), time.Now().Add(time.Hour))
 	if err := os.WriteFile(files.Authority, []byte("no certificate"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/link/transfer_test.go
+++ b/internal/link/transfer_test.go
@@ -31,7 +31,7 @@
 		simulated := Network{Listen: network.Listen, Dial: network.Dial}
 		handlers := Handlers{Subscribe: func(_ context.Context, _ string, m *Messages) {
 			_ = m.Read(&wire.Subscribe{})
-			_ = m.Write(messageOfLength(length)) // the reader sees a failure
+			_ = m.Write(messageOfLength(length)) // if it fails, the client's read fails
 			_ = m.Read(&wire.Subscribe{})
 		}}
 		server, err := Listen(simulated, "server", Identity{Name: "server"}, clock, handlers, nil)
@@ -65,7 +65,7 @@
 // The answer to a ping waits behind a stream's window of data in the socket's
 // buffer: 3.5 s at 600 kbit/s, which is what callers may leave of a link. The
 // connection must stay open, as data arrives.
-func TestConnectionWithATransferIsKept(t *testing.T) {
+func TestConnectionIsKeptWhileReceiving(t *testing.T) {
 	const length, rate = 1 << 20, 600_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
@@ -79,8 +79,9 @@
 	})
 }
 
-// The same for the sending side, which receives little meanwhile.
-func TestConnectionIsKeptByTheOneThatSends(t *testing.T) {
+// Guards against closing a connection as dead while a long message is sent on it: the
+// sending side receives little meanwhile.
+func TestConnectionIsKeptWhileSending(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
 	network := &linktest.Network{UpBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	withTransferNodes(t, network, 0, func(t *testing.T, caller *Node) {
@@ -101,18 +102,18 @@
 // A side that only sends receives little, and a packet of that may be lost: it then
 // arrives with the first retransmission, 200 ms and a round trip later. The
 // connection must stay open whichever packet is lost.
-func TestConnectionIsKeptWhereAQuestionIsLost(t *testing.T) {
+func TestConnectionIsKeptIfPacketsAreLost(t *testing.T) {
 	const (
 		length, rate = 4 << 20, 400_000 / 8
-		way          = 70 * time.Millisecond
-		late         = 200*time.Millisecond + 3*way
+		latency      = 70 * time.Millisecond
+		afterLoss    = 200*time.Millisecond + 3*latency
 	)
 	for _, each := range []int{2, 3, 5, 7} {
 		network := &linktest.Network{UpBytesPerSecond: rate, SocketBuffer: 1 << 20, ExtraDelay: func(n int) time.Duration {
 			if n%each == 0 {
-				return late
+				return afterLoss
 			}
-			return way
+			return latency
 		}}
 		withTransferNodes(t, network, 0, func(t *testing.T, caller *Node) {
 			began := time.Now()
@@ -131,7 +132,7 @@
 
 // A link of 400 kbit/s takes 5 s for a window of 256 KB and buffers little. Writing
 // a long message must still succeed.
-func TestLongMessageIsWrittenOverASlowLink(t *testing.T) {
+func TestLongMessageIsSentOverSlowLink(t *testing.T) {
 	const length, rate = 1 << 20, 400_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 12}
 	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
@@ -146,8 +147,9 @@
 	})
 }
 
-// A connection that goes silent during a transfer is detected as soon as an idle one.
-func TestSilenceWithinATransferIsNoticed(t *testing.T) {
+// A connection that goes silent during a transfer must be detected as soon as an idle
+// one.
+func TestDeadConnectionIsDetectedDuringTransfer(t *testing.T) {
 	const length, rate = 3 << 20, 4_000_000 / 8
 	network := &linktest.Network{DownBytesPerSecond: rate, SocketBuffer: 1 << 20}
 	withTransferNodes(t, network, length, func(t *testing.T, caller *Node) {
@@ -184,7 +186,7 @@
 }
 
 // Nothing may be written to a stream after a partial message.
-func TestNothingIsWrittenAfterAPartOfAMessage(t *testing.T) {
+func TestNothingIsWrittenAfterPartialMessage(t *testing.T) {
 	b := &partialWriter{}
 	m := NewMessages(b)
 	for range 2 {
