--- a/internal/process/logwriter_test.go
+++ b/internal/process/logwriter_test.go
@@ -26,7 +26,7 @@
 	return r.text.Write(p)
 }
 
-func TestLogWriterHandsLinesOver(t *testing.T) {
+func TestLogWriterWritesAllLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &stallingWriter{}
 		w := NewLogWriter(r)
@@ -47,7 +47,7 @@
 }
 
 // A destination that blocks must cost lines, but not delay whoever logs.
-func TestLogWriterDoesNotWaitForItsReader(t *testing.T) {
+func TestLogWriterDropsLinesIfDestinationBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &stallingWriter{stalls: make(chan struct{})}
 		w := NewLogWriter(r)
--- a/internal/process/suspensions_test.go
+++ b/internal/process/suspensions_test.go
@@ -15,7 +15,7 @@
 )
 
 // A suspension of the machine is logged once, with its duration.
-func TestSuspensionIsLogged(t *testing.T) {
+func TestSuspensionIsLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended atomic.Int64
 		defer boottime.Simulate(func() time.Duration { return time.Duration(suspended.Load()) })()
