--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,7 +9,7 @@
 
 // Guards against what expired during a suspension and still counts: after five seconds of
 // suspension the monotonic clock says that no time has passed.
-func TestSuspensionCounts(t *testing.T) {
+func TestClockIncludesSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		defer Simulate(func() time.Duration { return suspended })()
@@ -41,7 +41,7 @@
 
 // A context whose deadline passes during a suspension must end at the next reading, not
 // when the time that was left by the monotonic clock is over.
-func TestDeadlineEndsOnWaking(t *testing.T) {
+func TestDeadlinePassesDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended time.Duration
 		defer Simulate(func() time.Duration { return suspended })()
@@ -65,9 +65,9 @@
 	})
 }
 
-// Neither a step of the wall clock nor a delay between two readings in a busy process
-// counts as a suspension.
-func TestOnlySuspensionsCount(t *testing.T) {
+// Suspensions add up. A process that is stopped for a moment between the readings of the two
+// clocks, as a busy one may be, must not count that as a suspension.
+func TestDelayedReadingIsNoSuspension(t *testing.T) {
 	reading := time.Duration(0)
 	m := newSuspensionMeter(func() time.Duration { return reading })
 	now := time.Now()
@@ -79,9 +79,9 @@
 	}{
 		{"at first", now, 0, 0},
 		{"between comparisons", now.Add(time.Millisecond), 0, 0},
-		{"a reading that was held up", now.Add(time.Second), -30 * time.Millisecond, 0},
+		{"a delayed reading", now.Add(time.Second), -30 * time.Millisecond, 0},
 		{"a suspension", now.Add(2 * time.Second), 5 * time.Second, 5 * time.Second},
-		{"a reading that was held up after it", now.Add(3 * time.Second), 5*time.Second - 30*time.Millisecond, 5 * time.Second},
+		{"a delayed reading after it", now.Add(3 * time.Second), 5*time.Second - 30*time.Millisecond, 5 * time.Second},
 		{"a second one", now.Add(4 * time.Second), 7 * time.Second, 7 * time.Second},
 	} {
 		reading = c.reading
@@ -93,7 +93,7 @@
 
 // The clocks are compared as soon as the wall clock differs from what is expected, as it
 // does after a suspension, and not at each reading.
-func TestSuspensionIsSeenAtOnce(t *testing.T) {
+func TestWallClockJumpTriggersComparison(t *testing.T) {
 	comparisons := 0
 	m := newSuspensionMeter(func() time.Duration { comparisons++; return 0 })
 	now := time.Now()
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestClockIsTimeNowWithoutSuspension(t *testing.T) {
+func TestNowEqualsTimeNowWithoutSuspension(t *testing.T) {
 	if d := time.Until(Now()); d > time.Millisecond {
 		t.Errorf("ahead by %s", d)
 	}
--- a/internal/boottime/clockuse_test.go
+++ b/internal/boottime/clockuse_test.go
@@ -15,9 +15,10 @@
 
 var clockCalls = regexp.MustCompile(`\btime\.(Now|Since|Until)\b|context\.WithDeadline\(|\bctx\.Deadline\(\)|\bboottime\.(Now|Since|Until|Suspended|WithDeadline|Deadline)\b`)
 
-// Hosts must decide nothing by a clock that stops during a suspension, and each must use
-// the clock of its own machine.
-func TestHostsGoByThisClock(t *testing.T) {
+// The code of the daemons must decide nothing by a clock that stops during a suspension, and
+// must use the Clock it is given, so that tests can suspend the machines of a simulation one
+// by one.
+func TestDaemonsUseBootClock(t *testing.T) {
 	for _, root := range []string{"../../internal", "../../platform"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
