--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -33,7 +33,7 @@
 	ExitAttention = 4
 )
 
-// Command is a subcommand.
+// Command is a subcommand of ledgesill.
 type Command struct {
 	Name      string
 	Summary   string
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -18,7 +18,7 @@
 	return code, o.String(), e.String()
 }
 
-func TestWrongUseIsNamed(t *testing.T) {
+func TestUsageErrorsNameTheCause(t *testing.T) {
 	entry := []string{
 		"entry", "-name", "e", "-peer-address", "127.0.0.1:1", "-operator-address", "127.0.0.1:2",
 		"-caller-address", "127.0.0.1:3", "-region", "r", "-zone", "z", "-controls", "127.0.0.1:4",
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestSampleIsValid(t *testing.T) {
+func TestSampleTreeIsValid(t *testing.T) {
 	code, out, errOut := runMain(t, "check", "../../docs/tree.sample.json")
 	if code != ExitOK || !strings.Contains(out, "6 availability zones") {
 		t.Errorf("exit %d, %q, %q", code, out, errOut)
