--- a/pkg/balance/balancer_test.go
+++ b/pkg/balance/balancer_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestFullTargetsRefuseWithRetryAfter(t *testing.T) {
+func TestRequestIsRefusedWithRetryAfterWhenTargetIsFull(t *testing.T) {
 	f := newRegionsFixture(t, 1, 0)
 	var refused *NoTargetError
 	for range 40 {
@@ -142,9 +142,9 @@
 	}
 }
 
-// Within any second, the boxes that share a cold target send it at most its rate plus one request
+// Within a second, the boxes that share a cold target send it at most its rate plus one request
 // for each of them.
-func TestColdTargetGetsItsRate(t *testing.T) {
+func TestColdTargetRateIsNotExceeded(t *testing.T) {
 	const boxes, rate = 9, 14.0
 	var boxList []Box
 	for i := range boxes {
@@ -173,7 +173,7 @@
 
 // A target that accepts requests and breaks every response is ejected like an unreachable one, and
 // tried again later.
-func TestTargetThatBreaksEveryAnswerIsEjected(t *testing.T) {
+func TestTargetIsEjectedAfterRepeatedBrokenResponses(t *testing.T) {
 	f := newRegionsFixture(t, 2, 0)
 	bad := f.choose(f.request("a")).Target.ID
 	f.done(Choice{Target: Target{ID: bad}}, Answered)
@@ -248,7 +248,8 @@
 }
 
 // A request that would wait too long at its home target goes to another one only while targets have
-// no queues. In a saturated service, requests for objects that are not cached would use up slots.
+// no queues. In a saturated service it is refused, because a target that has not cached the object
+// would need a slot for longer.
 func TestSaturatedServiceKeepsRequestsAtHomeTarget(t *testing.T) {
 	f := newRegionsFixture(t, 4, 0)
 	f.reportLoad(targetstatus.Load{Running: 1, Slots: 4})
@@ -285,8 +286,8 @@
 	}
 }
 
-// A target that rejected a request although it had free slots may be retried at once; one with a
-// queue only when a slot is expected to be free.
+// A target that rejected a request although it had free slots may be retried after minRetryAfter;
+// one with a queue only when a slot is expected to be free.
 func TestRetryAfterFollowsTheTargetsLoad(t *testing.T) {
 	f := newRegionsFixture(t, 1, 0)
 	turnAway := func(l targetstatus.Load) time.Duration {
@@ -324,7 +325,7 @@
 }
 
 // A single lost response does not eject a target that has responded to other requests since.
-func TestTargetThatAnswersOthersStays(t *testing.T) {
+func TestRespondingTargetIsNotEjectedForOneFailure(t *testing.T) {
 	for _, o := range []Outcome{Stuck, Unreachable} {
 		f := newRegionsFixture(t, 2, 0)
 		lost := f.choose(f.request("a"))
@@ -350,7 +351,7 @@
 
 // An overdue request counts against its target until it ends, whatever its outcome and whatever
 // happened to the target in between.
-func TestOverdueRequestHoldsItsSlot(t *testing.T) {
+func TestOverdueRequestCountsAsLoadUntilItEnds(t *testing.T) {
 	for _, o := range []Outcome{Answered, TurnedAway, Stuck, Broken, Dropped} {
 		f := newRegionsFixture(t, 1, 0)
 		c := f.choose(f.request("a"))
@@ -369,9 +370,9 @@
 	}
 }
 
-// A request that was marked overdue while its target responded to others does not keep the target
-// out after a later failure.
-func TestOverdueRequestOfATargetThatAnswersOthers(t *testing.T) {
+// Guards against a target that stays ejected because of an overdue request: after the ejection it
+// gets one trial request, even if an overdue one is in flight, and no second one.
+func TestOverdueRequestDoesNotBlockTrialAfterEjection(t *testing.T) {
 	f := newRegionsFixture(t, 1, 0)
 	overdue := f.choose(f.request("a"))
 	report := Report{TargetID: overdue.Target.ID, Route: "r", Outcome: Stuck, Took: time.Second}
@@ -401,7 +402,7 @@
 
 // An overdue request that was sent before its target was deregistered and registered again counts
 // there neither as in flight nor as overdue.
-func TestOverdueRequestOfATargetRegisteredAnew(t *testing.T) {
+func TestOverdueRequestIsNotCountedAfterReregistration(t *testing.T) {
 	f := newRegionsFixture(t, 1, 0)
 	old := f.choose(f.request("a"))
 	f.balancer.SetTargets(f.now, nil)
--- a/pkg/balance/change_test.go
+++ b/pkg/balance/change_test.go
@@ -14,7 +14,7 @@
 // of a core at 3,000 targets, while requests wait, 25 times a second while targets are being
 // replaced. Of two balancers, one gets the full list with each change and the other only the
 // change; both must make the same choices for the same requests and reports.
-func TestChangesLeadToTheSameTargets(t *testing.T) {
+func TestChangeTargetsMatchesSetTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		newBalancer := func() *Balancer {
--- a/pkg/balance/cold.go
+++ b/pkg/balance/cold.go
@@ -60,8 +60,8 @@
 }
 
 // sharers returns how many boxes share a cold target's rate, or zero if this box is not one of
-// them. The result is cached until the boxes change, because every choice looks at all cold
-// targets.
+// them. The result is cached until the boxes or the target's region change, because every choice
+// looks at all cold targets.
 func (b *Balancer) sharers(t *targetState) int {
 	if t.sharersRevision != b.boxesRevision {
 		t.sharers = b.countSharers(t)
--- a/pkg/balance/sharers_test.go
+++ b/pkg/balance/cold_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkChooseAmongCold measures one choice and its report at one of 273 boxes while a third of
-// 1,188 targets is cold, as after a zone has returned or half of a service was replaced.
-func BenchmarkChooseAmongCold(b *testing.B) {
+// BenchmarkChooseWithColdTargets measures one choice and its report at one of 273 boxes while a
+// third of 1,188 targets is cold, as after a zone has returned or half of a service was replaced.
+func BenchmarkChooseWithColdTargets(b *testing.B) {
 	const boxes, targets = 273, 1188
 	balancer := New(Config{Box: "box0", Zone: "z0", Region: "r0"})
 	var list []Box
@@ -38,7 +38,7 @@
 
 // Guards against a stale count of the boxes that share a cold target, after the boxes or the
 // target's region have changed.
-func TestSharersFollowBoxesAndRegions(t *testing.T) {
+func TestColdSharersFollowBoxesAndRegions(t *testing.T) {
 	b := New(Config{Box: "box0", Zone: "z", Region: "r0"})
 	b.SetColdLimit("s", ColdLimit{Time: time.Hour, Rate: 30})
 	now := time.Unix(0, 0)
--- a/pkg/balance/leaving.go
+++ b/pkg/balance/leaving.go
@@ -23,7 +23,7 @@
 }
 
 // leavingTarget returns the highest-ranked target among those still within their leavingGrace, or
-// nil if there is none.
+// nil if there is none. It excludes targets that are backed off or need permits.
 func (b *Balancer) leavingTarget(now time.Time, s *service, r Request, key uint64) *targetState {
 	var best ranked
 	for _, t := range s.targets {
--- a/pkg/balance/ratelimit.go
+++ b/pkg/balance/ratelimit.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// retrySpread is the interval over which the retries of callers are spread that found no usable
-	// target. Capacity that becomes free within it serves some of them.
+	// retrySpread is the interval over which the retries of callers that found no usable target are
+	// spread. Capacity that becomes free within it serves some of them.
 	retrySpread = time.Second
 	// phaseStep is the fractional part of the golden ratio. Phases advanced by it are spread evenly
 	// for any number of steps, since each falls into the widest gap.
@@ -29,8 +29,8 @@
 }
 
 // ThrottleUntil takes back a choice for which no permit was granted: the request is not sent, and
-// this box sends the target no other until the given time. In the meantime its affinity keys go to the
-// target that ranks next.
+// this box sends the target no other until the given time. In the meantime requests whose home
+// target it is go to the target that ranks next.
 func (b *Balancer) ThrottleUntil(now time.Time, id string, until time.Time) {
 	t := b.byID[id]
 	if t == nil {
--- a/pkg/balance/ratelimit_test.go
+++ b/pkg/balance/ratelimit_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// BenchmarkChooseAmongLimited measures one choice and its report while a third of 3,000 targets is
-// throttled for lack of permits.
-func BenchmarkChooseAmongLimited(b *testing.B) {
+// BenchmarkChooseWithLimitedTargets measures one choice and its report while a third of 3,000
+// targets is throttled for lack of permits.
+func BenchmarkChooseWithLimitedTargets(b *testing.B) {
 	balancer := New(Config{Box: "box0", Zone: "z0", Region: "r0"})
 	var all []Target
 	for i := range 3000 {
--- a/pkg/balance/report.go
+++ b/pkg/balance/report.go
@@ -56,8 +56,8 @@
 // The effects of a report on its target.
 const (
 	Unchanged Change = iota
-	// Ejected: the target could not be reached or did not respond, and receives nothing for a
-	// while.
+	// Ejected: the target could not be reached, did not respond or broke several responses in a
+	// row, and receives nothing for a while.
 	Ejected
 	// Readmitted: a target that was ejected has responded.
 	Readmitted
--- a/pkg/balance/routes_test.go
+++ b/pkg/balance/routes_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // KeepRoutes keeps the service times of the named routes and drops all others.
-func TestTimesOfKeptRoutesStay(t *testing.T) {
+func TestKeepRoutesDropsOtherRoutes(t *testing.T) {
 	f := newRegionsFixture(t, 2, 0)
 	for _, name := range []string{"kept", "gone"} {
 		r := f.request("a")
--- a/pkg/balance/target.go
+++ b/pkg/balance/target.go
@@ -42,8 +42,8 @@
 	// otherLoadHalfLife is the half-life of the load from other boxes: about the service time of a
 	// request.
 	otherLoadHalfLife = 600 * time.Millisecond
-	// minEjection is how long a target is ejected that cannot be reached. The time doubles with
-	// each consecutive failure, up to maxEjection.
+	// minEjection is how long an unreachable target is ejected. The time doubles with each
+	// consecutive failure, up to maxEjection.
 	minEjection = 250 * time.Millisecond
 	maxEjection = 2 * time.Second
 	// maxBrokenAnswers is the number of consecutive broken responses after which the target is
