--- a/pkg/admission/backoff_test.go
+++ b/pkg/admission/backoff_test.go
@@ -9,7 +9,7 @@
 
 // Guards against a pool that uses a target or checks its health during a back-off, or that ends the
 // longer of two back-offs with the shorter one.
-func TestPoolBacksOff(t *testing.T) {
+func TestBackedOffTargetGetsNoRequestsOrHealthChecks(t *testing.T) {
 	f := newLoadFixture(2)
 	f.handle(BackOff{Target: "t0", Wait: 3 * time.Second})
 	f.handle(BackOff{Target: "t0", Wait: time.Second})
--- a/pkg/admission/pool.go
+++ b/pkg/admission/pool.go
@@ -285,7 +285,8 @@
 }
 
 // refuse refuses a request with a Retry-After: the time in which the pool would serve its present
-// requests, plus a random delay of up to the same length, so that callers do not retry together.
+// requests, or longer if rate limits or back-offs require it, plus a random delay of up to the same
+// length, so that callers do not retry together.
 func (p *Pool) refuse(now time.Time, id uint64, reason Reason) {
 	busy := len(p.running) + len(p.queue.items) + 1
 	wait := p.meanTime * time.Duration(busy) / time.Duration(max(p.capacity(now), 1))
--- a/pkg/admission/pool_test.go
+++ b/pkg/admission/pool_test.go
@@ -30,9 +30,10 @@
 	return out
 }
 
-// TestNeverMoreThanSlots checks the invariants of the package for any order of events, including
-// false reports from targets and changes of the target list.
-func TestNeverMoreThanSlots(t *testing.T) {
+// TestGrantsRequireSlotAndLease checks the invariants of the package for any numbers of slots and
+// targets and any order of events, including false reports from targets and changes of the target
+// list.
+func TestGrantsRequireSlotAndLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewPool(rapid.Uint64().Draw(t, "seed"))
 		now := start
@@ -40,8 +41,8 @@
 		n := rapid.IntRange(1, 4).Draw(t, "targets")
 		draining := make(map[string]bool)
 		leaseUntil := now
-		holdFor := func(d time.Duration) { leaseUntil = now.Add(d) }
-		holdFor(time.Hour)
+		leaseFor := func(d time.Duration) { leaseUntil = now.Add(d) }
+		leaseFor(time.Hour)
 		p.Handle(now, Configure{config(slots), targets(n)})
 		p.Handle(now, SetLease{leaseUntil})
 		onTarget := make(map[string]int)
@@ -116,11 +117,11 @@
 				check(p.Handle(now, Configure{config(slots), list}))
 			},
 			"lose": func(*rapid.T) {
-				holdFor(0)
+				leaseFor(0)
 				check(p.Handle(now, SetLease{leaseUntil}))
 			},
 			"hold": func(*rapid.T) {
-				holdFor(time.Minute)
+				leaseFor(time.Minute)
 				check(p.Handle(now, SetLease{leaseUntil}))
 			},
 			"pass": func(t *rapid.T) {
--- a/pkg/admission/ratelimit_test.go
+++ b/pkg/admission/ratelimit_test.go
@@ -47,6 +47,8 @@
 	}
 }
 
+// A rate-limited target gets nearly all of its limit, other targets get the rest, and once the limit
+// is withdrawn the target gets its share again.
 func TestRequestsBeyondALimitGoToOtherTargets(t *testing.T) {
 	f := newLoadFixture(3)
 	f.handle(rateLimitUpdate("t0", 5, f.now))
@@ -102,7 +104,7 @@
 
 // Health checks count as requests: a rate-limited target is checked at no more than a tenth of its
 // limit.
-func TestLimitedTargetIsCheckedRarely(t *testing.T) {
+func TestHealthChecksOfLimitedTargetAreLimited(t *testing.T) {
 	f := newLoadFixture(2)
 	f.handle(rateLimitUpdate("t0", 2, f.now))
 	checks := make(map[string]int)
--- a/pkg/admission/target.go
+++ b/pkg/admission/target.go
@@ -168,8 +168,8 @@
 	t.probing = true
 }
 
-// score ranks targets: the lower the score, the sooner a request is likely to be answered. A target
-// that has just failed ranks after all others for EjectionTime.
+// score ranks targets: the lower the score, the sooner a request is likely to be answered. For
+// EjectionTime after a failure, failurePenalty ranks a target after the others.
 func (t *target) score(now time.Time, c Config) float64 {
 	slots := t.maxInFlight(now, c)
 	if t.backOff.IsRecovering() {
