--- a/pkg/steering/bench_test.go
+++ b/pkg/steering/bench_test.go
@@ -13,7 +13,7 @@
 )
 
 // stateWithZones returns a state with the given number of zones, three per region, each with 97
-// entry boxes and 16 targets of one service. Users plan for 58 zones.
+// entry boxes and 16 targets of one service. The largest size that users plan for is 58 zones.
 func stateWithZones(b *testing.B, zones int) State {
 	b.Helper()
 	c := &wire.Change{Id: "tree"}
