--- a/pkg/routing/failover_test.go
+++ b/pkg/routing/failover_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestFailover checks that after a pool that may have run the request only a repeatable request
-// goes on, and that every failover ends.
+// goes on, that every failover ends, and that the kept result never claims that a request did not
+// run if a pool may have run it.
 func TestFailover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
