--- a/pkg/drain/stop_test.go
+++ b/pkg/drain/stop_test.go
@@ -8,15 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// TestStop checks that a process keeps serving for as long as cached answers are valid, and that
-// the stop ends only when nothing is in flight or its deadline has passed.
+// TestStop checks that a process keeps serving for as long as cached answers are valid, that the
+// phases never go back, and that the stop ends only when nothing is in flight or its deadline has
+// passed.
 func TestStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		ttl := time.Duration(rapid.IntRange(0, 3000).Draw(t, "ttl")) * time.Millisecond
-		longest := time.Duration(rapid.IntRange(0, 3000).Draw(t, "longest")) * time.Millisecond
+		maxRequestTime := time.Duration(rapid.IntRange(0, 3000).Draw(t, "longest")) * time.Millisecond
 		var s Stop
-		s.Begin(now, ttl, longest)
+		s.Begin(now, ttl, maxRequestTime)
 		began := now
 		last := Leaving
 		for range 100 {
@@ -29,7 +30,7 @@
 			if phase >= Refusing && now.Sub(began) < ttl {
 				t.Fatal("requests are refused while cached answers are valid")
 			}
-			if phase == Ended && last != Ended && inFlight > 0 && now.Sub(began) < ttl+longest {
+			if phase == Ended && last != Ended && inFlight > 0 && now.Sub(began) < ttl+maxRequestTime {
 				t.Fatal("the stop ended with a request in flight before its deadline")
 			}
 			last = phase
