--- a/pkg/quota/permitcache.go
+++ b/pkg/quota/permitcache.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// unresponsivePause is for how long an issuer that did not answer is not called. A call
+	// unresponsivePause is how long an issuer that did not answer is not called. A call
 	// without an answer costs waiting requests hedgeDelay.
 	unresponsivePause = 500 * time.Millisecond
-	// stalePause is for how long an issuer with an older document than the box is not
+	// stalePause is how long an issuer with an older document than the box is not
 	// called: a document reaches all replicas within about the longest one-way delay.
 	stalePause = 40 * time.Millisecond
 	// hedgeDelay is how long a call may stay unanswered before the next issuer is called as
@@ -30,7 +30,7 @@
 	// latencyWeight is the weight of one sample in an issuer's moving average latency.
 	latencyWeight = 0.2
 	// retrySpread is the time over which the retries of refused callers are spread. It is a
-	// fifth of the quota window in production, in which a fifth of a limit becomes available.
+	// fifth of the quota window in production, so a fifth of a limit becomes available in it.
 	retrySpread = time.Second
 	// goldenRatioStep distributes any number of retry times evenly: each falls into the
 	// widest gap.
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -112,7 +112,7 @@
 
 // Checks that the bound holds in each window while boxes request as many permits as
 // they can get, links are cut, boxes and issuers restart, and the limit is lowered.
-func TestBoundHolds(t *testing.T) {
+func TestWorkspaceRequestsStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]float64{1, 10, 50, 311}).Draw(t, "rate")
 		burst := rate * rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "burst")
--- a/pkg/quota/targetlimit_test.go
+++ b/pkg/quota/targetlimit_test.go
@@ -13,10 +13,11 @@
 
 const testTarget = "t"
 
-// targetWindow is the window in which a target's requests are counted.
+// targetWindow is the window in which targets count their requests.
 const targetWindow = 4 * time.Second
 
-// maxTargetRequests returns how many requests a rate-limited target may get in a window.
+// maxTargetRequests returns how many requests a rate-limited target may get in a window: slightly
+// more than the bound of 5.8 times the limit plus 4 that is derived at targetIssuers.
 func maxTargetRequests(perSecond float64) float64 { return 1.5*perSecond*targetWindow.Seconds() + 5 }
 
 // targetSimulation runs a rate-limited target, replicas and boxes in virtual time. Its
@@ -141,7 +142,7 @@
 // Checks that all boxes together stay within the bound in each window while they request as
 // many permits as they can get and use them as late as allowed, links are cut, answers are
 // lost, boxes and issuers restart, and the limit is lowered.
-func TestTargetBoundHolds(t *testing.T) {
+func TestTargetRequestsStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &targetSimulation{t: t, now: time.Time{}.Add(time.Hour), issuers: make(map[string]*TargetIssuer), partitioned: make(map[string]bool)}
 		n.limit = targetstatus.Update{Incarnation: testTarget, Limit: rapid.SampledFrom([]float64{0, 0.3, 1, 5.6, 40}).Draw(t, "limit"), Sent: n.now, Received: n.now}
@@ -195,7 +196,7 @@
 // Checks the worst case: all buckets are full, their permits are used at the last moment,
 // every further permit at once, and the one box that reaches no replica uses its
 // fallback. The total stays within the bound and reaches at least the limit.
-func TestWorstCaseTargetWindow(t *testing.T) {
+func TestWorstCaseTargetWindowStaysWithinBound(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.5, 1, 5.6, 40} {
 		for _, replicas := range []int{1, 2, 3, 6, 9} {
 			got, want := worstTargetWindow(perSecond, replicas), maxTargetRequests(perSecond)
--- a/pkg/quota/usage_test.go
+++ b/pkg/quota/usage_test.go
@@ -7,7 +7,7 @@
 	"ledgesill.dev/ledgesill/pkg/catalog"
 )
 
-func TestUsageReportsPreviousWindow(t *testing.T) {
+func TestUsageReportsLastCompletedWindow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	i := NewIssuer(testBound, 2)
 	i.SetLimits(now, 7, []catalog.Workspace{
