--- a/pkg/quarantine/evidence_test.go
+++ b/pkg/quarantine/evidence_test.go
@@ -91,7 +91,7 @@
 
 // Evidence is reported again when the answer to a call is lost. It must count once and
 // evict no other evidence.
-func TestEvidenceCountsOnce(t *testing.T) {
+func TestRepeatedEvidenceCountsOnce(t *testing.T) {
 	store := NewEvidenceStore()
 	store.RecordCrash(testStart, crashOf(alice, "1", 0))
 	for range maxCrashes {
@@ -133,23 +133,23 @@
 		e := crashOf(alice, fmt.Sprint(i), 0)
 		o.Add(now, Item{Crash: &e})
 	}
-	if changes := o.NextBatches(now); len(changes) != 0 || !o.NextAt().Equal(now.Add(batchDelay)) {
-		t.Fatalf("at once: %d batches, next %s", len(changes), o.NextAt())
+	if batches := o.NextBatches(now); len(batches) != 0 || !o.NextAt().Equal(now.Add(batchDelay)) {
+		t.Fatalf("at once: %d batches, next %s", len(batches), o.NextAt())
 	}
 	now = now.Add(batchDelay)
 	want := func(address string, items int) {
 		t.Helper()
-		changes := o.NextBatches(now)
-		if len(changes) != 1 || changes[0].Address != address || len(changes[0].Items) != items {
-			t.Fatalf("got %d batches, want %d items for %s", len(changes), items, address)
+		batches := o.NextBatches(now)
+		if len(batches) != 1 || batches[0].Address != address || len(batches[0].Items) != items {
+			t.Fatalf("got %d batches, want %d items for %s", len(batches), items, address)
 		}
 	}
 	want("a", maxBatch)
-	if changes := o.NextBatches(now); len(changes) != 0 {
+	if batches := o.NextBatches(now); len(batches) != 0 {
 		t.Fatal("sent again while a call is in flight")
 	}
 	o.HandleResult(now, "a", false)
-	if changes := o.NextBatches(now); len(changes) != 0 || !o.NextAt().Equal(now.Add(retryPause)) {
+	if batches := o.NextBatches(now); len(batches) != 0 || !o.NextAt().Equal(now.Add(retryPause)) {
 		t.Fatal("sent again without a pause")
 	}
 	now = now.Add(retryPause)
@@ -164,7 +164,7 @@
 	want("b", maxBatch)
 	o.HandleResult(now, "b", true)
 	now = now.Add(2 * EvidenceRetention)
-	if changes := o.NextBatches(now); len(changes) != 0 {
+	if batches := o.NextBatches(now); len(batches) != 0 {
 		t.Fatal("expired evidence is sent")
 	}
 }
--- a/pkg/quarantine/simulation_test.go
+++ b/pkg/quarantine/simulation_test.go
@@ -18,8 +18,8 @@
 	maxLateRuns = 3
 )
 
-// simulation runs boxes and replicas in virtual time. The links between them delay,
-// duplicate and lose messages; boxes restart and are cut off.
+// simulation runs boxes and replicas in virtual time. The links between them delay and lose
+// messages, so that evidence is also delivered twice; boxes restart and are cut off.
 type simulation struct {
 	random   *rand.Rand
 	now      time.Time
@@ -134,7 +134,7 @@
 	s.schedule(max(wait, b.unreachableUntil.Sub(s.now)+wait), func() { b.guard.SetList(s.list) })
 }
 
-// callTimeout is when a call to a replica that does not answer is abandoned.
+// callTimeout is how long a box waits for a replica that does not answer.
 const callTimeout = 600 * time.Millisecond
 
 // sendEvidence sends the replicas the evidence that they lack. Calls are lost on their
@@ -289,8 +289,8 @@
 		waves := rapid.IntRange(1, 3).Draw(t, "waves")
 		request := Request{Method: "GET", Host: "a", Target: "/hot"}.Digest()
 		type running struct {
-			box *simulatedBox
-			end Crash
+			box   *simulatedBox
+			crash Crash
 		}
 		var active []running
 		refused := 0
@@ -327,11 +327,11 @@
 			for _, r := range active {
 				switch {
 				case wave && s.random.Float64() < 0.15:
-					e := r.end
-					e.Ended = s.now
-					s.schedule(s.randomBetween(100*time.Millisecond, 250*time.Millisecond), func() { s.recordCrash(r.box, e) })
-				case s.now.Sub(r.end.Began) > 300*time.Millisecond:
-					s.recordAnswer(r.box, request, r.end.Caller)
+					crash := r.crash
+					crash.Ended = s.now
+					s.schedule(s.randomBetween(100*time.Millisecond, 250*time.Millisecond), func() { s.recordCrash(r.box, crash) })
+				case s.now.Sub(r.crash.Began) > 300*time.Millisecond:
+					s.recordAnswer(r.box, request, r.crash.Caller)
 				default:
 					remaining = append(remaining, r)
 				}
