--- a/pkg/retry/boxes_test.go
+++ b/pkg/retry/boxes_test.go
@@ -137,15 +137,15 @@
 }
 
 // Checks how many retries a box has at once when its targets begin to fail, and in the long
-// run. Fewer are available because earned fractions expire.
+// run. Both are below the share of its requests, because earned fractions expire.
 func TestRetriesAvailableDuringFailure(t *testing.T) {
-	const requests = 20 // a step, 200 a second
+	const requests = 20 // per step, which is 200 per second
 	f := newFleet(1, 0)
 	for range 100 {
 		f.step([]int{requests}, 0)
 	}
 	f.step([]int{requests}, 100)
-	// 0.75 of the share of 3 s of requests, less the slot that is not over.
+	// 0.75 of the share of 3 s of requests, less the part of the current slot that is to come.
 	if atOnce := f.retries[100]; atOnce < 75 || atOnce > 90 {
 		t.Errorf("%d retries at once, want those of about 0.4 s of all requests", atOnce)
 	}
--- a/pkg/retry/plan.go
+++ b/pkg/retry/plan.go
@@ -16,7 +16,7 @@
 // AttemptResult is the result of an attempt.
 type AttemptResult int
 
-// The ends of an attempt.
+// The results of an attempt.
 const (
 	// Answered: there is a complete answer.
 	Answered AttemptResult = iota
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -13,7 +13,7 @@
 	slots  [slotCount]timeSlot
 }
 
-// timeSlot holds the counts of one time timeSlot.
+// timeSlot holds the counts of one of the intervals that a window is divided into.
 type timeSlot struct {
 	number int64
 	// earned is how many retries the first attempts of the slot still allow.
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -58,7 +58,7 @@
 }
 
 // Allows must not consume a retry.
-func TestAllowsConsumesNothing(t *testing.T) {
+func TestAllowsDoesNotConsumeRetry(t *testing.T) {
 	w := NewWindowBudget(0, time.Second)
 	for range 3 {
 		if !w.Allows(0, 1.5) {
@@ -76,24 +76,24 @@
 	const (
 		share, extra = 0.2, 4.0
 		length       = 10 * time.Second
-		tenth        = length / 100
-		moved        = 150 // tenths after the start
+		step         = length / 100
+		movedAt      = 150 // the step at which callers move and targets begin to reject requests
 	)
 	boxes := []*WindowBudget{NewWindowBudget(share, length), NewWindowBudget(share, length)}
 	rates := func(i int) []int {
-		if i < moved {
+		if i < movedAt {
 			return []int{10, 10}
 		}
 		return []int{1, 19}
 	}
 	firsts, retries := 0, 0
-	for i := range moved + 100 {
-		at := time.Duration(i) * tenth
+	for i := range movedAt + 100 {
+		at := time.Duration(i) * step
 		for b, rate := range rates(i) {
 			for range rate {
 				boxes[b].RecordFirst(at)
 			}
-			if i < moved {
+			if i < movedAt {
 				continue // targets do not reject requests yet
 			}
 			firsts += rate
