--- a/pkg/targetstatus/backoff.go
+++ b/pkg/targetstatus/backoff.go
@@ -19,9 +19,9 @@
 	return time.Duration(turn * float64(maxExtension))
 }
 
-// BackOff is the state of a target's requests that this box pause sending. Of several
-// requests the one that ends last counts, in whatever order they arrive; a response of
-// another kind ends none. The zero value means that the target asked for no back-off.
+// BackOff is the state of the back-offs that a target asked this box for. Of several the
+// one that ends last counts, in whatever order they arrive; a response without a back-off
+// ends none. The zero value means that the target asked for no back-off.
 type BackOff struct {
 	until         time.Time
 	recoveryLimit int
--- a/pkg/targetstatus/shared_test.go
+++ b/pkg/targetstatus/shared_test.go
@@ -26,7 +26,7 @@
 
 // Guards against responses out of order that raise or withdraw a limit when they must not,
 // or fail to do so when they must.
-func TestResponsesOutOfOrder(t *testing.T) {
+func TestLimitAfterResponsesOutOfOrder(t *testing.T) {
 	known := report(5, 10, 20)
 	cases := map[string]struct {
 		update Update
@@ -61,17 +61,17 @@
 
 // Guards against a relayed update that withdraws a limit although it was sent before: its
 // ages don't include the time that the message was in transit.
-func TestRelayedUpdateMayBeOlderThanItsAges(t *testing.T) {
+func TestDelayedRelayDoesNotWithdrawLimit(t *testing.T) {
 	now := time.Time{}.Add(time.Hour)
-	named := Update{Incarnation: testTarget, Limit: 5, Sent: now.Add(-20 * time.Millisecond), Received: now}
+	limited := Update{Incarnation: testTarget, Limit: 5, Sent: now.Add(-20 * time.Millisecond), Received: now}
 	message := Update{Incarnation: testTarget, Limit: NoLimit, Sent: now.Add(-150 * time.Millisecond), Received: now.Add(-120 * time.Millisecond)}.Message(now)
 	arrived := now.Add(200 * time.Millisecond)
-	if got := activeAfter(named, UpdateOf(arrived, message)); got != 5 {
+	if got := activeAfter(limited, UpdateOf(arrived, message)); got != 5 {
 		t.Errorf("limit is %v per second", got)
 	}
 	now = now.Add(2 * time.Second)
 	message = Update{Incarnation: testTarget, Limit: NoLimit, Sent: now.Add(-time.Second), Received: now}.Message(now)
-	if got := activeAfter(named, UpdateOf(now, message)); got != NoLimit {
+	if got := activeAfter(limited, UpdateOf(now, message)); got != NoLimit {
 		t.Errorf("limit is %v per second", got)
 	}
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-// Guards against a limit above the latest one of the target, for updates in any order with
-// overlapping responses.
+// Guards against a limit above the one that the target reported last, for updates in any order
+// with overlapping responses.
 func TestLimitIsNeverAboveWhatWasSaidLast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type response struct {
@@ -221,7 +221,7 @@
 }
 
 // Guards against a bound on the stored limits that raises the limit that applies.
-func TestManyLimitsAtOnceAreBounded(t *testing.T) {
+func TestStoredLimitsAreBounded(t *testing.T) {
 	var s SharedState
 	for i := range 100 {
 		s = s.With(report(float64(1+i), 0, time.Duration(10+i)))
