--- a/pkg/shift/planner_test.go
+++ b/pkg/shift/planner_test.go
@@ -42,7 +42,7 @@
 // Checks, while leaders change and measurements stop or report low load, that no more points
 // than the cap are unsettled, and that no step begins for which the destination lacks
 // headroom according to the worst recent measurement.
-func TestCapAndHeadroom(t *testing.T) {
+func TestStepsStayWithinCapAndHeadroom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
 		s := startShift(t, newState(t), uint32(rapid.IntRange(1, lookup.Points).Draw(t, "points")))
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAbortsOnceWhenDestinationIsLost(t *testing.T) {
+func TestShiftAbortsOnceWhenDestinationIsLost(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	s := startShift(t, newState(t), 1000)
 	p := NewPlanner(now)
