--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -10,36 +10,37 @@
 	"ledgesill.dev/ledgesill/pkg/journal"
 )
 
-// fakeFile is a file whose unsynced bytes a crash may tear.
+// fakeFile is a file whose unsynced bytes may be torn by a crash.
 type fakeFile struct {
 	data   []byte
 	synced int
-	// lost is set after a failed sync: as on a real machine, what was not
-	// synced then is gone, whatever is synced later.
+	// lost is set after a failed sync: as on a real machine, bytes that were unsynced then are
+	// lost even if a later sync succeeds.
 	lost     bool
 	lostFrom int
 }
 
-// fakeDisk is a folder on a disk that keeps only what was synced: bytes by
-// File.Sync, names by SyncDir.
+// fakeDisk is a directory on a disk that keeps only what was synced: contents by File.Sync, names
+// by SyncDir.
 type fakeDisk struct {
 	random  *rand.Rand
 	names   map[string]*fakeFile
 	durable map[string]*fakeFile
-	// torn has a write that fails leave half of its bytes.
-	torn bool
-	// before is called ahead of every operation; an error makes it fail.
-	before func(operation, name string) error
+	// tearWrites makes a failing write leave half of its bytes.
+	tearWrites bool
+	// beforeOperation is called before every operation. If it returns an error, the operation
+	// fails.
+	beforeOperation func(operation, name string) error
 }
 
 var errDisk = errors.New("the disk failed")
 
 func newFakeDisk(seed uint64) *fakeDisk {
 	return &fakeDisk{
-		random:  rand.New(rand.NewPCG(seed, 9)),
-		names:   make(map[string]*fakeFile),
-		durable: make(map[string]*fakeFile),
-		before:  func(string, string) error { return nil },
+		random:          rand.New(rand.NewPCG(seed, 9)),
+		names:           make(map[string]*fakeFile),
+		durable:         make(map[string]*fakeFile),
+		beforeOperation: func(string, string) error { return nil },
 	}
 }
 
@@ -49,7 +50,7 @@
 		ReadFile: d.readFile,
 		Rename: func(from, to string) error {
 			from, to = filepath.Base(from), filepath.Base(to)
-			if err := d.before("rename", to); err != nil {
+			if err := d.beforeOperation("rename", to); err != nil {
 				return err
 			}
 			d.names[to] = d.names[from]
@@ -65,7 +66,7 @@
 			return nil
 		},
 		SyncDir: func(string) error {
-			if err := d.before("syncFolder", ""); err != nil {
+			if err := d.beforeOperation("syncFolder", ""); err != nil {
 				return err
 			}
 			d.durable = make(map[string]*fakeFile, len(d.names))
@@ -95,8 +96,8 @@
 	}
 	return journal.File{
 		Write: func(b []byte) (int, error) {
-			if err := d.before("write", name); err != nil {
-				if d.torn {
+			if err := d.beforeOperation("write", name); err != nil {
+				if d.tearWrites {
 					f.data = append(f.data, b[:len(b)/2]...)
 				}
 				return 0, err
@@ -105,7 +106,7 @@
 			return len(b), nil
 		},
 		Sync: func() error {
-			if err := d.before("sync", name); err != nil {
+			if err := d.beforeOperation("sync", name); err != nil {
 				if !f.lost {
 					f.lost, f.lostFrom = true, f.synced
 				}
@@ -123,8 +124,8 @@
 	}, nil
 }
 
-// crash keeps what was synced, and of what was not a torn part: some of the
-// bytes, the last of them damaged.
+// crash keeps synced bytes. With torn, a random part of the unsynced bytes is kept as well,
+// possibly with the last byte damaged.
 func (d *fakeDisk) crash(torn bool) {
 	d.names = make(map[string]*fakeFile, len(d.durable))
 	for name, f := range d.durable {
--- a/internal/control/permits.go
+++ b/internal/control/permits.go
@@ -12,64 +12,65 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// permits hosts the issuer of a replica. It needs no leader: the parts of limits do
-// not move, so it goes on while the replica is cut off.
-type permits struct {
-	bound    quota.Bound
-	document *documentInForce
-	state    atomic.Pointer[steering.State]
-	mu       sync.Mutex
-	issuer   *quota.Issuer
+// permitIssuer issues permits under the limits of workspaces. It needs no leader: a replica's
+// share of a limit depends only on the number of replicas, so it continues while the replica is
+// cut off.
+type permitIssuer struct {
+	bound  quota.Bound
+	routes *routesDecoder
+	state  atomic.Pointer[steering.State]
+	mu     sync.Mutex
+	issuer *quota.Issuer
 }
 
-// put takes the state that was applied last. It does not wait.
-func (p *permits) put(s steering.State) { p.state.Store(&s) }
+// setState sets the state that was applied last. It does not block.
+func (p *permitIssuer) setState(s steering.State) { p.state.Store(&s) }
 
-// setParts tells how many replicas there are.
-func (p *permits) setParts(now time.Time, m *wire.Membership) {
-	parts := len(m.GetVoters()) + len(m.GetLearners())
-	if parts == 0 {
+// setReplicaCount sets the number of replicas from a membership.
+func (p *permitIssuer) setReplicaCount(now time.Time, m *wire.Membership) {
+	count := len(m.GetVoters()) + len(m.GetLearners())
+	if count == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.issuer == nil {
-		p.issuer = quota.NewIssuer(p.bound, parts)
+		p.issuer = quota.NewIssuer(p.bound, count)
 	}
-	p.issuer.SetReplicaCount(now, parts)
+	p.issuer.SetReplicaCount(now, count)
 	p.refresh(now)
 }
 
-// refresh takes the limits of the document in force.
-func (p *permits) refresh(now time.Time) {
+// refresh takes over the limits of the active routes document. The lock is held.
+func (p *permitIssuer) refresh(now time.Time) {
 	s := p.state.Load()
 	if s == nil {
 		return
 	}
-	text := s.Catalog().Document()
-	if text.GetNumber() == p.issuer.DocumentNumber() {
+	active := s.Catalog().Document()
+	if active.GetNumber() == p.issuer.DocumentNumber() {
 		return
 	}
-	d, err := p.document.read(text)
+	d, err := p.routes.decodeOnce(active)
 	if err != nil {
-		return // told of by read; the limits before stay in force
+		return // logged by decodeOnce; the previous limits stay in effect
 	}
-	p.issuer.SetLimits(now, text.Number, d.Workspaces)
+	p.issuer.SetLimits(now, active.Number, d.Workspaces)
 }
 
-// issue answers a box.
-func (p *permits) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
-	asks := make([]quota.SubjectRequest, 0, len(r.Asks))
+// issue answers a permit request of a box.
+func (p *permitIssuer) issue(now time.Time, r *wire.PermitRequest) *wire.PermitAnswer {
+	requests := make([]quota.SubjectRequest, 0, len(r.Asks))
 	for _, a := range r.Asks {
-		asks = append(asks, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
+		requests = append(requests, quota.SubjectRequest{Subject: a.Workspace, Count: int(a.Count)})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.issuer == nil {
-		return &wire.PermitAnswer{Behind: true} // its part is not known without the membership
+		return &wire.PermitAnswer{Behind: true} // its share is unknown without the membership
 	}
 	p.refresh(now)
-	grants, err := p.issuer.Issue(now, r.Number, asks)
+	grants, err := p.issuer.Issue(now, r.Number, requests)
 	if err != nil {
 		return &wire.PermitAnswer{Behind: true} // StaleLimitsError: no permits are issued under outdated limits
 	}
@@ -86,14 +87,14 @@
 	return out
 }
 
-// servePermits answers the requests of one box until its stream ends.
+// servePermits answers the permit requests of one box until its stream ends.
 func (d *Daemon) servePermits(ctx context.Context, _ string, m *link.Messages) {
 	stop := context.AfterFunc(ctx, func() { _ = m.Close() })
 	defer stop()
 	for {
 		r := &wire.PermitRequest{}
 		if err := m.Read(r); err != nil {
-			return // the box has left, or opens another stream
+			return // the box has disconnected or opens another stream
 		}
 		if err := m.Write(d.answerPermits(r)); err != nil {
 			return
@@ -101,10 +102,10 @@
 	}
 }
 
-// answerPermits answers a request for permits of workspaces or of targets.
+// answerPermits answers a permit request for workspaces or for targets.
 func (d *Daemon) answerPermits(r *wire.PermitRequest) *wire.PermitAnswer {
 	if len(r.TargetAsks) > 0 {
 		return &wire.PermitAnswer{Grants: d.issueForTargets(r.TargetAsks)}
 	}
-	return d.permits.issue(d.clock.Now(), r)
+	return d.permitIssuer.issue(d.clock.Now(), r)
 }
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -24,38 +24,38 @@
 )
 
 const (
-	// replicaBytes is what all links between the replicas together carry in a
-	// second, each way: 8 Mbit/s.
-	replicaBytes = 8_000_000 / 8
-	// operatorTime is how long an operator's call may take.
-	operatorTime = 4 * time.Second
-	// acknowledgeTime bounds the acknowledgement of a document.
-	acknowledgeTime = time.Second
-	// sentPart bounds the bytes that replicas send for a document: this part of
-	// its text.
-	sentPart = 2
-	// formTime is enough to elect a leader, restTime for what is still under way.
-	formTime = 10 * time.Second
-	restTime = 10 * time.Second
+	// slowLinkBytes is the bandwidth of all links between the replicas together, in bytes per
+	// second and direction: 8 Mbit/s.
+	slowLinkBytes = 8_000_000 / 8
+	// operatorCallTimeout bounds an operator's call.
+	operatorCallTimeout = 4 * time.Second
+	// maxAckTime bounds the time until a document is acknowledged.
+	maxAckTime = time.Second
+	// maxSentFraction bounds the bytes that replicas send for a document: the size of its text
+	// divided by this.
+	maxSentFraction = 2
+	// electionWait suffices to elect a leader, and quiescenceWait for what is still in flight.
+	electionWait   = 10 * time.Second
+	quiescenceWait = 10 * time.Second
 )
 
-// slowReplicas are three replicas on links with a bandwidth.
+// slowReplicas are three replicas on links with limited bandwidth.
 type slowReplicas struct {
 	daemons []*Daemon
-	// asleep is for how long the machine of each was suspended, in nanoseconds.
-	asleep []*atomic.Int64
-	stop   context.CancelFunc
-	ended  chan error
+	// suspended is how long each replica's machine was suspended, in nanoseconds.
+	suspended []*atomic.Int64
+	stop      context.CancelFunc
+	ended     chan error
 }
 
-// runSlowReplicas runs a function in virtual time with replicas that all hold a
-// state.
+// runSlowReplicas runs a function in virtual time with replicas that all hold a state.
 func runSlowReplicas(t *testing.T, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
-	runReplicasOn(t, replicaBytes, state, run)
+	runReplicasOn(t, slowLinkBytes, state, run)
 }
 
-// runReplicasOn does so on links that together carry so many bytes a second, each way.
+// runReplicasOn is runSlowReplicas with the given bandwidth of all links together, in bytes per
+// second and direction.
 func runReplicasOn(t *testing.T, bytesPerSecond int, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
 	runtime.GC() // yamux keeps timers in a pool, which must not enter or leave
@@ -77,9 +77,9 @@
 	first := &wire.Membership{}
 	for i := range 3 {
 		c := config.Control{DataDir: t.TempDir(), ElectionTimeout: time.Second, SnapshotEvery: 1000, PeersAreSeeds: true}
-		asleep := &atomic.Int64{}
-		s.asleep = append(s.asleep, asleep)
-		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(asleep.Load()) })
+		suspended := &atomic.Int64{}
+		s.suspended = append(s.suspended, suspended)
+		c.Clock = boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 		c.Name = fmt.Sprintf("c%d", i)
 		c.PeerAddress = c.Name
 		c.OperatorAddress = "127.0.0.1:0"
@@ -91,21 +91,21 @@
 		first.Voters = append(first.Voters, &wire.Replica{Id: d.replica.id, Address: c.PeerAddress})
 	}
 	for _, d := range s.daemons {
-		if err := d.replica.carryOut(d.replica.handle(bootstrap{first})); err != nil {
+		if err := d.replica.handleOutput(d.replica.handle(bootstrap{first})); err != nil {
 			t.Fatal(err)
 		}
 		d.replica.state = state
 		go func() { s.ended <- d.replica.run(ctx) }()
 		go func() { s.ended <- d.registrations.run(ctx) }()
 	}
-	time.Sleep(formTime)
+	time.Sleep(electionWait)
 	return s
 }
 
-// suspend has the machine of one replica be suspended; virtual time stands still meanwhile,
-// as its steady clock does.
+// suspend simulates a suspension of one replica's machine. Virtual time stands still meanwhile,
+// like the machine's monotonic clock.
 func (s *slowReplicas) suspend(d *Daemon, length time.Duration) {
-	s.asleep[slices.Index(s.daemons, d)].Add(int64(length))
+	s.suspended[slices.Index(s.daemons, d)].Add(int64(length))
 }
 
 func (s *slowReplicas) close(t *testing.T) {
@@ -115,7 +115,7 @@
 		<-s.ended
 	}
 	for _, d := range s.daemons {
-		if err := d.operators.Close(); err != nil {
+		if err := d.operatorListener.Close(); err != nil {
 			t.Error(err)
 		}
 		if err := d.close(); err != nil {
@@ -145,7 +145,7 @@
 	return s.daemons[i]
 }
 
-// operatorsText returns a text of about 220 B a route.
+// operatorsText returns a text of about 220 B per route.
 func operatorsText(routes int) []byte {
 	r := rand.New(rand.NewPCG(1, 3))
 	var out strings.Builder
@@ -158,7 +158,8 @@
 	return []byte(out.String())
 }
 
-// Guards against a long document that slow links between replicas never carry whole.
+// Guards against a long document that is never transferred completely over slow links between
+// replicas.
 func TestDocumentCrossesSlowLinksOnce(t *testing.T) {
 	for _, routes := range []int{1400, 5600} {
 		t.Run(fmt.Sprintf("put/%d", routes), func(t *testing.T) {
@@ -186,23 +187,23 @@
 func (s *slowReplicas) putAtFollower(t *testing.T, text []byte) {
 	t.Helper()
 	before, began := s.sent(), time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), operatorTime)
+	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	err := s.follower(t).PutRoutes(ctx, catalog.Document{Number: 1}, text)
 	took := time.Since(began)
-	time.Sleep(restTime)
+	time.Sleep(quiescenceWait)
 	sent := s.sent() - before
-	t.Logf("%d bytes: settled after %v, %d bytes were sent: %v", len(text), took, sent, err)
-	if err != nil || took > acknowledgeTime {
-		t.Errorf("acknowledged after %v, want at most %v: %v", took, acknowledgeTime, err)
+	t.Logf("%d bytes: committed after %v, %d bytes were sent: %v", len(text), took, sent, err)
+	if err != nil || took > maxAckTime {
+		t.Errorf("acknowledged after %v, want at most %v: %v", took, maxAckTime, err)
 	}
-	if most := uint64(len(text) / sentPart); sent > most {
-		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
+	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 	for _, d := range s.daemons {
 		state, err := d.State(t.Context())
 		if err != nil || string(state.Catalog().Document().GetText()) != string(text) {
-			t.Errorf("%s holds another text after %v: %v", d.config.Name, restTime, err)
+			t.Errorf("%s holds a different text after %v: %v", d.config.Name, quiescenceWait, err)
 		}
 	}
 }
@@ -210,7 +211,7 @@
 func (s *slowReplicas) readAtFollower(t *testing.T, text []byte) {
 	t.Helper()
 	before, began := s.sent(), time.Now()
-	ctx, cancel := context.WithTimeout(t.Context(), operatorTime)
+	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	got, err := s.follower(t).Routes(ctx)
 	sent := s.sent() - before
@@ -218,7 +219,7 @@
 	if err != nil || string(got) != string(text) {
 		t.Errorf("got %d bytes of %d: %v", len(got), len(text), err)
 	}
-	if most := uint64(len(text) / sentPart); sent > most {
-		t.Errorf("replicas sent %d bytes, want at most %d", sent, most)
+	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 }
--- a/internal/control/targetlimits.go
+++ b/internal/control/targetlimits.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// limitLinesPerSecond bounds the log lines on limits of targets.
-	limitLinesPerSecond = 20
-	// keepLimitsInterval is how often targets whose lives are over are forgotten.
-	keepLimitsInterval = 10 * time.Second
+	// maxLimitLogsPerSecond bounds the log lines on rate limits of targets.
+	maxLimitLogsPerSecond = 20
+	// pruneLimitsInterval is how often targets whose incarnation has ended are dropped.
+	pruneLimitsInterval = 10 * time.Second
 )
 
-// targetLimits hosts a replica's issuer of permits of targets that name limits, and what it
-// knows of those limits. It needs no leader and keeps nothing on disk: boxes tell each
-// replica what targets told them, and each ask tells it again.
+// targetLimits issues permits for targets that report a rate limit, and holds what this replica
+// knows of those limits. It needs no leader and stores nothing on disk: boxes pass on to each
+// replica what targets reported to them, and each permit request repeats it.
 type targetLimits struct {
-	clock  *boottime.Clock
-	mu     sync.Mutex
-	issuer *quota.TargetIssuer
-	lines  *process.LineLimiter
-	// kept is when lives that are over were forgotten last.
-	kept time.Time
+	clock      *boottime.Clock
+	mu         sync.Mutex
+	issuer     *quota.TargetIssuer
+	logLimiter *process.LineLimiter
+	// prunedAt is when ended incarnations were last dropped.
+	prunedAt time.Time
 }
 
 func newTargetLimits(ownAddress string) *targetLimits {
-	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), lines: process.NewLineLimiter(limitLinesPerSecond)}
+	return &targetLimits{issuer: quota.NewTargetIssuer(ownAddress), logLimiter: process.NewLineLimiter(maxLimitLogsPerSecond)}
 }
 
-// setReplicas takes the membership.
+// setReplicas sets the addresses of the replicas from a membership.
 func (t *targetLimits) setReplicas(now time.Time, m *wire.Membership) {
 	var addresses []string
 	for _, list := range [][]*wire.Replica{m.GetVoters(), m.GetLearners()} {
@@ -49,30 +49,30 @@
 	t.issuer.SetReplicas(now, addresses)
 }
 
-// take takes registration updates and returns the changes.
-func (t *targetLimits) take(now time.Time, updates []*wire.TargetLimit) (changes []targetstatus.Change) {
+// apply applies updates of rate limits and returns what changed.
+func (t *targetLimits) apply(now time.Time, updates []*wire.TargetLimit) (changes []targetstatus.Change) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, w := range updates {
-		if c, changed := t.issuer.Apply(now, targetstatus.UpdateOf(now, w)); changed {
+	for _, update := range updates {
+		if c, changed := t.issuer.Apply(now, targetstatus.UpdateOf(now, update)); changed {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
-// issue answers what a box asks for targets.
-func (t *targetLimits) issue(now time.Time, asks []*wire.TargetPermitAsk) []quota.Grant {
-	list := make([]quota.SubjectRequest, 0, len(asks))
-	for _, a := range asks {
-		list = append(list, quota.SubjectRequest{Subject: a.GetLimit().GetLife(), Count: int(a.Count)})
+// issue grants or denies a box's permit requests for targets.
+func (t *targetLimits) issue(now time.Time, requests []*wire.TargetPermitAsk) []quota.Grant {
+	subjects := make([]quota.SubjectRequest, 0, len(requests))
+	for _, a := range requests {
+		subjects = append(subjects, quota.SubjectRequest{Subject: a.GetLimit().GetLife(), Count: int(a.Count)})
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.issuer.Issue(now, list)
+	return t.issuer.Issue(now, subjects)
 }
 
-// since returns the limits that changed after a change, for subscribers.
+// since returns the limits that changed after the given change number, for subscribers.
 func (t *targetLimits) since(change uint64) ([]*wire.TargetLimit, uint64) {
 	now := t.clock.Now()
 	t.mu.Lock()
@@ -81,87 +81,87 @@
 	return targetstatus.Messages(now, updates), last
 }
 
-// keep forgets targets whose lives are over.
-func (t *targetLimits) keep(now time.Time, s steering.State) {
+// prune drops targets whose incarnation has ended.
+func (t *targetLimits) prune(now time.Time, s steering.State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(t.kept) < keepLimitsInterval {
+	if now.Sub(t.prunedAt) < pruneLimitsInterval {
 		return
 	}
-	t.kept = now
-	lives := make(map[string]bool, len(s.Catalog().Targets()))
+	t.prunedAt = now
+	current := make(map[string]bool, len(s.Catalog().Targets()))
 	for _, r := range s.Catalog().Targets() {
-		lives[catalog.IncarnationOf(r).String()] = true
+		current[catalog.IncarnationOf(r).String()] = true
 	}
-	t.issuer.Prune(now, func(life string) bool { return lives[life] })
+	t.issuer.Prune(now, func(incarnation string) bool { return current[incarnation] })
 }
 
-// of returns what is known of one target.
-func (t *targetLimits) of(target string) (known targetView) {
+// view returns what is known of a target incarnation.
+func (t *targetLimits) view(target string) (known targetView) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.issuer.Targets()
-	return targetView{r.Limit(target), r.ReceivedAt(target), r.IsLeaving(target), t.issuer.Counters(target)}
+	targets := t.issuer.Targets()
+	return targetView{targets.Limit(target), targets.ReceivedAt(target), targets.IsLeaving(target), t.issuer.Counters(target)}
 }
 
-// targetView is what a replica knows of one target from its answers.
+// targetView is what a replica knows of one target from its responses.
 type targetView struct {
 	limit      float64
 	receivedAt time.Time
 	isLeaving  bool
-	tally      quota.TargetCounters
+	counters   quota.TargetCounters
 }
 
-func (t *targetLimits) named() int {
+func (t *targetLimits) limitedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.issuer.Targets().LimitedCount()
 }
 
-// takeUpdates takes what targets told boxes and has the subscribers told.
-func (d *Daemon) takeUpdates(updates []*wire.TargetLimit) {
+// applyLimitUpdates applies what targets reported to boxes and publishes changes to subscribers.
+func (d *Daemon) applyLimitUpdates(updates []*wire.TargetLimit) {
 	if len(updates) == 0 {
 		return
 	}
-	changes := d.targetLimits.take(d.clock.Now(), updates)
+	changes := d.targetLimits.apply(d.clock.Now(), updates)
 	if len(changes) == 0 {
 		return
 	}
-	d.publishing.LimitsChanged()
+	d.publisher.LimitsChanged()
 	for _, c := range changes {
-		d.logChange(c)
+		d.logLimitChange(c)
 	}
 }
 
-func (d *Daemon) logChange(c targetstatus.Change) {
-	if !d.targetLimits.lines.Allow(d.clock.Now()) {
+func (d *Daemon) logLimitChange(c targetstatus.Change) {
+	if !d.targetLimits.logLimiter.Allow(d.clock.Now()) {
 		return
 	}
 	if c.Leaving {
-		d.process.Log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation).Msg("a box reported that a target leaves")
+		d.process.Log.Info().Str("kind", "targetLeaving").Str("target", c.Incarnation).Msg("a box reported that a target is shutting down")
 	}
 	if !c.LimitChanged() {
 		return
 	}
-	line := d.process.Log.Info().Str("kind", "targetLimit").Str("target", c.Incarnation)
+	entry := d.process.Log.Info().Str("kind", "targetLimit").Str("target", c.Incarnation)
 	if c.Before < targetstatus.NoLimit {
-		line = line.Float64("before", c.Before)
+		entry = entry.Float64("before", c.Before)
 	}
 	if c.After < targetstatus.NoLimit {
-		line = line.Float64("perSecond", c.After)
+		entry = entry.Float64("perSecond", c.After)
 	}
-	line.Msg("a box reported that a target's rate limit changed")
+	entry.Msg("a box reported that a target's rate limit changed")
 }
 
-// issueForTargets answers what a box asks for targets.
-func (d *Daemon) issueForTargets(asks []*wire.TargetPermitAsk) []*wire.PermitGrant {
-	updates := make([]*wire.TargetLimit, 0, len(asks))
-	for _, a := range asks {
+// issueForTargets grants or denies a box's permit requests for targets.
+func (d *Daemon) issueForTargets(requests []*wire.TargetPermitAsk) []*wire.PermitGrant {
+	updates := make([]*wire.TargetLimit, 0, len(requests))
+	for _, a := range requests {
 		if a.Limit != nil {
 			updates = append(updates, a.Limit)
 			updates = append(updates, a.Further...)
 		}
 	}
-	d.takeUpdates(updates)
-	return grantMessages(d.targetLimits.issue(d.clock.Now(), asks))
+	d.applyLimitUpdates(updates)
+	return grantMessages(d.targetLimits.issue(d.clock.Now(), requests))
 }
--- a/internal/control/update_test.go
+++ b/internal/control/update_test.go
@@ -15,27 +15,27 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// A update that names a service which the document does not have took the address of
-// a sound target and ended it; one whose start lies ahead would shut the target's own
-// updates out until then.
+// Guards against an update for a service that is not in the document, which used to take over the
+// address of a working target and remove it, and against an update with a start time in the
+// future, which would block the target's own updates until then.
 func TestWordsThatNameNothingUsableAreRefused(t *testing.T) {
-	d := &Daemon{document: &documentInForce{
+	d := &Daemon{routes: &routesDecoder{
 		decode: func([]byte) (catalog.Document, error) {
 			return catalog.Document{Number: 1, Services: []catalog.Service{{Name: "s"}}}, nil
 		},
-		failed: func(uint64, error) {},
+		onError: func(uint64, error) {},
 	}}
 	empty := steering.State{}
 	state, _ := empty.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: &wire.RoutesDocument{Number: 1, Text: []byte("x")}}})
 	check := func(s steering.State, r *wire.Registration, leave bool) error {
-		return d.checkWord(s, &wire.RegistrationCommand{Registration: r, Leave: leave})
+		return d.checkUpdate(s, &wire.RegistrationCommand{Registration: r, Leave: leave})
 	}
 	var service *UnknownServiceError
 	if err := check(state, &wire.Registration{Id: "i", Service: "none"}, false); !errors.As(err, &service) {
 		t.Errorf("an unknown service: %v", err)
 	}
-	var birth *FutureBirthError
-	ahead := time.Now().Add(2 * mostAhead).UnixMilli()
+	var birth *FutureStartError
+	ahead := time.Now().Add(2 * maxStartAhead).UnixMilli()
 	if err := check(state, &wire.Registration{Id: "i", Service: "s", BornUnixMilli: ahead}, false); !errors.As(err, &birth) {
 		t.Errorf("a start that lies ahead: %v", err)
 	}
@@ -50,12 +50,12 @@
 	}
 }
 
-// The document as it was written holds the keys of workspaces, and was told to anyone
-// who reached the operators' address.
+// The original text of the document contains the keys of workspaces and used to be sent to anyone
+// who could reach the operators' address.
 func TestDocumentWithKeysNeedsTheToken(t *testing.T) {
 	d := &Daemon{config: config.Control{Token: "secret"}}
 	app := iris.New()
-	d.addCatalog(app)
+	d.addCatalogHandlers(app)
 	if err := app.Build(); err != nil {
 		t.Fatal(err)
 	}
