--- a/contrib/soak/backoff.go
+++ b/contrib/soak/backoff.go
@@ -10,44 +10,45 @@
 	"ledgesill.dev/ledgesill/contrib/standin"
 )
 
-// Targets that say in their answers alone that they want a back-off, or that they leave.
+// Targets that request a back-off, or announce that they shut down, only in the headers of
+// their responses.
 const (
-	// backOffGrace is how long after a rejection requests are not counted, and backOffSlack
-	// how many may come between it and the end of the back-off.
+	// Requests are not counted for backOffGrace after a rejection. From then to the end of the
+	// back-off, backOffSlack requests are tolerated.
 	backOffGrace = 500 * time.Millisecond
 	backOffSlack = 2
-	// leastBackOff and mostBackOff bound what a target asks for.
-	leastBackOff = time.Second
-	mostBackOff  = 3 * time.Second
-	// leastServing is how many targets must serve for one of them to reject, and leaveEach
-	// that one of so many leaves after it.
-	leastServing = 5
-	leaveEach    = 3
-	// rejectTime is for how long a target rejects at most, and leaveTime for how long one
-	// that leaves serves on.
-	rejectTime = 2 * time.Second
-	leaveTime  = drainBound + 2*busySlack
-	// disturbedTime is for how long a disturbance of a link lasts at most.
-	disturbedTime = 3500 * time.Millisecond
+	// minBackOff and maxBackOff bound the back-off that a target requests.
+	minBackOff = time.Second
+	maxBackOff = 3 * time.Second
+	// minServing is how many targets must be serving before one of them rejects requests.
+	// One in leaveEvery of those shuts down afterwards.
+	minServing = 5
+	leaveEvery = 3
+	// maxRejectTime bounds how long a target rejects requests. shutdownTime is how long a
+	// target keeps serving after it has announced that it shuts down.
+	maxRejectTime = 2 * time.Second
+	shutdownTime  = drainBound + 2*busySlack
+	// maxFaultTime bounds how long one fault of a link or box lasts.
+	maxFaultTime = 3500 * time.Millisecond
 )
 
-// moments are times at which something was disturbed.
-type moments struct {
-	mu   sync.Mutex
-	list []time.Time
+// timestamps records when faults were injected into a process or link.
+type timestamps struct {
+	mu    sync.Mutex
+	times []time.Time
 }
 
-func (m *moments) add() {
+func (m *timestamps) add() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.list = append(m.list, time.Now())
+	m.times = append(m.times, time.Now())
 }
 
-// anyIn reports whether one of them lies between two times.
-func (m *moments) anyIn(from, to time.Time) bool {
+// anyBetween reports whether a fault was injected between two times.
+func (m *timestamps) anyBetween(from, to time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, at := range m.list {
+	for _, at := range m.times {
 		if at.After(from) && at.Before(to) {
 			return true
 		}
@@ -55,31 +56,31 @@
 	return false
 }
 
-// keepRejecting has one target after the other ask for back-offs, and some of them leave,
-// until the context ends.
-func (w *world) keepRejecting(ctx context.Context, r *rand.Rand) {
+// keepRejecting makes one target after the other request back-offs until the context ends.
+// Some of them shut down afterwards.
+func (h *harness) keepRejecting(ctx context.Context, r *rand.Rand) {
 	var leaving sync.WaitGroup
 	defer leaving.Wait()
 	for n := 1; ctx.Err() == nil; n++ {
-		if list := w.servingTargets(); len(list) >= leastServing {
-			w.haveReject(ctx, pick(r, list), r, n%leaveEach == 0, &leaving)
+		if list := h.servingTargets(); len(list) >= minServing {
+			h.rejectThenLeave(ctx, pick(r, list), r, n%leaveEvery == 0, &leaving)
 		}
-		sleep(ctx, needPause)
+		sleep(ctx, targetPollInterval)
 	}
 }
 
-// haveReject has a target ask for back-offs for a while, unless another part of the soak has
-// claimed it, and then leave if that is wanted.
-func (w *world) haveReject(ctx context.Context, t *standin.Served, r *rand.Rand, leaves bool, leaving *sync.WaitGroup) {
-	if !w.claimTarget(t) {
+// rejectThenLeave makes a target reject requests and ask for back-offs for a while, and then
+// shut down if leaves is set. It does nothing if the target is claimed for another fault.
+func (h *harness) rejectThenLeave(ctx context.Context, t *standin.Served, r *rand.Rand, leaves bool, leaving *sync.WaitGroup) {
+	if !h.claimTarget(t) {
 		return
 	}
-	w.rejectFor(ctx, t, some(r, leastBackOff, mostBackOff), some(r, 0, rejectTime))
+	h.rejectRequests(ctx, t, randomDuration(r, minBackOff, maxBackOff), randomDuration(r, 0, maxRejectTime))
 	if !leaves {
-		w.unclaimTarget(t)
+		h.unclaimTarget(t)
 		return
 	}
-	leaving.Go(func() { w.leave(t) })
+	leaving.Go(func() { h.shutDownTarget(t) })
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -89,72 +90,74 @@
 	}
 }
 
-func (w *world) unclaimTarget(t *standin.Served) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.inNeed, t.ID)
+func (h *harness) unclaimTarget(t *standin.Served) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.claimedTargets, t.ID)
 }
 
-func (w *world) rejectFor(ctx context.Context, t *standin.Served, backOff, length time.Duration) {
-	w.counts.fault("back-off")
+func (h *harness) rejectRequests(ctx context.Context, t *standin.Served, backOff, length time.Duration) {
+	h.counts.countFault("back-off")
 	t.RejectFor(backOff)
 	sleep(ctx, length)
 	t.RejectFor(0)
 }
 
-// leave has a target leave by its answers alone, end some time after, and another take its
-// place.
-func (w *world) leave(t *standin.Served) {
-	w.counts.fault("leave by answers")
-	if err := w.addTarget(); err != nil {
-		w.promises.broken("%v", err)
+// shutDownTarget starts a replacement, makes the target announce its shutdown in response
+// headers only, and stops it after shutdownTime.
+func (h *harness) shutDownTarget(t *standin.Served) {
+	h.counts.countFault("leave by answers")
+	if err := h.addTarget(); err != nil {
+		h.violations.add("%v", err)
 		return
 	}
 	t.Leave()
-	time.Sleep(leaveTime)
+	time.Sleep(shutdownTime)
 	t.Close()
 }
 
-// boxOf returns the entry box at an address of callers, nil if there is none.
-func (w *world) boxOf(address string) *process {
-	for _, p := range w.entries {
-		if fmt.Sprintf("%s:%d", p.ip, callerPort) == address || fmt.Sprintf("%s:%d", p.told, callerPort) == address {
+// boxAt returns the entry box that listens for callers on an address, or nil.
+func (h *harness) boxAt(address string) *process {
+	for _, p := range h.entries {
+		if fmt.Sprintf("%s:%d", p.ip, callerPort) == address || fmt.Sprintf("%s:%d", p.advertised, callerPort) == address {
 			return p
 		}
 	}
 	return nil
 }
 
-// boxes returns the entry box that each attempt was sent to.
-func (w *world) boxes(records []attemptRecord) map[string]*process {
+// boxByAttempt maps attempt IDs to the entry box that the attempt was sent to.
+func (h *harness) boxByAttempt(records []attemptRecord) map[string]*process {
 	out := make(map[string]*process, len(records))
 	for _, r := range records {
-		if p := w.boxOf(r.box); p != nil {
+		if p := h.boxAt(r.box); p != nil {
 			out[r.id] = p
 		}
 	}
 	return out
 }
 
-// isExcused reports whether a box, or the link to a target, was disturbed in a span: what
-// was said may not have reached the box then, or it may have forgotten it.
-func (w *world) isExcused(t *standin.Served, box *process, from, to time.Time) bool {
-	from = from.Add(-disturbedTime)
-	w.mu.Lock()
-	x := w.proxies[t.ID]
-	w.mu.Unlock()
-	return x == nil || x.disturbed.anyIn(from, to) || box.disturbed.anyIn(from, to)
+// faultBetween reports whether a fault of the box, or of the link to the target, may have
+// overlapped a time span. The box may then not have received what the target reported, or
+// have lost it in a restart.
+func (h *harness) faultBetween(t *standin.Served, box *process, from, to time.Time) bool {
+	from = from.Add(-maxFaultTime)
+	h.mu.Lock()
+	px := h.proxies[t.ID]
+	h.mu.Unlock()
+	return px == nil || px.faults.anyBetween(from, to) || box.faults.anyBetween(from, to)
 }
 
-// checkBackOffs counts by box what reached targets that had asked it for a back-off.
-func (w *world) checkBackOffs(records []attemptRecord) {
-	boxes := w.boxes(records)
+// checkBackOffs checks that boxes send next to nothing to a target during a back-off that
+// the target requested of them.
+func (h *harness) checkBackOffs(records []attemptRecord) {
+	boxes := h.boxByAttempt(records)
 	checked := 0
-	for _, t := range w.allTargets() {
+	for _, t := range h.allTargets() {
 		arrivals := t.Arrivals()
 		for _, r := range t.Rejections() {
 			box, end := boxes[r.ID], r.At.Add(r.BackOff)
-			if box == nil || w.isExcused(t, box, r.At, end) {
+			if box == nil || h.faultBetween(t, box, r.At, end) {
 				continue
 			}
 			checked++
@@ -165,41 +168,42 @@
 				}
 			}
 			if count > backOffSlack {
-				w.promises.broken("%s had asked %s for a back-off of %s and got %d requests in it", t.ID, box.name, r.BackOff, count)
+				h.violations.add("%s asked %s for a back-off of %s and got %d requests during it", t.ID, box.name, r.BackOff, count)
 				break
 			}
 		}
 	}
-	w.counts.checked("back-offs", checked)
+	h.counts.countChecks("back-offs", checked)
 }
 
-// checkLeaving checks that boxes send nothing to targets that had told them that they leave.
-func (w *world) checkLeaving(records []attemptRecord) {
-	boxes := w.boxes(records)
+// checkLeaving checks that boxes stop sending to targets that have announced their shutdown
+// to them.
+func (h *harness) checkLeaving(records []attemptRecord) {
+	boxes := h.boxByAttempt(records)
 	checked := 0
-	for _, t := range w.allTargets() {
-		told := make(map[*process]time.Time)
+	for _, t := range h.allTargets() {
+		notified := make(map[*process]time.Time)
 		for _, a := range t.ToldLeaving() {
-			if box := boxes[a.ID]; box != nil && told[box].IsZero() {
-				told[box] = a.At
+			if box := boxes[a.ID]; box != nil && notified[box].IsZero() {
+				notified[box] = a.At
 			}
 		}
 		for _, a := range t.Arrivals() {
 			box := boxes[a.ID]
-			if box == nil || told[box].IsZero() || w.isExcused(t, box, told[box], a.At) {
+			if box == nil || notified[box].IsZero() || h.faultBetween(t, box, notified[box], a.At) {
 				continue
 			}
 			checked++
-			if late := a.At.Sub(told[box]); late > drainBound+busySlack {
-				w.promises.broken("request %s reached %s from %s %s after it had said that it leaves", a.ID, t.ID, box.name, late)
+			if late := a.At.Sub(notified[box]); late > drainBound+busySlack {
+				h.violations.add("request %s reached %s from %s %s after the target announced its shutdown", a.ID, t.ID, box.name, late)
 			}
 		}
 	}
-	w.counts.checked("requests to leaving targets", checked)
+	h.counts.countChecks("requests to leaving targets", checked)
 }
 
-func (w *world) allTargets() []*standin.Served {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]*standin.Served(nil), w.targets...)
+func (h *harness) allTargets() []*standin.Served {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]*standin.Served(nil), h.targets...)
 }
--- a/contrib/soak/clients.go
+++ b/contrib/soak/clients.go
@@ -18,34 +18,33 @@
 const (
 	clientPause   = 15 * time.Millisecond
 	clientTimeout = 2500 * time.Millisecond
-	holdAnswer    = time.Second
-	// leaveOneOf is how many requests a client sends for one that it leaves, and leaveWithin
-	// in what time it does.
-	leaveOneOf  = 8
-	leaveWithin = 30 * time.Millisecond
+	lookupTTL     = time.Second
+	// A client cancels one in cancelOneIn requests, at most maxCancelDelay after sending it.
+	cancelOneIn    = 8
+	maxCancelDelay = 30 * time.Millisecond
 )
 
-// client sends requests to the boxes that look-ups name. It goes on using an
-// open connection until that breaks.
+// client sends requests to the boxes that a lookup returned. It keeps using an open
+// connection until that breaks.
 type client struct {
-	world   *world
-	number  int
-	http    *http.Client
-	boxes   []string
-	asked   time.Time
-	records []attemptRecord
-	// random draws which requests the client leaves, and when.
+	harness    *harness
+	number     int
+	http       *http.Client
+	boxes      []string
+	lookedUpAt time.Time
+	records    []attemptRecord
+	// random determines which requests the client cancels, and when.
 	random *rand.Rand
 }
 
-func newClient(w *world, number int) *client {
-	random := rand.New(rand.NewPCG(w.seed, uint64(number)))
-	return &client{world: w, number: number, random: random, http: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
+func newClient(h *harness, number int) *client {
+	random := rand.New(rand.NewPCG(h.seed, uint64(number)))
+	return &client{harness: h, number: number, random: random, http: &http.Client{Timeout: clientTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2}}}
 }
 
 func (c *client) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		c.lookUp()
+		c.refreshBoxes()
 		if len(c.boxes) > 0 {
 			c.send(n)
 		}
@@ -54,24 +53,24 @@
 	c.http.CloseIdleConnections()
 }
 
-// lookUp asks for boxes once the answer at hand is old; a failed question
-// leaves it as it is.
-func (c *client) lookUp() {
-	if time.Since(c.asked) < holdAnswer {
+// refreshBoxes looks up the boxes again once the last result is older than lookupTTL. The
+// result stays in use if the lookup fails.
+func (c *client) refreshBoxes() {
+	if time.Since(c.lookedUpAt) < lookupTTL {
 		return
 	}
-	p := c.world.controls[(c.number+int(time.Now().UnixMilli()))%len(c.world.controls)]
+	p := c.harness.controls[(c.number+int(time.Now().UnixMilli()))%len(c.harness.controls)]
 	path := fmt.Sprintf("/ledgesill/resolve?name=a.example&region=%s&zone=%s", regionOf(zones[c.number%len(zones)]), zones[c.number%len(zones)])
-	status, text := call(http.MethodGet, fmt.Sprintf("%s:%d", p.ip, lookupPort), path, nil)
-	var answer struct{ Addresses []string }
-	if status == http.StatusOK && json.Unmarshal(text, &answer) == nil && len(answer.Addresses) > 0 {
-		c.boxes = answer.Addresses
-		c.asked = time.Now()
+	status, text := doRequest(http.MethodGet, fmt.Sprintf("%s:%d", p.ip, lookupPort), path, nil)
+	var response struct{ Addresses []string }
+	if status == http.StatusOK && json.Unmarshal(text, &response) == nil && len(response.Addresses) > 0 {
+		c.boxes = response.Addresses
+		c.lookedUpAt = time.Now()
 	}
 }
 
 func (c *client) send(n int) {
-	id := fmt.Sprintf("r%d-%d-%d", c.world.run, c.number, n)
+	id := fmt.Sprintf("r%d-%d-%d", c.harness.network, c.number, n)
 	once := n%2 == 1
 	path, method, body := fmt.Sprintf("/safe/%d", n), http.MethodGet, ""
 	if once {
@@ -82,16 +81,16 @@
 		return
 	}
 	r.Host = "a.example"
-	r.GetBody = nil // the client itself must not send a request twice
+	r.GetBody = nil // keeps net/http from sending a request twice
 	r.Header.Set("X-Ledgesill-Attempt-Id", id)
 	r.Header.Set("X-Ledgesill-Affinity-Key", fmt.Sprint(n%20))
 	r.Header.Set("X-Ledgesill-Request-Deadline", "2000")
 	workspace := workspaceOf(c.number)
-	r.Header.Set("Api-Key", keyOf(workspace))
+	r.Header.Set("Api-Key", apiKeyOf(workspace))
 	r.Header.Set("X-Ledgesill-Tenant", "of the caller's own making")
-	record := attemptRecord{id: id, once: once, workspace: workspace, sent: time.Now(), box: r.URL.Host}
-	ctx, left := c.patience()
-	defer left()
+	record := attemptRecord{id: id, unrepeatable: once, workspace: workspace, sent: time.Now(), box: r.URL.Host}
+	ctx, cancel := c.requestContext()
+	defer cancel()
 	record.status = c.exchange(r.WithContext(ctx), standin.Answer(id, path, []byte(body)))
 	c.records = append(c.records, record)
 	kind := "broken"
@@ -100,46 +99,47 @@
 	} else if ctx.Err() != nil {
 		kind = "left"
 	}
-	c.world.counts.request(kind)
+	c.harness.counts.countRequest(kind)
 }
 
-// patience returns a context that ends when the client leaves, which it does now and then.
-func (c *client) patience() (context.Context, context.CancelFunc) {
-	if c.random.IntN(leaveOneOf) > 0 {
+// requestContext returns the context of a request, which is canceled early for one in
+// cancelOneIn requests.
+func (c *client) requestContext() (context.Context, context.CancelFunc) {
+	if c.random.IntN(cancelOneIn) > 0 {
 		return context.Background(), func() {}
 	}
-	return context.WithTimeout(context.Background(), time.Duration(c.random.Int64N(int64(leaveWithin))))
+	return context.WithTimeout(context.Background(), time.Duration(c.random.Int64N(int64(maxCancelDelay))))
 }
 
 func (c *client) exchange(r *http.Request, want []byte) int {
-	answer, err := c.http.Do(r)
+	response, err := c.http.Do(r)
 	if err != nil {
 		return 0
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0
 	}
-	if answer.StatusCode == http.StatusOK && !bytes.Equal(text, want) {
-		c.world.promises.broken("%s got another answer: %.60q", r.Header.Get("X-Ledgesill-Attempt-Id"), text)
+	if response.StatusCode == http.StatusOK && !bytes.Equal(text, want) {
+		c.harness.violations.add("request %s got a wrong response body: %.60q", r.Header.Get("X-Ledgesill-Attempt-Id"), text)
 	}
-	if bytes.HasPrefix(text, []byte(heldBody)) {
-		c.world.promises.broken("%s was kept from targets", r.Header.Get("X-Ledgesill-Attempt-Id"))
+	if bytes.HasPrefix(text, []byte(quarantinedBody)) {
+		c.harness.violations.add("request %s was quarantined", r.Header.Get("X-Ledgesill-Attempt-Id"))
 	}
-	refused := answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests
-	if refused && answer.Header.Get("Retry-After") == "" {
-		c.world.promises.broken("a refusal without a time to come back")
+	refused := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	if refused && response.Header.Get("Retry-After") == "" {
+		c.harness.violations.add("response with status %d has no Retry-After header", response.StatusCode)
 	}
-	return answer.StatusCode
+	return response.StatusCode
 }
 
-// traffic runs the clients until the context ends and returns what they saw.
-func (w *world) traffic(ctx context.Context, clients int) []attemptRecord {
+// runClients runs the clients until the context ends and returns their results.
+func (h *harness) runClients(ctx context.Context, clients int) []attemptRecord {
 	var running sync.WaitGroup
 	all := make([]*client, clients)
 	for i := range all {
-		all[i] = newClient(w, i)
+		all[i] = newClient(h, i)
 		running.Add(1)
 		go func() {
 			defer running.Done()
--- a/contrib/soak/faults.go
+++ b/contrib/soak/faults.go
@@ -9,42 +9,46 @@
 	"time"
 )
 
-// fault is one kind of disturbance. It returns once things are right again.
+// fault is one kind of fault with its name in the printed counts. inject returns when the
+// fault is over.
 type fault struct {
-	name string
-	do   func(w *world, r *rand.Rand)
+	name   string
+	inject func(h *harness, r *rand.Rand)
 }
 
+// pick returns a random element of a list.
 func pick[T any](r *rand.Rand, list []T) T { return list[r.IntN(len(list))] }
 
-func some(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(most-least)))
+// randomDuration returns a random duration from lo up to hi.
+func randomDuration(r *rand.Rand, lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(r.Int64N(int64(hi-lo)))
 }
 
 func faults() []fault {
 	return []fault{
-		{"kill entry", func(w *world, r *rand.Rand) { w.restart(pick(r, w.entries), r) }},
-		{"kill control", func(w *world, r *rand.Rand) { w.restart(pick(r, w.controls), r) }},
-		{"kill all controls", func(w *world, r *rand.Rand) { w.restartAll(w.controls) }},
-		{"pause entry", func(w *world, r *rand.Rand) { w.pause(pick(r, w.entries), r) }},
-		{"pause control", func(w *world, r *rand.Rand) { w.pause(pick(r, w.controls), r) }},
-		{"stop entry", func(w *world, r *rand.Rand) { w.stop(pick(r, w.entries)) }},
-		{"stop control", func(w *world, r *rand.Rand) { w.stop(pick(r, w.controls)) }},
-		{"hang up", func(w *world, r *rand.Rand) { pick(r, append(w.entries, w.controls...)).signal(syscall.SIGHUP) }},
-		{"wipe control", func(w *world, r *rand.Rand) { w.wipe(pick(r, w.controls)) }},
-		{"links of control", func(w *world, r *rand.Rand) { w.disturbLinks(pick(r, w.controls), r) }},
-		{"calls of control", func(w *world, r *rand.Rand) { w.disturb(pick(r, w.controls).name+" calls", r) }},
-		{"link of target", func(w *world, r *rand.Rand) { w.disturb(w.anyTarget(r), r) }},
-		{"lost answers", func(w *world, r *rand.Rand) { w.loseAnswers(r) }},
-		{"drain target", func(w *world, r *rand.Rand) { w.drainTarget(r) }},
-		{"crash target", func(w *world, r *rand.Rand) { w.crashTarget(r) }},
-		{"rate-limited target", func(w *world, r *rand.Rand) { w.beInNeed(r) }},
-		{"change routes", func(w *world, r *rand.Rand) { w.changeRoutes(r) }},
-		{"evacuate", func(w *world, r *rand.Rand) { w.evacuate(r) }},
+		{"kill entry", func(h *harness, r *rand.Rand) { h.restart(pick(r, h.entries), r) }},
+		{"kill control", func(h *harness, r *rand.Rand) { h.restart(pick(r, h.controls), r) }},
+		{"kill all controls", func(h *harness, r *rand.Rand) { h.restartAll(h.controls) }},
+		{"pause entry", func(h *harness, r *rand.Rand) { h.pause(pick(r, h.entries), r) }},
+		{"pause control", func(h *harness, r *rand.Rand) { h.pause(pick(r, h.controls), r) }},
+		{"stop entry", func(h *harness, r *rand.Rand) { h.stop(pick(r, h.entries)) }},
+		{"stop control", func(h *harness, r *rand.Rand) { h.stop(pick(r, h.controls)) }},
+		{"hang up", func(h *harness, r *rand.Rand) { pick(r, append(h.entries, h.controls...)).signal(syscall.SIGHUP) }},
+		{"wipe control", func(h *harness, r *rand.Rand) { h.wipe(pick(r, h.controls)) }},
+		{"links of control", func(h *harness, r *rand.Rand) { h.disturbPeerLinks(pick(r, h.controls), r) }},
+		{"calls of control", func(h *harness, r *rand.Rand) { h.disturbProxy(pick(r, h.controls).name+" calls", r) }},
+		{"link of target", func(h *harness, r *rand.Rand) { h.disturbProxy(h.randomTargetID(r), r) }},
+		{"lost answers", func(h *harness, r *rand.Rand) { h.loseResponses(r) }},
+		{"drain target", func(h *harness, r *rand.Rand) { h.drainTarget(r) }},
+		{"crash target", func(h *harness, r *rand.Rand) { h.crashTarget(r) }},
+		{"rate-limited target", func(h *harness, r *rand.Rand) { h.rateLimitTarget(r) }},
+		{"change routes", func(h *harness, r *rand.Rand) { h.changeRoutes(r) }},
+		{"evacuate", func(h *harness, r *rand.Rand) { h.evacuate(r) }},
 	}
 }
 
-// claims keep two faults from the same process at once.
+// claims holds the processes that a fault is in progress on, so that no second one is
+// injected into the same process.
 var claims sync.Map
 
 func claim(p *process) bool {
@@ -52,7 +56,7 @@
 	return !taken
 }
 
-// claimAll claims all processes of a list, or none.
+// claimAll claims either all processes of a list or none.
 func claimAll(list []*process) bool {
 	for i, p := range list {
 		if claim(p) {
@@ -70,50 +74,56 @@
 	}
 }
 
-func (w *world) restart(p *process, r *rand.Rand) {
+// restart kills a process and starts it again after a short pause.
+func (h *harness) restart(p *process, r *rand.Rand) {
 	if !claim(p) {
 		return
 	}
 	defer claims.Delete(p)
 	p.kill()
-	time.Sleep(some(r, 50*time.Millisecond, 1500*time.Millisecond))
-	w.mustStart(p)
+	time.Sleep(randomDuration(r, 50*time.Millisecond, 1500*time.Millisecond))
+	h.mustStart(p)
 }
 
-func (w *world) restartAll(list []*process) {
-	var mine []*process
+// restartAll kills all processes of a list that no other fault has claimed and starts them
+// again without a pause.
+func (h *harness) restartAll(list []*process) {
+	var claimed []*process
 	for _, p := range list {
 		if claim(p) {
-			mine = append(mine, p)
+			claimed = append(claimed, p)
 		}
 	}
-	for _, p := range mine {
+	for _, p := range claimed {
 		p.kill()
 	}
-	for _, p := range mine {
-		w.mustStart(p)
+	for _, p := range claimed {
+		h.mustStart(p)
 		claims.Delete(p)
 	}
 }
 
-func (w *world) mustStart(p *process) {
+// mustStart starts a process and records a violation if that fails.
+func (h *harness) mustStart(p *process) {
 	if err := p.start(); err != nil {
-		w.promises.broken("%v", err)
+		h.violations.add("%v", err)
 	}
 }
 
-func (w *world) pause(p *process, r *rand.Rand) {
+// pause suspends a process for a while.
+func (h *harness) pause(p *process, r *rand.Rand) {
 	if !claim(p) {
 		return
 	}
 	defer claims.Delete(p)
 	p.signal(syscall.SIGSTOP)
-	time.Sleep(some(r, 200*time.Millisecond, 2500*time.Millisecond))
+	time.Sleep(randomDuration(r, 200*time.Millisecond, 2500*time.Millisecond))
 	p.signal(syscall.SIGCONT)
 }
 
-// stop checks a planned stop: the process ends in time and without an error.
-func (w *world) stop(p *process) {
+// stop sends SIGTERM to a process, checks that it exits in time and without an error, and
+// starts it again.
+func (h *harness) stop(p *process) {
 	if !claim(p) {
 		return
 	}
@@ -121,153 +131,156 @@
 	p.signal(syscall.SIGTERM)
 	err, ended := p.wait(stopBound + busySlack)
 	if !ended {
-		w.promises.broken("%s did not stop in time", p.name)
+		h.violations.add("%s did not stop within %s", p.name, stopBound+busySlack)
 		p.kill()
 	} else if err != nil {
-		w.promises.broken("%s stopped with %v", p.name, err)
+		h.violations.add("%s stopped with an error: %v", p.name, err)
 	}
-	w.mustStart(p)
+	h.mustStart(p)
 }
 
-// repairTime is how long the others are left alone after a disk was lost: the
-// 4 s after which the users' deployments may lose the next, and busySlack.
+// repairTime is how long no other control replica is disturbed after a disk loss: the 4 s
+// after which the users' deployments may lose the next disk, and busySlack.
 const repairTime = 4*time.Second + busySlack
 
-// wipe empties a disk. One may be lost at a time, so no control replica is
-// disturbed until the new one has been taken in.
-func (w *world) wipe(p *process) {
-	if !claimAll(w.controls) {
+// wipe kills a control replica and deletes its data. The system tolerates the loss of one
+// disk at a time, so no control replica is disturbed until the replacement is a member.
+func (h *harness) wipe(p *process) {
+	if !claimAll(h.controls) {
 		return
 	}
-	defer release(w.controls)
-	time.Sleep(repairTime) // what was disturbed before must be whole
+	defer release(h.controls)
+	time.Sleep(repairTime) // earlier faults must have been repaired
 	p.kill()
 	if err := p.wipe(); err != nil {
-		w.promises.broken("emptying a disk: %v", err)
+		h.violations.add("deleting the data of %s: %v", p.name, err)
 	}
-	w.mustStart(p)
+	h.mustStart(p)
 	time.Sleep(repairTime)
 }
 
-func (w *world) disturbLinks(p *process, r *rand.Rand) {
+// disturbPeerLinks disturbs the links to a control replica from its peers.
+func (h *harness) disturbPeerLinks(p *process, r *rand.Rand) {
 	if !claim(p) {
 		return
 	}
 	defer claims.Delete(p)
-	w.disturb(p.name+" peers", r)
+	h.disturbProxy(p.name+" peers", r)
 }
 
-func (w *world) disturb(name string, r *rand.Rand) {
-	w.mu.Lock()
-	x := w.proxies[name]
-	w.mu.Unlock()
-	if x == nil {
+// disturbProxy puts a proxy into a random mode for a while.
+func (h *harness) disturbProxy(name string, r *rand.Rand) {
+	h.mu.Lock()
+	px := h.proxies[name]
+	h.mu.Unlock()
+	if px == nil {
 		return
 	}
 	m := mode(1 + r.IntN(int(reset)))
-	w.counts.fault("proxy " + m.String())
-	x.set(m)
-	time.Sleep(some(r, 300*time.Millisecond, 3*time.Second))
-	x.set(pass)
+	h.counts.countFault("proxy " + m.String())
+	px.setMode(m)
+	time.Sleep(randomDuration(r, 300*time.Millisecond, 3*time.Second))
+	px.setMode(pass)
 }
 
-func (w *world) anyTarget(r *rand.Rand) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return pick(r, w.targets).ID
+func (h *harness) randomTargetID(r *rand.Rand) string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return pick(r, h.targets).ID
 }
 
-func (w *world) loseAnswers(r *rand.Rand) {
-	w.mu.Lock()
-	t := pick(r, w.targets)
-	w.mu.Unlock()
+func (h *harness) loseResponses(r *rand.Rand) {
+	h.mu.Lock()
+	t := pick(r, h.targets)
+	h.mu.Unlock()
 	t.Lose(3)
 	time.Sleep(2 * time.Second)
 	t.Lose(0)
 }
 
-// drainTarget has a target leave and another take its place.
-func (w *world) drainTarget(r *rand.Rand) {
-	if err := w.addTarget(); err != nil {
-		w.promises.broken("%v", err)
+// drainTarget starts a new target and drains an existing one.
+func (h *harness) drainTarget(r *rand.Rand) {
+	if err := h.addTarget(); err != nil {
+		h.violations.add("%v", err)
 		return
 	}
-	w.mu.Lock()
-	t := pick(r, w.targets[:len(w.targets)-1])
-	w.mu.Unlock()
+	h.mu.Lock()
+	t := pick(r, h.targets[:len(h.targets)-1])
+	h.mu.Unlock()
 	t.Drain()
 }
 
-func (w *world) crashTarget(r *rand.Rand) {
-	w.mu.Lock()
-	if len(w.targets) < 5 {
-		w.mu.Unlock()
+func (h *harness) crashTarget(r *rand.Rand) {
+	h.mu.Lock()
+	if len(h.targets) < 5 {
+		h.mu.Unlock()
 		return
 	}
-	t := pick(r, w.targets)
-	w.mu.Unlock()
+	t := pick(r, h.targets)
+	h.mu.Unlock()
 	t.Close()
-	if err := w.addTarget(); err != nil {
-		w.promises.broken("%v", err)
+	if err := h.addTarget(); err != nil {
+		h.violations.add("%v", err)
 	}
 }
 
-func (w *world) changeRoutes(r *rand.Rand) {
+func (h *harness) changeRoutes(r *rand.Rand) {
 	for i := range 1 + r.IntN(3) {
 		if i < 2 {
-			w.changeConfig(6 * time.Second)
+			h.putNextDocument(6 * time.Second)
 		} else {
-			w.raceRoutes()
+			h.raceDocumentChanges()
 		}
-		list := w.controlAddresses()
-		w.readConfig(list[r.IntN(len(list))])
+		list := h.controlAddresses()
+		h.readDocument(list[r.IntN(len(list))])
 	}
 }
 
-// raceRoutes has two operators change the same document at once.
-func (w *world) raceRoutes() {
+// raceDocumentChanges lets two operators change the same document at the same time.
+func (h *harness) raceDocumentChanges() {
 	ended := make(chan bool, 2)
 	for range 2 {
-		go func() { ended <- w.changeConfig(6 * time.Second) }()
+		go func() { ended <- h.putNextDocument(6 * time.Second) }()
 	}
 	first, second := <-ended, <-ended
 	if !first && !second {
-		w.readBack() // one of them may be in force without a clear answer
+		h.readBack() // one of them may be active although its outcome is unknown
 	}
 }
 
-// evacuate empties a zone for a while and checks that nothing runs there.
-func (w *world) evacuate(r *rand.Rand) {
+// evacuate evacuates an availability zone for a while and checks that this can be ended.
+func (h *harness) evacuate(r *rand.Rand) {
 	zone := pick(r, zones)
 	path := "/ledgesill/evacuation/" + zone
-	if w.settle(http.MethodPost, path, nil, 6*time.Second) != http.StatusOK {
+	if h.sendUntilAnswered(http.MethodPost, path, nil, 6*time.Second) != http.StatusOK {
 		return
 	}
-	time.Sleep(some(r, time.Second, 4*time.Second))
-	if status := w.settle(http.MethodDelete, path, nil, 15*time.Second); status != http.StatusOK {
-		w.promises.broken("the end of an evacuation got %d", status)
+	time.Sleep(randomDuration(r, time.Second, 4*time.Second))
+	if status := h.sendUntilAnswered(http.MethodDelete, path, nil, 15*time.Second); status != http.StatusOK {
+		h.violations.add("ending the evacuation of %s: status %d", zone, status)
 	}
 }
 
-// disturbances runs faults in overlapping series for a time.
-func (w *world) disturbances(length time.Duration) {
+// injectFaults injects faults, which may overlap, for a length of time and waits until
+// all are over.
+func (h *harness) injectFaults(length time.Duration) {
 	all := faults()
 	end := time.Now().Add(length)
 	var running sync.WaitGroup
-	running.Go(func() { w.silenceConnections(end, rand.New(rand.NewPCG(w.seed, 11))) })
+	running.Go(func() { h.blackholeConnections(end, rand.New(rand.NewPCG(h.seed, 11))) })
 	for time.Now().Before(end) {
-		f := pick(w.random, all)
-		r := rand.New(rand.NewPCG(w.random.Uint64(), 1))
-		w.counts.fault(f.name)
+		f := pick(h.random, all)
+		r := rand.New(rand.NewPCG(h.random.Uint64(), 1))
+		h.counts.countFault(f.name)
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			f.do(w, r)
+			f.inject(h, r)
 		}()
-		time.Sleep(some(w.random, 150*time.Millisecond, 900*time.Millisecond))
+		time.Sleep(randomDuration(h.random, 150*time.Millisecond, 900*time.Millisecond))
 	}
 	running.Wait()
-	w.checkEnds()
+	h.checkExits()
 }
 
 func (c *counts) String() string {
--- a/contrib/soak/history.go
+++ b/contrib/soak/history.go
@@ -9,12 +9,12 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// verdict is what an operator was told of a document.
+// verdict is the outcome of a write as its operator saw it.
 type verdict int
 
 const (
-	// unclear: no clear answer came, the document may or may not be in force.
-	unclear verdict = iota
+	// unknown: no conclusive response; the document may or may not be active.
+	unknown verdict = iota
 	accepted
 	refused
 )
@@ -26,52 +26,53 @@
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
 		return refused
 	}
-	return unclear
+	return unknown
 }
 
-// write is a document that an operator sent; read is one that was read.
+// write is the input of an operation that sends a document.
 type write struct{ number, base int }
 
+// read is the input of an operation that reads the document.
 type read struct{}
 
-// history keeps what operators did with the document of routes and what they
-// were told, to be checked for linearizability.
+// history records the operators' writes and reads of the routes document and their
+// results, to check them for linearizability.
 type history struct {
-	began time.Time
-	mu    sync.Mutex
-	done  []porcupine.Operation
+	start      time.Time
+	mu         sync.Mutex
+	operations []porcupine.Operation
 }
 
-func newHistory() *history { return &history{began: time.Now()} }
+func newHistory() *history { return &history{start: time.Now()} }
 
-func (h *history) now() int64 { return int64(time.Since(h.began)) }
+func (h *history) now() int64 { return int64(time.Since(h.start)) }
 
-// wrote notes a write that was called at a time and has got its verdict.
-func (h *history) wrote(w write, called int64, v verdict) {
+// recordWrite adds a write that was called at a time and has returned now.
+func (h *history) recordWrite(w write, called int64, v verdict) {
 	returned := h.now()
-	if v == unclear {
+	if v == unknown {
 		returned = math.MaxInt64 // it may take effect at any later time
 	}
 	h.add(porcupine.Operation{Input: w, Output: v, Call: called, Return: returned})
 }
 
-// readNumber notes a read that was called at a time and gave a document.
-func (h *history) readNumber(number int, called int64) {
+// recordRead adds a read that was called at a time and has returned a document now.
+func (h *history) recordRead(number int, called int64) {
 	h.add(porcupine.Operation{Input: read{}, Output: number, Call: called, Return: h.now()})
 }
 
 func (h *history) add(o porcupine.Operation) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	o.ClientId = len(h.done) // operations may overlap as they like
-	h.done = append(h.done, o)
+	o.ClientId = len(h.operations) // a client ID of its own: any operations may overlap
+	h.operations = append(h.operations, o)
 }
 
-// checkTime bounds a check; histories of a run are short.
-const checkTime = 20 * time.Second
+// checkTimeout bounds a check. It suffices, as the history of a run is short.
+const checkTimeout = 20 * time.Second
 
-// check reports whether some order of the operations explains all that was told;
-// a check that does not end in its time counts as failed.
+// check reports whether the history is linearizable. A check that exceeds checkTimeout
+// counts as failed.
 func (h *history) check() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,20 +80,20 @@
 		Init: func() []any { return []any{0} },
 		Step: func(state, input, output any) []any { return step(state.(int), input, output) },
 	}
-	return porcupine.CheckOperationsTimeout(model.ToModel(), h.done, checkTime) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(model.ToModel(), h.operations, checkTimeout) == porcupine.Ok
 }
 
-// step returns the numbers that may be in force after an operation; none if it
-// can't have been told what it was.
-func step(inForce int, input, output any) []any {
+// step returns the numbers of the documents that may be active after an operation, none if
+// its result is impossible in this state.
+func step(active int, input, output any) []any {
 	w, isWrite := input.(write)
 	if !isWrite {
-		if output.(int) == inForce {
-			return []any{inForce}
+		if output.(int) == active {
+			return []any{active}
 		}
 		return nil
 	}
-	fits := w.base == inForce
+	fits := w.base == active
 	switch output.(verdict) {
 	case accepted:
 		if fits {
@@ -103,10 +104,10 @@
 		if fits {
 			return nil
 		}
-		return []any{inForce}
+		return []any{active}
 	}
 	if fits {
-		return []any{inForce, w.number}
+		return []any{active, w.number}
 	}
-	return []any{inForce}
+	return []any{active}
 }
--- a/contrib/soak/history_test.go
+++ b/contrib/soak/history_test.go
@@ -6,7 +6,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Histories that may and that may not be told by a system with one document.
+// Guards against a check that accepts impossible histories of the document, or rejects
+// possible ones.
 func TestHistoryIsChecked(t *testing.T) {
 	put := func(number, base int, v verdict, call, end int64) porcupine.Operation {
 		return porcupine.Operation{Input: write{number, base}, Output: v, Call: call, Return: end}
@@ -24,9 +25,9 @@
 		{"an old read", []porcupine.Operation{put(1, 0, accepted, 0, 1), put(2, 1, accepted, 2, 3), get(1, 4, 5)}, false},
 		{"two winners of a race", []porcupine.Operation{put(1, 0, accepted, 0, 1), put(2, 1, accepted, 2, 6), put(3, 1, accepted, 3, 6)}, false},
 		{"one winner of a race", []porcupine.Operation{put(1, 0, accepted, 0, 1), put(2, 1, refused, 2, 6), put(3, 1, accepted, 3, 6)}, true},
-		{"refused though it fits", []porcupine.Operation{put(1, 0, accepted, 0, 1), put(2, 1, refused, 2, 3)}, false},
-		{"unclear, seen later", []porcupine.Operation{put(1, 0, unclear, 0, never), get(0, 2, 3), get(1, 4, 5)}, true},
-		{"unclear, seen and gone", []porcupine.Operation{put(1, 0, unclear, 0, never), get(1, 2, 3), get(0, 4, 5)}, false},
+		{"refused despite the right base", []porcupine.Operation{put(1, 0, accepted, 0, 1), put(2, 1, refused, 2, 3)}, false},
+		{"unknown, seen later", []porcupine.Operation{put(1, 0, unknown, 0, never), get(0, 2, 3), get(1, 4, 5)}, true},
+		{"unknown, seen and gone", []porcupine.Operation{put(1, 0, unknown, 0, never), get(1, 2, 3), get(0, 4, 5)}, false},
 	}
 	for _, test := range tests {
 		h := newHistory()
@@ -34,7 +35,7 @@
 			h.add(o)
 		}
 		if got := h.check(); got != test.want {
-			t.Errorf("%s: explained %t, want %t", test.name, got, test.want)
+			t.Errorf("%s: linearizable: %t, want %t", test.name, got, test.want)
 		}
 	}
 }
--- a/contrib/soak/main.go
+++ b/contrib/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs the real programs as separate processes on loopback,
-// disturbs them from outside by the plan of a seed and checks their promises
-// by what callers, targets and operators see.
+// Command soak is a fault injection test. It runs the real programs as separate
+// processes on loopback, injects the faults that a seed determines and checks the
+// system's guarantees by what callers, targets and operators observe.
 package main
 
 import (
@@ -16,30 +16,31 @@
 	"time"
 )
 
-// Lengths of the parts of a run.
 const (
-	formTime  = 15 * time.Second
-	quietTime = 6 * time.Second
-	// servedShare is the part of the requests that must be served once all is
-	// well again.
-	servedShare = 0.9
-	// networks is how many loopback networks the runs take in turn.
-	networks = 200
+	// startupTimeout bounds the wait until the first document is accepted, and other
+	// waits of operators.
+	startupTimeout = 15 * time.Second
+	// recoveryTime is how long the system has to recover after the last fault.
+	recoveryTime = 6 * time.Second
+	// minServedShare is the share of requests that must be served after recovery.
+	minServedShare = 0.9
+	// networkCount is how many loopback networks the runs cycle through.
+	networkCount = 200
 )
 
 func main() {
-	binary := flag.String("binary", "bin/ledgesill", "the program")
-	seeds := flag.String("seeds", "1", "seeds, ranges such as 1-50, and @FILE for seeds in a file")
-	length := flag.Duration("length", 10*time.Second, "how long faults come")
-	controls := flag.Int("controls", 3, "control replicas")
-	entries := flag.Int("entries", 3, "entry boxes")
-	targets := flag.Int("targets", 6, "targets")
-	clients := flag.Int("clients", 8, "clients")
-	network := flag.Int("network", 0, "number of the first loopback network, so that several soaks can run at once")
-	allOff := flag.Bool("all-off", false, "kill all boxes and replicas at once in the middle of a run, as a loss of power does")
-	keep := flag.String("keep", "", "folder for the logs of runs that fail")
+	binary := flag.String("binary", "bin/ledgesill", "path of the ledgesill binary")
+	seeds := flag.String("seeds", "1", "comma-separated seeds, ranges such as 1-50, and @FILE for a file with one seed a line")
+	length := flag.Duration("length", 10*time.Second, "how long faults are injected")
+	controls := flag.Int("controls", 3, "number of control replicas")
+	entries := flag.Int("entries", 3, "number of entry boxes")
+	targets := flag.Int("targets", 6, "number of targets")
+	clients := flag.Int("clients", 8, "number of clients")
+	network := flag.Int("network", 0, "index of the first loopback network; soaks that run at the same time need different ones")
+	allOff := flag.Bool("all-off", false, "kill all boxes and replicas at once in the middle of a run, as a power loss does")
+	keep := flag.String("keep", "", "directory for the logs of failed runs")
 	flag.Parse()
-	list, err := seedList(*seeds)
+	list, err := parseSeeds(*seeds)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		os.Exit(2)
@@ -47,7 +48,7 @@
 	failed := 0
 	for i, seed := range list {
 		n := size{controls: *controls, entries: *entries, targets: *targets, clients: *clients, allOff: *allOff}
-		if err := runSeed(*binary, (*network+i)%networks, seed, n, *length, *keep); err != nil {
+		if err := runSeed(*binary, (*network+i)%networkCount, seed, n, *length, *keep); err != nil {
 			fmt.Printf("seed %d failed:\n%v\n", seed, err)
 			failed++
 		}
@@ -58,11 +59,12 @@
 	}
 }
 
-func seedList(text string) ([]uint64, error) {
+// parseSeeds parses the -seeds flag.
+func parseSeeds(text string) ([]uint64, error) {
 	var out []uint64
 	for _, part := range strings.Split(text, ",") {
 		if name, ok := strings.CutPrefix(part, "@"); ok {
-			list, err := seedFile(name)
+			list, err := readSeedFile(name)
 			if err != nil {
 				return nil, err
 			}
@@ -72,12 +74,12 @@
 		first, last, isRange := strings.Cut(part, "-")
 		a, err := strconv.ParseUint(first, 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("seed %q: %w", part, err)
+			return nil, fmt.Errorf("invalid seed %q: %w", part, err)
 		}
 		b := a
 		if isRange {
 			if b, err = strconv.ParseUint(last, 10, 64); err != nil || b < a {
-				return nil, fmt.Errorf("range of seeds %q", part)
+				return nil, fmt.Errorf("invalid range of seeds %q", part)
 			}
 		}
 		for s := a; s <= b; s++ {
@@ -87,9 +89,9 @@
 	return out, nil
 }
 
-// seedFile reads the seed at the beginning of each line; the rest of the line
-// tells why it is kept.
-func seedFile(name string) ([]uint64, error) {
+// readSeedFile reads the seed at the start of each line. The rest of the line says why
+// the seed is in the list.
+func readSeedFile(name string) ([]uint64, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("reading seeds: %w", err)
@@ -106,39 +108,39 @@
 	return out, nil
 }
 
-// runSeed runs one seed and returns what was seen broken.
-func runSeed(binary string, run int, seed uint64, n size, length time.Duration, keep string) error {
-	folder, err := os.MkdirTemp("", "soak")
+// runSeed runs one seed. Its error lists the violations that were found.
+func runSeed(binary string, network int, seed uint64, n size, length time.Duration, keep string) error {
+	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return err
 	}
-	w, err := newWorld(binary, folder, run, seed, n)
+	h, err := newHarness(binary, dir, network, seed, n)
 	if err == nil {
-		w.play(n, length)
+		h.execute(n, length)
 	}
-	w.close()
+	h.close()
 	if err != nil {
 		return err
 	}
-	failed := w.promises.list()
-	fmt.Printf("seed %d: %s\n", seed, w.counts.String())
+	failed := h.violations.list()
+	fmt.Printf("seed %d: %s\n", seed, h.counts.String())
 	if len(failed) == 0 {
-		return os.RemoveAll(folder)
+		return os.RemoveAll(dir)
 	}
 	if keep != "" {
-		to := filepath.Join(keep, fmt.Sprint("seed", seed))
-		if err := os.Rename(folder, to); err == nil {
-			folder = to
+		kept := filepath.Join(keep, fmt.Sprint("seed", seed))
+		if err := os.Rename(dir, kept); err == nil {
+			dir = kept
 		}
 	}
-	return fmt.Errorf("  %s\n  logs: %s", strings.Join(failed, "\n  "), folder)
+	return fmt.Errorf("  %s\n  logs: %s", strings.Join(failed, "\n  "), dir)
 }
 
-// play forms the system, disturbs it under traffic and looks at it once all is
-// well again.
-func (w *world) play(n size, length time.Duration) {
-	if !w.changeConfig(formTime) {
-		w.promises.broken("the first document was not taken in %s", formTime)
+// execute starts the system, injects faults under traffic and checks the guarantees
+// after recovery.
+func (h *harness) execute(n size, length time.Duration) {
+	if !h.putNextDocument(startupTimeout) {
+		h.violations.add("the first document was not accepted within %s", startupTimeout)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -146,61 +148,61 @@
 		records []attemptRecord
 		fatal   []string
 	}
-	seen := make(chan traffic, 1)
+	results := make(chan traffic, 1)
 	go func() {
-		records, fatal := w.traffics(ctx, n.clients)
-		seen <- traffic{records, fatal}
+		records, fatal := h.runTraffic(ctx, n.clients)
+		results <- traffic{records, fatal}
 	}()
-	needed := make(chan struct{})
+	limitsDone := make(chan struct{})
 	go func() {
-		defer close(needed)
-		w.keepInNeed(ctx)
+		defer close(limitsDone)
+		h.keepRateLimited(ctx)
 	}()
-	spoke := make(chan struct{})
+	rejectionsDone := make(chan struct{})
 	go func() {
-		defer close(spoke)
-		w.keepRejecting(ctx, rand.New(rand.NewPCG(w.seed, 13)))
+		defer close(rejectionsDone)
+		h.keepRejecting(ctx, rand.New(rand.NewPCG(h.seed, 13)))
 	}()
 	if n.allOff {
-		w.disturbances(length / 2)
-		w.restartAll(append(slices.Clone(w.controls), w.entries...))
-		w.disturbances(length / 2)
+		h.injectFaults(length / 2)
+		h.restartAll(append(slices.Clone(h.controls), h.entries...))
+		h.injectFaults(length / 2)
 	} else {
-		w.disturbances(length)
+		h.injectFaults(length)
 	}
-	calmSince := time.Now()
-	time.Sleep(quietTime)
-	good := time.Now()
-	if !w.changeConfig(formTime) && !w.readBack() {
-		w.promises.broken("no change is taken after all is well again")
+	faultsEnd := time.Now()
+	time.Sleep(recoveryTime)
+	recovered := time.Now()
+	if !h.putNextDocument(startupTimeout) && !h.readBack() {
+		h.violations.add("no change was accepted after recovery")
 	}
-	time.Sleep(quietTime / 2)
+	time.Sleep(recoveryTime / 2)
 	cancel()
-	all := <-seen
-	records := all.records
-	<-needed
-	<-spoke
-	w.checkNeeds()
-	w.checkBackOffs(records)
-	w.checkLeaving(records)
-	w.checkFatal(all.fatal, calmSince)
-	w.checkRuns(records)
-	w.checkServed(records, good)
-	if !w.readBack() {
-		w.promises.broken("the document can't be read back")
-	}
-	if !w.history.check() {
-		w.promises.broken("no order of the operators' writes and reads explains what they were told")
-	}
-	w.checkEnds()
+	result := <-results
+	records := result.records
+	<-limitsDone
+	<-rejectionsDone
+	h.checkTargetLimits()
+	h.checkBackOffs(records)
+	h.checkLeaving(records)
+	h.checkFatal(result.fatal, faultsEnd)
+	h.checkRuns(records)
+	h.checkServed(records, recovered)
+	if !h.readBack() {
+		h.violations.add("the document can't be read back")
+	}
+	if !h.history.check() {
+		h.violations.add("the operators' writes and reads of the document are not linearizable")
+	}
+	h.checkExits()
 }
 
-// readBack reads the document until one replica gives it.
-func (w *world) readBack() bool {
-	end := time.Now().Add(formTime)
+// readBack asks the replicas in turn until one returns the document.
+func (h *harness) readBack() bool {
+	end := time.Now().Add(startupTimeout)
 	for i := 0; time.Now().Before(end); i++ {
-		list := w.controlAddresses()
-		if w.readConfig(list[i%len(list)]) {
+		list := h.controlAddresses()
+		if h.readDocument(list[i%len(list)]) {
 			return true
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -208,18 +210,19 @@
 	return false
 }
 
-func (w *world) checkServed(records []attemptRecord, since time.Time) {
+// checkServed checks that enough requests were served since a time.
+func (h *harness) checkServed(records []attemptRecord, since time.Time) {
 	all, served := 0, 0
 	for _, r := range records {
 		if r.sent.Before(since) || r.workspace == limitedWorkspace {
-			continue // what is beyond a limit is not owed
+			continue // requests over a limit need not be served
 		}
 		all++
 		if r.status == 200 {
 			served++
 		}
 	}
-	if all == 0 || float64(served) < servedShare*float64(all) {
-		w.promises.broken("%d of %d requests were served after all was well again", served, all)
+	if all == 0 || float64(served) < minServedShare*float64(all) {
+		h.violations.add("%d of %d requests were served after recovery", served, all)
 	}
 }
--- a/contrib/soak/process.go
+++ b/contrib/soak/process.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Ports of every process; each has an address of its own.
+// Ports of the processes. They are the same for all, as each has its own IP address.
 const (
 	controlPort = 7100
 	lookupPort  = 7101
@@ -20,36 +20,37 @@
 	peerPort    = 7660
 )
 
-// process is one real process of the system, which the soak starts, signals
-// by its id and starts again.
+// process is one real process of the system, which the harness starts, signals by its ID
+// and restarts.
 type process struct {
 	name    string
 	control bool
 	zone    string
-	// ip is where it listens, told is where others are told to reach it.
-	ip, told string
-	folder   string
-	binary   string
-	settings func(first bool) string
+	// ip is the address that it listens on. Other processes reach it under advertised, where
+	// the proxies of control replicas listen.
+	ip, advertised string
+	dir            string
+	binary         string
+	settings       func(first bool) string
 
 	mu      sync.Mutex
 	command *exec.Cmd
-	ended   chan error
-	// expected tells that its end was asked for.
-	expected bool
-	starts   int
-	// disturbed are the times at which it was started or got a signal.
-	disturbed moments
+	exited  chan error
+	// exitExpected says that the harness has sent it a signal that ends it.
+	exitExpected bool
+	starts       int
+	// faults are the times at which it was started or signaled.
+	faults timestamps
 }
 
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	path := filepath.Join(p.folder, "settings.yaml")
+	path := filepath.Join(p.dir, "settings.yaml")
 	if err := os.WriteFile(path, []byte(p.settings(p.starts == 0)), 0o600); err != nil {
 		return fmt.Errorf("writing the settings of %s: %w", p.name, err)
 	}
-	log, err := os.OpenFile(filepath.Join(p.folder, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(p.dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("opening the log of %s: %w", p.name, err)
 	}
@@ -68,47 +69,49 @@
 		return fmt.Errorf("starting %s: %w", p.name, err)
 	}
 	p.command = c
-	p.disturbed.add()
-	p.expected = false
+	p.faults.add()
+	p.exitExpected = false
 	p.starts++
 	ended := make(chan error, 1)
-	p.ended = ended
+	p.exited = ended
 	go func() { ended <- c.Wait() }()
 	return nil
 }
 
-// signal sends a signal to the process by its id.
+// signal sends a signal to the process by its ID.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.expected = true
+		p.exitExpected = true
 	}
-	p.disturbed.add()
-	_ = p.command.Process.Signal(s) // it may have ended already
+	p.faults.add()
+	_ = p.command.Process.Signal(s) // it may have exited already
 }
 
-// wait waits for the end of the process.
+// wait waits until the process exits and returns its exit error. The second result is
+// false if it is still running after limit.
 func (p *process) wait(limit time.Duration) (error, bool) {
 	select {
-	case err := <-p.ended:
-		p.ended <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err, true
 	case <-time.After(limit):
 		return nil, false
 	}
 }
 
-// endedByItself reports an end that was not asked for.
-func (p *process) endedByItself() (error, bool) {
+// exitedUnexpectedly reports whether the process exited without being signaled to, and its
+// exit error.
+func (p *process) exitedUnexpectedly() (error, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.expected {
+	if p.exitExpected {
 		return nil, false
 	}
 	select {
-	case err := <-p.ended:
-		p.ended <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return err, true
 	default:
 		return nil, false
@@ -121,26 +124,26 @@
 	p.wait(5 * time.Second)
 }
 
-// wipe empties the process's disk.
-func (p *process) wipe() error { return os.RemoveAll(filepath.Join(p.folder, "data")) }
+// wipe deletes the data directory of the process.
+func (p *process) wipe() error { return os.RemoveAll(filepath.Join(p.dir, "data")) }
 
-// settingsOf writes a settings file as the platform does.
-func settingsOf(p *process, w *world, first bool) string {
+// settingsText returns the content of a process's settings file, in the platform's format.
+func settingsText(p *process, h *harness, first bool) string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "nodeName: %q\nip: %q\nzone: %q\nregion: %q\nzones:\n", p.name, p.told, p.zone, regionOf(p.zone))
+	fmt.Fprintf(&s, "nodeName: %q\nip: %q\nzone: %q\nregion: %q\nzones:\n", p.name, p.advertised, p.zone, regionOf(p.zone))
 	for _, z := range zones {
 		fmt.Fprintf(&s, "  %s: %q\n", z, regionOf(z))
 	}
 	s.WriteString("listen:\n")
 	if p.control {
 		fmt.Fprintf(&s, "  control: \"%s:%d\"\n  directory: \"%s:%d\"\n", p.ip, controlPort, p.ip, lookupPort)
-		fmt.Fprintf(&s, "dataDir: %q\n", filepath.Join(p.folder, "data"))
+		fmt.Fprintf(&s, "dataDir: %q\n", filepath.Join(p.dir, "data"))
 	} else {
 		fmt.Fprintf(&s, "  front: \"%s:%d\"\n  ready: \"%s:%d\"\n", p.ip, callerPort, p.ip, readyPort)
 	}
 	fmt.Fprintf(&s, "internalPorts: [%d, %d]\nbootstrap: %v\nseeds:\n", peerPort, peerPort+15, first)
-	for _, c := range w.controls[:min(3, len(w.controls))] {
-		fmt.Fprintf(&s, "  - \"%s:%d\"\n", c.told, controlPort)
+	for _, c := range h.controls[:min(3, len(h.controls))] {
+		fmt.Fprintf(&s, "  - \"%s:%d\"\n", c.advertised, controlPort)
 	}
 	s.WriteString("limits: {memoryMb: 284, linkMbps: 1000}\nfaultTolerance: {machines: 1, zones: 1, regions: 1}\nbounds:\n")
 	s.WriteString("  drain: \"2500ms\"\n  grace: \"6s\"\n  ttl_max: \"5s\"\n  retryRatio: 0.2\n  retrySlack: 58\n  retryWindow: \"10s\"\n")
--- a/contrib/soak/proxy.go
+++ b/contrib/soak/proxy.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// mode is what a proxy does to the bytes that pass it.
+// mode is what a proxy does with the bytes that it receives.
 type mode int
 
 const (
 	pass mode = iota
-	// delay holds every piece back for a while.
+	// delay delays everything by delayTime.
 	delay
-	// silence takes bytes and passes none on, either way.
-	silence
-	// oneWay passes on only what the caller sends.
+	// stall holds bytes back in both directions until the mode changes.
+	stall
+	// oneWay forwards only what the dialing side sends and holds back the rest.
 	oneWay
-	// reset breaks every connection that is used.
+	// reset resets open connections and closes new ones.
 	reset
 )
 
@@ -26,31 +26,31 @@
 
 func (m mode) String() string { return modeNames[m] }
 
-// connState is what becomes of the bytes that come on one connection.
+// connState is what the proxy does with the bytes received on one connection.
 type connState int
 
 const (
-	passed connState = iota
-	// silenced: they are taken and dropped.
-	silenced
+	forwarding connState = iota
+	// blackholed: they are read and dropped.
+	blackholed
 )
 
 const (
-	delayTime   = 120 * time.Millisecond
-	silenceLook = 20 * time.Millisecond
-	pieceSize   = 16 << 10
+	delayTime         = 120 * time.Millisecond
+	stallPollInterval = 20 * time.Millisecond
+	bufferSize        = 16 << 10
 )
 
-// proxy passes connections on to an address and can be made to misbehave.
+// proxy forwards TCP connections to an address and injects network faults.
 type proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	mu       sync.Mutex
 	mode     mode
 	conns    map[net.Conn]connState
 	running  sync.WaitGroup
-	// disturbed are the times at which the mode changed or connections went silent.
-	disturbed moments
+	// faults are the times at which the mode changed or connections were blackholed.
+	faults timestamps
 }
 
 func newProxy(listen, to string) (*proxy, error) {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: l, to: to, conns: make(map[net.Conn]connState)}
+	p := &proxy{listener: l, target: to, conns: make(map[net.Conn]connState)}
 	p.running.Add(1)
 	go p.accept()
 	return p, nil
@@ -66,12 +66,12 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode; reset also breaks the connections that are open.
-func (p *proxy) set(m mode) {
+// setMode changes the mode. reset also resets the connections that are open.
+func (p *proxy) setMode(m mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.disturbed.add()
+	p.faults.add()
 	if m != reset {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *proxy) now() mode {
+func (p *proxy) currentMode() mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -104,22 +104,22 @@
 func (p *proxy) serve(in net.Conn) {
 	defer p.running.Done()
 	defer in.Close()
-	if !p.keep(in) {
+	if !p.track(in) {
 		return
 	}
-	defer p.forget(in)
-	out, err := net.DialTimeout("tcp4", p.to, time.Second)
+	defer p.untrack(in)
+	out, err := net.DialTimeout("tcp4", p.target, time.Second)
 	if err != nil {
 		if t, ok := in.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // as a dead port does
+			_ = t.SetLinger(0) // reset, as for a port that nobody listens on
 		}
 		return
 	}
 	defer out.Close()
-	if !p.keep(out) {
+	if !p.track(out) {
 		return
 	}
-	defer p.forget(out)
+	defer p.untrack(out)
 	ended := make(chan struct{}, 2)
 	go func() { p.pump(out, in, true); ended <- struct{}{} }()
 	go func() { p.pump(in, out, false); ended <- struct{}{} }()
@@ -127,33 +127,34 @@
 	<-ended
 }
 
-func (p *proxy) keep(c net.Conn) bool {
+// track adds an open connection, or reports false if it must be closed.
+func (p *proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conns == nil || p.mode == reset {
 		return false
 	}
-	p.conns[c] = passed
+	p.conns[c] = forwarding
 	return true
 }
 
-func (p *proxy) forget(c net.Conn) {
+func (p *proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 }
 
-// pump passes bytes on one way until either side ends.
+// pump copies bytes in one direction until either side closes.
 func (p *proxy) pump(to, from net.Conn, forward bool) {
-	piece := make([]byte, pieceSize)
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(buffer)
 		if n > 0 {
-			p.hold(forward)
-			if p.isSilenced(from) {
+			p.waitForMode(forward)
+			if p.isBlackholed(from) {
 				continue
 			}
-			if _, err := to.Write(piece[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
 		}
@@ -173,18 +174,18 @@
 	}
 }
 
-// hold waits as the mode asks: what is silenced goes on once the mode changes.
-func (p *proxy) hold(forward bool) {
-	if p.now() == delay {
+// waitForMode blocks for as long as the mode delays or holds back bytes of a direction.
+func (p *proxy) waitForMode(forward bool) {
+	if p.currentMode() == delay {
 		time.Sleep(delayTime)
 	}
-	for m := p.now(); m == silence || m == oneWay && !forward; m = p.now() {
-		time.Sleep(silenceLook)
+	for m := p.currentMode(); m == stall || m == oneWay && !forward; m = p.currentMode() {
+		time.Sleep(stallPollInterval)
 	}
 }
 
 func (p *proxy) close() {
 	_ = p.listener.Close()
-	p.set(reset)
+	p.setMode(reset)
 	p.running.Wait()
 }
--- a/contrib/soak/workspaces.go
+++ b/contrib/soak/workspaces.go
@@ -7,79 +7,79 @@
 	"ledgesill.dev/ledgesill/contrib/standin"
 )
 
-// Two workspaces share the boxes: one without a limit, and one whose callers ask for
-// several times its limit.
+// Two workspaces share the boxes: one without a limit, and one whose callers send several
+// times its limit.
 const (
-	openWorkspace    = "open"
-	limitedWorkspace = "limited"
-	// limitPerSecond and limitBurst are its limit; the requests of one client are about
-	// 60 a second.
+	unlimitedWorkspace = "open"
+	limitedWorkspace   = "limited"
+	// limitPerSecond and limitBurst are the limit; one client sends about 60 requests a
+	// second.
 	limitPerSecond = 12
 	limitBurst     = 12
-	// limitWindow, limitExcess and limitSlack are the settings' defaults.
+	// limitWindow, limitExcess and limitSlack are the defaults of the control settings.
 	limitWindow = 5 * time.Second
 	limitExcess = 0.1
 	limitSlack  = 20
-	// limitedShare is that one client in so many is of the limited workspace.
-	limitedShare = 4
-	// heldBack is how long a stalled link or a paused process holds requests back that
-	// then arrive with those that follow.
-	heldBack = 3 * time.Second
+	// limitedEvery: one client in so many belongs to the limited workspace.
+	limitedEvery = 4
+	// maxHoldTime is how long a stalled link or a paused process may hold requests back,
+	// which then arrive together with later ones.
+	maxHoldTime = 3 * time.Second
 )
 
 func workspaces() []any {
 	return []any{
-		map[string]any{"name": openWorkspace, "apiKeys": []string{keyOf(openWorkspace)}, "priority": 1},
+		map[string]any{"name": unlimitedWorkspace, "apiKeys": []string{apiKeyOf(unlimitedWorkspace)}, "priority": 1},
 		map[string]any{
-			"name": limitedWorkspace, "apiKeys": []string{keyOf(limitedWorkspace)}, "priority": 1,
+			"name": limitedWorkspace, "apiKeys": []string{apiKeyOf(limitedWorkspace)}, "priority": 1,
 			"ratePerS": limitPerSecond, "burst": limitBurst,
 		},
 	}
 }
 
-// keyOf returns the key of a workspace.
-func keyOf(workspace string) string { return "key-of-" + workspace }
+// apiKeyOf returns the API key of a workspace.
+func apiKeyOf(workspace string) string { return "key-of-" + workspace }
 
 // workspaceOf returns the workspace of a client.
 func workspaceOf(client int) string {
-	if client%limitedShare == limitedShare-1 {
+	if client%limitedEvery == limitedEvery-1 {
 		return limitedWorkspace
 	}
-	return openWorkspace
+	return unlimitedWorkspace
 }
 
-// checkWorkspace checks that a target was told the holder of the caller's key, and
-// never the key.
-func (w *world) checkWorkspace(r attemptRecord, run standin.Run) {
+// checkWorkspace checks that the target received the name of the workspace that the caller's
+// key belongs to, and not the key.
+func (h *harness) checkWorkspace(r attemptRecord, run standin.Run) {
 	if run.Workspace != r.workspace {
-		w.promises.broken("request %s of workspace %s was told to be of %q at %s", r.id, r.workspace, run.Workspace, run.Target)
+		h.violations.add("request %s of workspace %s was passed on as one of workspace %q to %s", r.id, r.workspace, run.Workspace, run.Target)
 	}
 	if run.Key != "" {
-		w.promises.broken("request %s brought its key to %s", r.id, run.Target)
+		h.violations.add("request %s reached %s with its API key", r.id, run.Target)
 	}
 }
 
-// checkLimit checks the limit in each window over all boxes and targets.
-func (w *world) checkLimit(records []attemptRecord) {
+// checkLimit checks the limited workspace's rate over all boxes and targets in each window.
+func (h *harness) checkLimit(records []attemptRecord) {
 	var runs []time.Time
 	for _, r := range records {
 		if r.workspace != limitedWorkspace {
 			continue
 		}
-		for _, run := range w.ledger.Runs(r.id) {
+		for _, run := range h.runLog.Runs(r.id) {
 			runs = append(runs, run.At)
 		}
 	}
 	slices.SortFunc(runs, time.Time.Compare)
-	seconds := (limitWindow + heldBack).Seconds()
-	most := int((limitPerSecond*seconds+limitBurst)*(1+limitExcess) + limitSlack)
+	seconds := (limitWindow + maxHoldTime).Seconds()
+	allowed := int((limitPerSecond*seconds+limitBurst)*(1+limitExcess) + limitSlack)
 	first := 0
 	for i, at := range runs {
 		for at.Sub(runs[first]) > limitWindow {
 			first++
 		}
-		if n := i - first + 1; n > most {
-			w.promises.broken("%d requests of a limited workspace ran within %s, at most %d may", n, limitWindow, most)
+		if n := i - first + 1; n > allowed {
+			h.violations.add("%d requests of the limited workspace ran within %s, allowed are %d", n, limitWindow, allowed)
 			return
 		}
 	}
