--- a/contrib/soak/backoff.go
+++ b/contrib/soak/backoff.go
@@ -71,7 +71,7 @@
 
 // rejectThenLeave makes a target reject requests and ask for back-offs for a while, and then
 // shut down if leaves is set. It does nothing if the target is claimed for another fault.
-func (h *harness) rejectThenLeave(ctx context.Context, t *standin.Served, r *rand.Rand, leaves bool, leaving *sync.WaitGroup) {
+func (h *harness) rejectThenLeave(ctx context.Context, t *standin.PlatformTarget, r *rand.Rand, leaves bool, leaving *sync.WaitGroup) {
 	if !h.claimTarget(t) {
 		return
 	}
@@ -90,28 +90,28 @@
 	}
 }
 
-func (h *harness) unclaimTarget(t *standin.Served) {
+func (h *harness) unclaimTarget(t *standin.PlatformTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.claimedTargets, t.ID)
 }
 
-func (h *harness) rejectRequests(ctx context.Context, t *standin.Served, backOff, length time.Duration) {
+func (h *harness) rejectRequests(ctx context.Context, t *standin.PlatformTarget, backOff, length time.Duration) {
 	h.counts.countFault("back-off")
-	t.RejectFor(backOff)
+	t.SetBackOff(backOff)
 	sleep(ctx, length)
-	t.RejectFor(0)
+	t.SetBackOff(0)
 }
 
 // shutDownTarget starts a replacement, makes the target announce its shutdown in response
 // headers only, and stops it after shutdownTime.
-func (h *harness) shutDownTarget(t *standin.Served) {
+func (h *harness) shutDownTarget(t *standin.PlatformTarget) {
 	h.counts.countFault("leave by answers")
 	if err := h.addTarget(); err != nil {
 		h.violations.add("%v", err)
 		return
 	}
-	t.Leave()
+	t.AnnounceLeaving()
 	time.Sleep(shutdownTime)
 	t.Close()
 }
@@ -140,7 +140,7 @@
 // faultBetween reports whether a fault of the box, or of the link to the target, may have
 // overlapped a time span. The box may then not have received what the target reported, or
 // have lost it in a restart.
-func (h *harness) faultBetween(t *standin.Served, box *process, from, to time.Time) bool {
+func (h *harness) faultBetween(t *standin.PlatformTarget, box *process, from, to time.Time) bool {
 	from = from.Add(-maxFaultTime)
 	h.mu.Lock()
 	px := h.proxies[t.ID]
@@ -183,7 +183,7 @@
 	checked := 0
 	for _, t := range h.allTargets() {
 		notified := make(map[*process]time.Time)
-		for _, a := range t.ToldLeaving() {
+		for _, a := range t.LeavingResponses() {
 			if box := boxes[a.ID]; box != nil && notified[box].IsZero() {
 				notified[box] = a.At
 			}
@@ -202,8 +202,8 @@
 	h.counts.countChecks("requests to leaving targets", checked)
 }
 
-func (h *harness) allTargets() []*standin.Served {
+func (h *harness) allTargets() []*standin.PlatformTarget {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]*standin.Served(nil), h.targets...)
+	return append([]*standin.PlatformTarget(nil), h.targets...)
 }
--- a/contrib/soak/clients.go
+++ b/contrib/soak/clients.go
@@ -91,7 +91,7 @@
 	record := attemptRecord{id: id, unrepeatable: once, workspace: workspace, sent: time.Now(), box: r.URL.Host}
 	ctx, cancel := c.requestContext()
 	defer cancel()
-	record.status = c.exchange(r.WithContext(ctx), standin.Answer(id, path, []byte(body)))
+	record.status = c.exchange(r.WithContext(ctx), standin.ResponseBody(id, path, []byte(body)))
 	c.records = append(c.records, record)
 	kind := "broken"
 	if record.status != 0 {
--- a/contrib/soak/faults.go
+++ b/contrib/soak/faults.go
@@ -193,9 +193,9 @@
 	h.mu.Lock()
 	t := pick(r, h.targets)
 	h.mu.Unlock()
-	t.Lose(3)
+	t.LoseOneIn(3)
 	time.Sleep(2 * time.Second)
-	t.Lose(0)
+	t.LoseOneIn(0)
 }
 
 // drainTarget starts a new target and drains an existing one.
--- a/contrib/soak/harness.go
+++ b/contrib/soak/harness.go
@@ -40,13 +40,13 @@
 	controls   []*process
 	entries    []*process
 	proxies    map[string]*proxy // of control replicas by process name and use, of targets by ID
-	runLog     *standin.Ledger
+	runLog     *standin.RunLog
 	violations violationList
 	counts     counts
 	history    *history
 
 	mu             sync.Mutex
-	targets        []*standin.Served
+	targets        []*standin.PlatformTarget
 	closed         bool
 	limitPeriods   []limitPeriod
 	claimedTargets map[string]bool
@@ -88,7 +88,7 @@
 		seed:           seed,
 		dir:            dir,
 		proxies:        make(map[string]*proxy),
-		runLog:         standin.NewLedger(),
+		runLog:         standin.NewRunLog(),
 		network:        network,
 		history:        newHistory(),
 		claimedTargets: make(map[string]bool),
@@ -148,7 +148,7 @@
 	h.lastTarget++
 	id := fmt.Sprintf("i-%d", h.lastTarget)
 	host := h.lastTarget%250 + 1
-	s, err := standin.NewServed(id, "svc", zones[h.lastTarget%len(zones)], fmt.Sprintf("127.79.%d.%d:0", h.network, host), 5*time.Millisecond, h.runLog)
+	s, err := standin.NewPlatformTarget(id, "svc", zones[h.lastTarget%len(zones)], fmt.Sprintf("127.79.%d.%d:0", h.network, host), 5*time.Millisecond, h.runLog)
 	if err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 	if err != nil {
 		return err
 	}
-	s.Announced = px.address()
-	s.Controls = h.controlAddresses
-	s.EndsUnder = fatalPath
-	s.Ended = func() { h.replaceCrashed(id, px) }
+	s.Advertised = px.address()
+	s.ControlAddresses = h.controlAddresses
+	s.CrashPath = fatalPath
+	s.OnCrash = func() { h.replaceCrashed(id, px) }
 	h.proxies[id] = px
 	h.targets = append(h.targets, s)
 	s.Start()
--- a/contrib/soak/targetlimits.go
+++ b/contrib/soak/targetlimits.go
@@ -30,14 +30,14 @@
 
 // limitPeriod is a time span in which a target reported one limit.
 type limitPeriod struct {
-	target   *standin.Served
+	target   *standin.PlatformTarget
 	limit    float64
 	from, to time.Time
 }
 
 // claimTarget reserves a target for one kind of fault. It reports false if the target is
 // reserved already.
-func (h *harness) claimTarget(t *standin.Served) bool {
+func (h *harness) claimTarget(t *standin.PlatformTarget) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.claimedTargets[t.ID] {
@@ -49,7 +49,7 @@
 
 // startLimit makes a target report a limit. The returned function records the end of the
 // period.
-func (h *harness) startLimit(t *standin.Served, perSecond float64) (end func()) {
+func (h *harness) startLimit(t *standin.PlatformTarget, perSecond float64) (end func()) {
 	n := limitPeriod{target: t, limit: perSecond, from: time.Now()}
 	t.SetLimit(fmt.Sprint(perSecond))
 	return func() {
@@ -83,10 +83,10 @@
 	if h.seed%severalLimited == 0 {
 		count = severalLimited
 	}
-	active := make(map[*standin.Served]func())
+	active := make(map[*standin.PlatformTarget]func())
 	for ctx.Err() == nil {
 		for t, end := range active {
-			if !t.Serves() {
+			if !t.IsServing() {
 				end()
 				delete(active, t)
 			}
@@ -106,11 +106,11 @@
 	}
 }
 
-func (h *harness) servingTargets() (out []*standin.Served) {
+func (h *harness) servingTargets() (out []*standin.PlatformTarget) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, t := range h.targets {
-		if t.Serves() {
+		if t.IsServing() {
 			out = append(out, t)
 		}
 	}
--- a/contrib/standin/platform.go
+++ b/contrib/standin/boxlist.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Platform is a list of live and leaving boxes that lags.
-type Platform struct {
+// BoxList is a list of live and leaving boxes that lags.
+type BoxList struct {
 	lag time.Duration
 	now func() time.Time
 
@@ -22,20 +22,20 @@
 	state   string
 }
 
-// NewPlatform returns an empty list that shows changes after lag.
-func NewPlatform(lag time.Duration, now func() time.Time) *Platform {
-	return &Platform{lag: lag, now: now}
+// NewBoxList returns an empty list that shows changes after lag.
+func NewBoxList(lag time.Duration, now func() time.Time) *BoxList {
+	return &BoxList{lag: lag, now: now}
 }
 
 // Set notes the state of a box, live or leaving.
-func (p *Platform) Set(address, state string) {
+func (p *BoxList) Set(address, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = append(p.changes, platformChange{p.now(), address, state})
 }
 
 // ServeHTTP implements http.Handler.
-func (p *Platform) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (p *BoxList) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	type box struct {
 		Address string `json:"address"`
 		State   string `json:"state"`
--- a/contrib/standin/served.go
+++ b/contrib/standin/platformtarget.go
@@ -24,44 +24,44 @@
 	Key       string
 }
 
-// Ledger counts the runs of requests at all served targets, by attempt id.
-type Ledger struct {
+// RunLog counts the runs of requests at all served targets, by attempt id.
+type RunLog struct {
 	mu   sync.Mutex
 	runs map[string][]Run
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{runs: make(map[string][]Run)} }
+// NewRunLog returns an empty ledger.
+func NewRunLog() *RunLog { return &RunLog{runs: make(map[string][]Run)} }
 
-func (l *Ledger) add(id string, r Run) {
+func (l *RunLog) add(id string, r Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id] = append(l.runs[id], r)
 }
 
 // Runs returns the runs of an attempt.
-func (l *Ledger) Runs(id string) []Run {
+func (l *RunLog) Runs(id string) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Run(nil), l.runs[id]...)
 }
 
-// Served is a stand-in for a target of the users' platform: it registers
+// PlatformTarget is a stand-in for a target of the users' platform: it registers
 // itself, works on a few requests at once and refuses the rest.
-type Served struct {
+type PlatformTarget struct {
 	ID      string
 	Service string
 	Zone    string
-	// Announced is the address that it registers.
-	Announced string
-	// Controls returns the addresses that it may call.
-	Controls func() []string
-	// EndsUnder is the end of the path of requests under which it ends, and Ended is told
+	// Advertised is the address that it registers.
+	Advertised string
+	// ControlAddresses returns the addresses that it may call.
+	ControlAddresses func() []string
+	// CrashPath is the end of the path of requests under which it ends, and Ended is told
 	// of that; empty for none.
-	EndsUnder string
-	Ended     func()
+	CrashPath string
+	OnCrash   func()
 
-	ledger   *Ledger
+	ledger   *RunLog
 	listener net.Listener
 	server   *http.Server
 	slots    chan struct{}
@@ -98,14 +98,14 @@
 	servedCallTimeout = time.Second
 )
 
-// NewServed returns a target that listens on an address. Start must follow.
-func NewServed(id, service, zone, listen string, work time.Duration, ledger *Ledger) (*Served, error) {
+// NewPlatformTarget returns a target that listens on an address. Start must follow.
+func NewPlatformTarget(id, service, zone, listen string, work time.Duration, ledger *RunLog) (*PlatformTarget, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, fmt.Errorf("listening as a target: %w", err)
 	}
-	s := &Served{
-		ID: id, Service: service, Zone: zone, Announced: l.Addr().String(), ledger: ledger, listener: l,
+	s := &PlatformTarget{
+		ID: id, Service: service, Zone: zone, Advertised: l.Addr().String(), ledger: ledger, listener: l,
 		slots: make(chan struct{}, servedSlots), work: work, done: make(chan struct{}),
 		calls: &http.Client{Timeout: servedCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
@@ -115,16 +115,16 @@
 }
 
 // Address is where it listens.
-func (s *Served) Address() string { return s.listener.Addr().String() }
+func (s *PlatformTarget) Address() string { return s.listener.Addr().String() }
 
 // Start serves and sends heartbeats until Close.
-func (s *Served) Start() {
+func (s *PlatformTarget) Start() {
 	go func() { _ = s.server.Serve(s.listener) }() // ends with Close
 	go s.beat()
 }
 
-// Lose makes it lose the answer of one of n requests that it ran; 0 for none.
-func (s *Served) Lose(n int) {
+// LoseOneIn makes it lose the answer of one of n requests that it ran; 0 for none.
+func (s *PlatformTarget) LoseOneIn(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseShare = n
@@ -132,7 +132,7 @@
 
 // SetLimit makes it name in its answers how many requests a second it takes from all boxes
 // together; empty for none.
-func (s *Served) SetLimit(perSecond string) {
+func (s *PlatformTarget) SetLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limit = perSecond
@@ -151,35 +151,35 @@
 }
 
 // Arrivals returns the requests that reached it.
-func (s *Served) Arrivals() []Arrival {
+func (s *PlatformTarget) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// RejectFor makes it reject all requests and ask for a back-off, or serve again for zero.
-func (s *Served) RejectFor(backOff time.Duration) {
+// SetBackOff makes it reject all requests and ask for a back-off, or serve again for zero.
+func (s *PlatformTarget) SetBackOff(backOff time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backOff = backOff
 }
 
 // Rejections returns the requests that it rejected, asking for a back-off.
-func (s *Served) Rejections() []Rejection {
+func (s *PlatformTarget) Rejections() []Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Rejection(nil), s.rejections...)
 }
 
-// Leave makes its answers, and nothing else, say that it leaves.
-func (s *Served) Leave() {
+// AnnounceLeaving makes its answers, and nothing else, say that it leaves.
+func (s *PlatformTarget) AnnounceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// ToldLeaving returns the requests whose answers said that it leaves.
-func (s *Served) ToldLeaving() []Arrival {
+// LeavingResponses returns the requests whose answers said that it leaves.
+func (s *PlatformTarget) LeavingResponses() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.toldLeaving...)
@@ -187,7 +187,7 @@
 
 // arrive counts a request, sets what its answer says of the target and reports whether it is
 // taken.
-func (s *Served) arrive(id string, h http.Header) bool {
+func (s *PlatformTarget) arrive(id string, h http.Header) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := Arrival{ID: id, At: time.Now()}
@@ -208,27 +208,27 @@
 }
 
 // Drain makes its next words say that it leaves.
-func (s *Served) Drain() {
+func (s *PlatformTarget) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Serves reports whether it has neither ended nor said that it leaves.
-func (s *Served) Serves() bool {
+// IsServing reports whether it has neither ended nor said that it leaves.
+func (s *PlatformTarget) IsServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ctx.Err() == nil && !s.draining
 }
 
 // DrainedAt returns when its drain was acknowledged; zero if it was not.
-func (s *Served) DrainedAt() time.Time {
+func (s *PlatformTarget) DrainedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainedAt
 }
 
-func (s *Served) beat() {
+func (s *PlatformTarget) beat() {
 	defer close(s.done)
 	for n := 0; ; n++ {
 		s.tell(n)
@@ -242,7 +242,7 @@
 
 // tell sends one heartbeat, to one control replica after the other until one
 // takes it.
-func (s *Served) tell(n int) {
+func (s *PlatformTarget) tell(n int) {
 	s.mu.Lock()
 	s.sequence++
 	draining := s.draining
@@ -251,14 +251,14 @@
 		state = "draining"
 	}
 	body, err := json.Marshal(map[string]any{
-		"service": s.Service, "address": s.Announced, "zone": s.Zone, "version": "v1", "slots": servedSlots,
+		"service": s.Service, "address": s.Advertised, "zone": s.Zone, "version": "v1", "slots": servedSlots,
 		"state": state, "warmupLeft": "0ms", "seq": s.sequence,
 	})
 	s.mu.Unlock()
 	if err != nil {
 		return
 	}
-	controls := s.Controls()
+	controls := s.ControlAddresses()
 	for i := range controls {
 		if s.call(http.MethodPut, controls[(n+i)%len(controls)], body) {
 			if draining {
@@ -269,7 +269,7 @@
 	}
 }
 
-func (s *Served) recordDrained() {
+func (s *PlatformTarget) recordDrained() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.drainedAt.IsZero() {
@@ -277,7 +277,7 @@
 	}
 }
 
-func (s *Served) call(method, control string, body []byte) bool {
+func (s *PlatformTarget) call(method, control string, body []byte) bool {
 	r, err := http.NewRequestWithContext(s.ctx, method, "http://"+control+"/ledgesill/instances/"+s.ID, bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -292,7 +292,7 @@
 }
 
 // ServeHTTP works on a request.
-func (s *Served) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *PlatformTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Ledgesill-Attempt-Id")
 	w.Header().Set("X-Ledgesill-Attempt-Id", id)
 	if want := r.Header.Get("X-Ledgesill-Expect-Instance"); want != "" && want != s.ID {
@@ -316,7 +316,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(s.work)
-	if s.EndsUnder != "" && strings.HasSuffix(r.URL.Path, s.EndsUnder) {
+	if s.CrashPath != "" && strings.HasSuffix(r.URL.Path, s.CrashPath) {
 		go s.end()
 		<-s.ctx.Done()
 		panic(http.ErrAbortHandler)
@@ -324,7 +324,7 @@
 	if s.loses() {
 		panic(http.ErrAbortHandler)
 	}
-	answer := Answer(id, r.URL.Path, body)
+	answer := ResponseBody(id, r.URL.Path, body)
 	w.Header().Set("X-Ledgesill-Server-Seal", s.ID)
 	w.Header().Set("X-Ledgesill-Server-Load", fmt.Sprintf("%d,0,%d", len(s.slots), servedSlots))
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
@@ -336,12 +336,12 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Answer is what a served target answers to a request.
-func Answer(id, path string, body []byte) []byte {
+// ResponseBody is what a served target answers to a request.
+func ResponseBody(id, path string, body []byte) []byte {
 	return []byte(fmt.Sprintf("%s %s %d %s", id, path, len(body), bytes.Repeat([]byte{'.'}, len(id)*20)))
 }
 
-func (s *Served) loses() bool {
+func (s *PlatformTarget) loses() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
@@ -349,7 +349,7 @@
 }
 
 // end ends it under a request. Of several that come together one ends it.
-func (s *Served) end() {
+func (s *PlatformTarget) end() {
 	s.mu.Lock()
 	first := !s.ended
 	s.ended = true
@@ -358,11 +358,11 @@
 		return
 	}
 	s.Close()
-	s.Ended()
+	s.OnCrash()
 }
 
 // Close ends it at once, as a crash does.
-func (s *Served) Close() {
+func (s *PlatformTarget) Close() {
 	s.cancel()
 	_ = s.server.Close()
 	<-s.done
--- a/contrib/standin/target.go
+++ b/contrib/standin/target.go
@@ -24,10 +24,10 @@
 	Slots       int
 	Connections int
 	ServiceTime time.Duration
-	// ColdFor is how long after its start a target needs ColdFactor times as
+	// WarmUpTime is how long after its start a target needs ColdFactor times as
 	// long for a request.
-	ColdFor    time.Duration
-	ColdFactor int
+	WarmUpTime   time.Duration
+	WarmUpFactor int
 	// OnRun is called when a request has got its slot, if it is not nil.
 	OnRun func()
 }
@@ -67,8 +67,8 @@
 // SetDraining makes the target's health say that it is leaving.
 func (t *Target) SetDraining(v bool) { t.draining.Store(v) }
 
-// SetBroken makes requests fail while the health still says ready.
-func (t *Target) SetBroken(v bool) { t.broken.Store(v) }
+// SetFailing makes requests fail while the health still says ready.
+func (t *Target) SetFailing(v bool) { t.broken.Store(v) }
 
 // SetShedding makes the target refuse all work.
 func (t *Target) SetShedding(v bool) { t.shedding.Store(v) }
@@ -97,8 +97,8 @@
 	t.leaving = v
 }
 
-// SetMute makes the target's health give no usable answer.
-func (t *Target) SetMute(v bool) { t.mute.Store(v) }
+// SetHealthFailing makes the target's health give no usable answer.
+func (t *Target) SetHealthFailing(v bool) { t.mute.Store(v) }
 
 // SetSlow makes every request take longer.
 func (t *Target) SetSlow(extra time.Duration) { t.slow.Store(int64(extra)) }
@@ -169,7 +169,7 @@
 	})
 }
 
-func (t *Target) cold() bool { return time.Since(t.started) < t.config.ColdFor }
+func (t *Target) cold() bool { return time.Since(t.started) < t.config.WarmUpTime }
 
 // slotted runs a request in a slot, or sheds it.
 func (t *Target) slotted(run http.HandlerFunc) http.HandlerFunc {
@@ -206,7 +206,7 @@
 func (t *Target) serviceTime() time.Duration {
 	d := t.config.ServiceTime
 	if t.cold() {
-		d *= time.Duration(max(t.config.ColdFactor, 1))
+		d *= time.Duration(max(t.config.WarmUpFactor, 1))
 	}
 	return d + time.Duration(t.slow.Load())
 }
--- a/internal/entry/backoff_test.go
+++ b/internal/entry/backoff_test.go
@@ -97,10 +97,10 @@
 		if got := target.Requests() - before; got > 0 {
 			t.Errorf("%d requests came later than 2 s after it had said so", got)
 		}
-		target.SetMute(true) // it ends
+		target.SetHealthFailing(true) // it ends
 		s.reads(3 * time.Second)
 		target.SetLeaving(false)
-		target.SetMute(false)
+		target.SetHealthFailing(false)
 		s.reads(8 * time.Second)
 		if got := target.Requests() - before; got < 20 {
 			t.Errorf("its next incarnation got %d requests", got)
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -63,19 +63,19 @@
 		}},
 		{name: "target lies", do: func(s *system, at reached) {
 			t := s.target(at.target).target
-			t.SetBroken(true)
-			undo(func() { t.SetBroken(false) })
+			t.SetFailing(true)
+			undo(func() { t.SetFailing(false) })
 		}},
 		{name: "target drains", planned: true, do: func(s *system, at reached) {
 			s.target(at.target).target.SetDraining(true)
 		}},
 		{name: "reports missing", do: func(s *system, _ reached) {
 			for _, t := range s.allTargets() {
-				t.target.SetMute(true)
+				t.target.SetHealthFailing(true)
 			}
 			undo(func() {
 				for _, t := range s.allTargets() {
-					t.target.SetMute(false)
+					t.target.SetHealthFailing(false)
 				}
 			})
 		}},
--- a/internal/entry/system_basic_test.go
+++ b/internal/entry/system_basic_test.go
@@ -62,7 +62,7 @@
 	bubble(t, func(t *testing.T) {
 		const lag = 2 * time.Second
 		s := newSystemWith(t, 2, "http://10.0.7.1:1/")
-		list := standin.NewPlatform(lag, time.Now)
+		list := standin.NewBoxList(lag, time.Now)
 		l, err := s.network.listen("10.0.7.1:1")
 		if err != nil {
 			t.Fatal(err)
