--- a/contrib/standin/boxlist.go
+++ b/contrib/standin/boxlist.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// BoxList is a list of live and leaving boxes that lags.
+// BoxList is the platform's list of boxes and their states, served over HTTP. It shows
+// changes only after a delay.
 type BoxList struct {
 	lag time.Duration
 	now func() time.Time
 
 	mu      sync.Mutex
-	changes []platformChange
+	changes []stateChange
 }
 
-type platformChange struct {
+type stateChange struct {
 	at      time.Time
 	address string
 	state   string
 }
 
-// NewBoxList returns an empty list that shows changes after lag.
+// NewBoxList returns an empty list that delays changes by lag.
 func NewBoxList(lag time.Duration, now func() time.Time) *BoxList {
 	return &BoxList{lag: lag, now: now}
 }
 
-// Set notes the state of a box, live or leaving.
+// Set sets the state of a box, such as live or leaving.
 func (p *BoxList) Set(address, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.changes = append(p.changes, platformChange{p.now(), address, state})
+	p.changes = append(p.changes, stateChange{p.now(), address, state})
 }
 
 // ServeHTTP implements http.Handler.
@@ -54,5 +55,5 @@
 	for a, s := range state {
 		list.Boxes = append(list.Boxes, box{a, s})
 	}
-	_ = json.NewEncoder(w).Encode(list) // a reader sees a broken answer
+	_ = json.NewEncoder(w).Encode(list) // the reader sees a truncated response
 }
--- a/contrib/standin/platformtarget.go
+++ b/contrib/standin/platformtarget.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// Run is one run of a request at a served target.
+// Run is one run of a request at a target.
 type Run struct {
 	At     time.Time
 	Target string
-	// Workspace is the name of the one that the request was told to be of, and Key the
-	// workspace's key if the request carried one.
+	// Workspace is the workspace that the request's header names, Key the API key in its
+	// header, if any.
 	Workspace string
 	Key       string
 }
 
-// RunLog counts the runs of requests at all served targets, by attempt id.
+// RunLog records the runs of requests at all platform targets by attempt ID.
 type RunLog struct {
 	mu   sync.Mutex
 	runs map[string][]Run
 }
 
-// NewRunLog returns an empty ledger.
+// NewRunLog returns an empty log.
 func NewRunLog() *RunLog { return &RunLog{runs: make(map[string][]Run)} }
 
 func (l *RunLog) add(id string, r Run) {
@@ -46,92 +46,94 @@
 	return append([]Run(nil), l.runs[id]...)
 }
 
-// PlatformTarget is a stand-in for a target of the users' platform: it registers
-// itself, works on a few requests at once and refuses the rest.
+// PlatformTarget is a stand-in for a target of the users' platform. It registers itself,
+// runs a few requests at once and rejects the rest.
 type PlatformTarget struct {
 	ID      string
 	Service string
 	Zone    string
-	// Advertised is the address that it registers.
+	// Advertised is the address that the target registers.
 	Advertised string
-	// ControlAddresses returns the addresses that it may call.
+	// ControlAddresses returns the addresses of the control replicas.
 	ControlAddresses func() []string
-	// CrashPath is the end of the path of requests under which it ends, and Ended is told
-	// of that; empty for none.
+	// CrashPath is a path suffix: a request whose path has it crashes the target, which then
+	// calls OnCrash. Empty for none.
 	CrashPath string
 	OnCrash   func()
 
-	ledger   *RunLog
+	runLog   *RunLog
 	listener net.Listener
 	server   *http.Server
 	slots    chan struct{}
 	work     time.Duration
-	calls    *http.Client
+	client   *http.Client
 
 	mu       sync.Mutex
 	draining bool
-	ended    bool
+	crashed  bool
 	sequence uint64
-	// DrainedAt is when its drain was acknowledged; zero if it was not.
+	// drainedAt is when the drain was acknowledged, zero if it was not.
 	drainedAt time.Time
-	loseShare int
-	// limit is the limit that it names in its answers; empty for none. arrivals are the
-	// requests that reached it, also those that it rejected.
+	loseOneIn int
+	// limit is the rate limit that responses report, empty for none. arrivals are the
+	// requests that reached the target, including rejected ones.
 	limit    string
 	arrivals []Arrival
-	// backOff is what its rejections ask for while it rejects all; zero if it does not.
+	// backOff is the back-off that rejections request while the target rejects all requests;
+	// zero if it doesn't.
 	backOff    time.Duration
 	rejections []Rejection
-	// leaving tells that its answers say that it leaves, and toldLeaving the attempts that
-	// were answered so.
-	leaving     bool
-	toldLeaving []Arrival
-	requests    int
-	ctx         context.Context
-	cancel      context.CancelFunc
-	done        chan struct{}
+	// leaving says whether responses announce that the target shuts down, leavingResponses
+	// holds the attempts that got such a response.
+	leaving          bool
+	leavingResponses []Arrival
+	requests         int
+	ctx              context.Context
+	cancel           context.CancelFunc
+	done             chan struct{}
 }
 
 const (
-	servedSlots       = 4
-	servedHeartbeat   = 500 * time.Millisecond
-	servedCallTimeout = time.Second
+	platformTargetSlots = 4
+	heartbeatInterval   = 500 * time.Millisecond
+	controlTimeout      = time.Second
 )
 
-// NewPlatformTarget returns a target that listens on an address. Start must follow.
-func NewPlatformTarget(id, service, zone, listen string, work time.Duration, ledger *RunLog) (*PlatformTarget, error) {
+// NewPlatformTarget returns a target that listens on an address. Start makes it serve.
+func NewPlatformTarget(id, service, zone, listen string, work time.Duration, runLog *RunLog) (*PlatformTarget, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, fmt.Errorf("listening as a target: %w", err)
 	}
 	s := &PlatformTarget{
-		ID: id, Service: service, Zone: zone, Advertised: l.Addr().String(), ledger: ledger, listener: l,
-		slots: make(chan struct{}, servedSlots), work: work, done: make(chan struct{}),
-		calls: &http.Client{Timeout: servedCallTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		ID: id, Service: service, Zone: zone, Advertised: l.Addr().String(), runLog: runLog, listener: l,
+		slots: make(chan struct{}, platformTargetSlots), work: work, done: make(chan struct{}),
+		client: &http.Client{Timeout: controlTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	s.server = &http.Server{Handler: s}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the target listens on.
 func (s *PlatformTarget) Address() string { return s.listener.Addr().String() }
 
-// Start serves and sends heartbeats until Close.
+// Start starts serving and sending heartbeats, until Close.
 func (s *PlatformTarget) Start() {
 	go func() { _ = s.server.Serve(s.listener) }() // ends with Close
-	go s.beat()
+	go s.sendHeartbeats()
 }
 
-// LoseOneIn makes it lose the answer of one of n requests that it ran; 0 for none.
+// LoseOneIn makes the target close the connection instead of responding to one in n of the
+// requests that it ran; 0 for none.
 func (s *PlatformTarget) LoseOneIn(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseShare = n
+	s.loseOneIn = n
 }
 
-// SetLimit makes it name in its answers how many requests a second it takes from all boxes
-// together; empty for none.
+// SetLimit makes responses report a rate limit for all boxes together, in requests a second;
+// empty for none.
 func (s *PlatformTarget) SetLimit(perSecond string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,49 +146,50 @@
 	At time.Time
 }
 
-// Rejection is a request that a target rejected, asking for a back-off.
+// Rejection is a request that a target rejected with a back-off.
 type Rejection struct {
 	Arrival
 	BackOff time.Duration
 }
 
-// Arrivals returns the requests that reached it.
+// Arrivals returns the requests that reached the target.
 func (s *PlatformTarget) Arrivals() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Arrival(nil), s.arrivals...)
 }
 
-// SetBackOff makes it reject all requests and ask for a back-off, or serve again for zero.
+// SetBackOff makes the target reject all requests and request a back-off. Zero makes it serve
+// again.
 func (s *PlatformTarget) SetBackOff(backOff time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backOff = backOff
 }
 
-// Rejections returns the requests that it rejected, asking for a back-off.
+// Rejections returns the requests that were rejected with a back-off.
 func (s *PlatformTarget) Rejections() []Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Rejection(nil), s.rejections...)
 }
 
-// AnnounceLeaving makes its answers, and nothing else, say that it leaves.
+// AnnounceLeaving makes responses, but not heartbeats, announce that the target shuts down.
 func (s *PlatformTarget) AnnounceLeaving() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// LeavingResponses returns the requests whose answers said that it leaves.
+// LeavingResponses returns the requests whose responses announced the shutdown.
 func (s *PlatformTarget) LeavingResponses() []Arrival {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Arrival(nil), s.toldLeaving...)
+	return append([]Arrival(nil), s.leavingResponses...)
 }
 
-// arrive counts a request, sets what its answer says of the target and reports whether it is
-// taken.
+// arrive records a request, sets the response headers about the target's state and reports
+// whether the request is accepted.
 func (s *PlatformTarget) arrive(id string, h http.Header) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +200,7 @@
 	}
 	if s.leaving {
 		h.Set("Server-Leaving", "1")
-		s.toldLeaving = append(s.toldLeaving, a)
+		s.leavingResponses = append(s.leavingResponses, a)
 	}
 	if s.backOff == 0 {
 		return true
@@ -207,42 +210,41 @@
 	return false
 }
 
-// Drain makes its next words say that it leaves.
+// Drain makes heartbeats announce that the target drains.
 func (s *PlatformTarget) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// IsServing reports whether it has neither ended nor said that it leaves.
+// IsServing reports whether the target is neither closed nor draining.
 func (s *PlatformTarget) IsServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ctx.Err() == nil && !s.draining
 }
 
-// DrainedAt returns when its drain was acknowledged; zero if it was not.
+// DrainedAt returns when the drain was acknowledged, zero if it was not.
 func (s *PlatformTarget) DrainedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drainedAt
 }
 
-func (s *PlatformTarget) beat() {
+func (s *PlatformTarget) sendHeartbeats() {
 	defer close(s.done)
 	for n := 0; ; n++ {
-		s.tell(n)
+		s.sendHeartbeat(n)
 		select {
 		case <-s.ctx.Done():
 			return
-		case <-time.After(servedHeartbeat):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-// tell sends one heartbeat, to one control replica after the other until one
-// takes it.
-func (s *PlatformTarget) tell(n int) {
+// sendHeartbeat sends one heartbeat to the control replicas in turn until one accepts it.
+func (s *PlatformTarget) sendHeartbeat(n int) {
 	s.mu.Lock()
 	s.sequence++
 	draining := s.draining
@@ -251,7 +253,7 @@
 		state = "draining"
 	}
 	body, err := json.Marshal(map[string]any{
-		"service": s.Service, "address": s.Advertised, "zone": s.Zone, "version": "v1", "slots": servedSlots,
+		"service": s.Service, "address": s.Advertised, "zone": s.Zone, "version": "v1", "slots": platformTargetSlots,
 		"state": state, "warmupLeft": "0ms", "seq": s.sequence,
 	})
 	s.mu.Unlock()
@@ -260,7 +262,7 @@
 	}
 	controls := s.ControlAddresses()
 	for i := range controls {
-		if s.call(http.MethodPut, controls[(n+i)%len(controls)], body) {
+		if s.sendToControl(http.MethodPut, controls[(n+i)%len(controls)], body) {
 			if draining {
 				s.recordDrained()
 			}
@@ -277,21 +279,21 @@
 	}
 }
 
-func (s *PlatformTarget) call(method, control string, body []byte) bool {
+func (s *PlatformTarget) sendToControl(method, control string, body []byte) bool {
 	r, err := http.NewRequestWithContext(s.ctx, method, "http://"+control+"/ledgesill/instances/"+s.ID, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	answer, err := s.calls.Do(r)
+	response, err := s.client.Do(r)
 	if err != nil {
 		return false
 	}
-	defer answer.Body.Close()
-	_, _ = io.Copy(io.Discard, answer.Body) // only the status counts
-	return answer.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+	return response.StatusCode == http.StatusOK
 }
 
-// ServeHTTP works on a request.
+// ServeHTTP implements http.Handler. It runs a request if a slot is free.
 func (s *PlatformTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Ledgesill-Attempt-Id")
 	w.Header().Set("X-Ledgesill-Attempt-Id", id)
@@ -310,25 +312,25 @@
 		reject(w)
 		return
 	}
-	s.ledger.add(id, Run{At: time.Now(), Target: s.ID, Workspace: r.Header.Get("X-Ledgesill-Tenant"), Key: r.Header.Get("Api-Key")})
+	s.runLog.add(id, Run{At: time.Now(), Target: s.ID, Workspace: r.Header.Get("X-Ledgesill-Tenant"), Key: r.Header.Get("Api-Key")})
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(s.work)
 	if s.CrashPath != "" && strings.HasSuffix(r.URL.Path, s.CrashPath) {
-		go s.end()
+		go s.crash()
 		<-s.ctx.Done()
 		panic(http.ErrAbortHandler)
 	}
-	if s.loses() {
+	if s.losesResponse() {
 		panic(http.ErrAbortHandler)
 	}
-	answer := ResponseBody(id, r.URL.Path, body)
+	response := ResponseBody(id, r.URL.Path, body)
 	w.Header().Set("X-Ledgesill-Server-Seal", s.ID)
-	w.Header().Set("X-Ledgesill-Server-Load", fmt.Sprintf("%d,0,%d", len(s.slots), servedSlots))
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	_, _ = w.Write(answer) // the caller sees a broken answer
+	w.Header().Set("X-Ledgesill-Server-Load", fmt.Sprintf("%d,0,%d", len(s.slots), platformTargetSlots))
+	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
+	_, _ = w.Write(response) // the caller sees a truncated response
 }
 
 func reject(w http.ResponseWriter) {
@@ -336,23 +338,23 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// ResponseBody is what a served target answers to a request.
+// ResponseBody returns the body with which a platform target responds to a request.
 func ResponseBody(id, path string, body []byte) []byte {
 	return []byte(fmt.Sprintf("%s %s %d %s", id, path, len(body), bytes.Repeat([]byte{'.'}, len(id)*20)))
 }
 
-func (s *PlatformTarget) loses() bool {
+func (s *PlatformTarget) losesResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
-	return s.loseShare > 0 && s.requests%s.loseShare == 0
+	return s.loseOneIn > 0 && s.requests%s.loseOneIn == 0
 }
 
-// end ends it under a request. Of several that come together one ends it.
-func (s *PlatformTarget) end() {
+// crash closes the target and calls OnCrash, once even if several requests crash it.
+func (s *PlatformTarget) crash() {
 	s.mu.Lock()
-	first := !s.ended
-	s.ended = true
+	first := !s.crashed
+	s.crashed = true
 	s.mu.Unlock()
 	if !first {
 		return
@@ -361,7 +363,7 @@
 	s.OnCrash()
 }
 
-// Close ends it at once, as a crash does.
+// Close stops the target immediately, like a crash.
 func (s *PlatformTarget) Close() {
 	s.cancel()
 	_ = s.server.Close()
--- a/contrib/standin/target.go
+++ b/contrib/standin/target.go
@@ -1,5 +1,5 @@
-// Package standin has stand-ins for what the system meets: targets and the
-// platform's list of boxes.
+// Package standin has stand-ins for what surrounds the system: targets and the platform's
+// list of boxes.
 package standin
 
 import (
@@ -18,59 +18,59 @@
 	"ledgesill.dev/ledgesill/pkg/caller"
 )
 
-// TargetConfig sizes a target.
+// TargetConfig holds the capacity and the timing of a target.
 type TargetConfig struct {
 	Name        string
 	Slots       int
 	Connections int
 	ServiceTime time.Duration
-	// WarmUpTime is how long after its start a target needs ColdFactor times as
-	// long for a request.
+	// For WarmUpTime after its start, the target takes WarmUpFactor times as long for a
+	// request.
 	WarmUpTime   time.Duration
 	WarmUpFactor int
-	// OnRun is called when a request has got its slot, if it is not nil.
+	// OnRun, if not nil, is called when a request has got a slot.
 	OnRun func()
 }
 
-// Target is a back end with slots, a load report, health and drain answers,
-// shedding and a large download.
+// Target is a back end with slots, a health report with its load, draining, load shedding
+// and a large download.
 type Target struct {
-	config   TargetConfig
-	started  time.Time
-	busy     atomic.Int64
-	requests atomic.Int64
-	draining atomic.Bool
-	broken   atomic.Bool
-	shedding atomic.Bool
-	mute     atomic.Bool
-	slow     atomic.Int64
-
-	mu   sync.Mutex
-	runs map[string]int
-	most int
-	// limit is the limit that it names in its answers; empty for none. arrivals are when
-	// requests reached it, checks of its health included.
+	config        TargetConfig
+	started       time.Time
+	busy          atomic.Int64
+	requests      atomic.Int64
+	draining      atomic.Bool
+	failing       atomic.Bool
+	shedding      atomic.Bool
+	healthFailing atomic.Bool
+	extraTime     atomic.Int64
+
+	mu            sync.Mutex
+	runs          map[string]int
+	maxConcurrent int
+	// limit is the rate limit that responses report, empty for none. arrivals are when
+	// requests reached the target, health checks included.
 	limit    string
 	arrivals []time.Time
-	// retryAfter is the Retry-After of a rejection, rejections are when there were any, and
-	// leaving tells that its answers say that it leaves.
+	// retryAfter is the Retry-After of rejections, rejections are their times, and leaving
+	// says whether responses announce that the target shuts down.
 	retryAfter string
 	rejections []time.Time
 	leaving    bool
 }
 
-// NewTarget returns a target that starts cold now.
+// NewTarget returns a target whose warm-up starts now.
 func NewTarget(c TargetConfig) *Target {
 	return &Target{config: c, started: time.Now(), runs: make(map[string]int), retryAfter: "1"}
 }
 
-// SetDraining makes the target's health say that it is leaving.
+// SetDraining sets whether the health report says that the target drains.
 func (t *Target) SetDraining(v bool) { t.draining.Store(v) }
 
-// SetFailing makes requests fail while the health still says ready.
-func (t *Target) SetFailing(v bool) { t.broken.Store(v) }
+// SetFailing makes requests fail with status 500 while the health report still says ready.
+func (t *Target) SetFailing(v bool) { t.failing.Store(v) }
 
-// SetShedding makes the target refuse all work.
+// SetShedding makes the target reject all requests.
 func (t *Target) SetShedding(v bool) { t.shedding.Store(v) }
 
 // SetRetryAfter sets the Retry-After of the target's rejections, in seconds.
@@ -80,7 +80,7 @@
 	t.retryAfter = seconds
 }
 
-// Requests returns how many requests reached the target, without checks of its health.
+// Requests returns how many requests reached the target, without health checks.
 func (t *Target) Requests() int { return int(t.requests.Load()) }
 
 // Rejections returns when the target rejected requests.
@@ -90,43 +90,44 @@
 	return append([]time.Time(nil), t.rejections...)
 }
 
-// SetLeaving makes the target's answers say that it leaves.
+// SetLeaving sets whether responses announce that the target shuts down.
 func (t *Target) SetLeaving(v bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = v
 }
 
-// SetHealthFailing makes the target's health give no usable answer.
-func (t *Target) SetHealthFailing(v bool) { t.mute.Store(v) }
+// SetHealthFailing makes health checks fail with status 500.
+func (t *Target) SetHealthFailing(v bool) { t.healthFailing.Store(v) }
 
-// SetSlow makes every request take longer.
-func (t *Target) SetSlow(extra time.Duration) { t.slow.Store(int64(extra)) }
+// SetSlow adds a time to the service time of each request.
+func (t *Target) SetSlow(extra time.Duration) { t.extraTime.Store(int64(extra)) }
 
-// SetLimit makes the target name in its answers how many requests a second it takes from
-// all boxes together; empty for none.
+// SetLimit makes responses report a rate limit for all boxes together, in requests a second;
+// empty for none.
 func (t *Target) SetLimit(perSecond string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.limit = perSecond
 }
 
-// Arrivals returns when requests reached it, checks of its health included.
+// Arrivals returns when requests reached the target, health checks included.
 func (t *Target) Arrivals() []time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]time.Time(nil), t.arrivals...)
 }
 
-// Runs returns how often each named request ran, and the most that ran at once.
-func (t *Target) Runs() (runs map[string]int, most int) {
+// Runs returns how often each unrepeatable request ran, by its body, and the highest number
+// of concurrent requests.
+func (t *Target) Runs() (runs map[string]int, maxConcurrent int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make(map[string]int, len(t.runs))
 	for id, n := range t.runs {
 		out[id] = n
 	}
-	return out, t.most
+	return out, t.maxConcurrent
 }
 
 // Handler returns the target's HTTP interface: /healthz, /flag, /toggle,
@@ -134,13 +135,14 @@
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", t.health)
-	mux.HandleFunc("/export", t.slotted(t.export))
-	mux.HandleFunc("/", t.slotted(t.work))
-	return t.counted(mux)
+	mux.HandleFunc("/export", t.withSlot(t.export))
+	mux.HandleFunc("/", t.withSlot(t.work))
+	return t.recordArrivals(mux)
 }
 
-// counted counts requests and names the limit in their answers.
-func (t *Target) counted(next http.Handler) http.Handler {
+// recordArrivals records the arrival of requests and sets the response headers about the target's
+// state.
+func (t *Target) recordArrivals(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.mu.Lock()
 		t.arrivals = append(t.arrivals, time.Now())
@@ -157,11 +159,11 @@
 }
 
 func (t *Target) health(w http.ResponseWriter, _ *http.Request) {
-	if t.mute.Load() {
+	if t.healthFailing.Load() {
 		http.Error(w, "no report", http.StatusInternalServerError)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{ // a prober sees a broken answer
+	_ = json.NewEncoder(w).Encode(map[string]any{ // the prober sees a truncated response
 		"ready":    true,
 		"draining": t.draining.Load(),
 		"cold":     t.cold(),
@@ -171,20 +173,20 @@
 
 func (t *Target) cold() bool { return time.Since(t.started) < t.config.WarmUpTime }
 
-// slotted runs a request in a slot, or sheds it.
-func (t *Target) slotted(run http.HandlerFunc) http.HandlerFunc {
+// withSlot runs a request in a slot. It rejects the request if no slot is free.
+func (t *Target) withSlot(run http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		t.requests.Add(1)
 		n := t.busy.Add(1)
 		defer t.busy.Add(-1)
 		t.mu.Lock()
-		t.most = max(t.most, int(n))
+		t.maxConcurrent = max(t.maxConcurrent, int(n))
 		t.mu.Unlock()
 		if int(n) > t.config.Slots || t.shedding.Load() {
 			t.reject(w)
 			return
 		}
-		if t.broken.Load() {
+		if t.failing.Load() {
 			http.Error(w, "broken", http.StatusInternalServerError)
 			return
 		}
@@ -208,11 +210,11 @@
 	if t.cold() {
 		d *= time.Duration(max(t.config.WarmUpFactor, 1))
 	}
-	return d + time.Duration(t.slow.Load())
+	return d + time.Duration(t.extraTime.Load())
 }
 
-// work takes its time and counts the run of a request that may not be
-// repeated, named by its body.
+// work takes the service time and echoes path and body. It counts the runs of POST requests,
+// which may not be repeated, by body.
 func (t *Target) work(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -232,16 +234,16 @@
 }
 
 const (
-	defaultExport = 1 << 20
-	exportChunks  = 20
+	defaultExportSize = 1 << 20
+	exportChunks      = 20
 )
 
-// export serves a download of ?size= bytes, with ETag and Range. The content
-// is the same at every target.
+// export serves a download of ?size= bytes with support for ETag and Range. The content is
+// the same at every target.
 func (t *Target) export(w http.ResponseWriter, r *http.Request) {
 	size, err := strconv.Atoi(r.URL.Query().Get("size"))
 	if err != nil {
-		size = defaultExport
+		size = defaultExportSize
 	}
 	w.Header().Set("Etag", fmt.Sprintf(`"export-%d"`, size))
 	paced := &pacedWriter{ResponseWriter: w, ctx: r.Context(), pause: t.serviceTime() / exportChunks}
@@ -257,7 +259,7 @@
 	return out
 }
 
-// pacedWriter waits a little with each piece.
+// pacedWriter pauses before each write.
 type pacedWriter struct {
 	http.ResponseWriter
 	ctx   context.Context
@@ -276,7 +278,7 @@
 
 // Serve serves a target on a listener until the context ends.
 func (t *Target) Serve(ctx context.Context, l net.Listener) error {
-	limited := &limitedListener{Listener: l, free: make(chan struct{}, max(t.config.Connections, 1))}
+	limited := &limitedListener{Listener: l, slots: make(chan struct{}, max(t.config.Connections, 1))}
 	server := &http.Server{Handler: t.Handler(), ReadHeaderTimeout: time.Second}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(limited) }()
@@ -290,10 +292,10 @@
 	}
 }
 
-// limitedListener closes connections beyond a number.
+// limitedListener closes connections beyond a maximum.
 type limitedListener struct {
 	net.Listener
-	free chan struct{}
+	slots chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -304,8 +306,8 @@
 			return nil, err
 		}
 		select {
-		case l.free <- struct{}{}:
-			return &limitedConn{Conn: c, free: l.free}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: c, slots: l.slots}, nil
 		default:
 			_ = c.Close()
 		}
@@ -314,12 +316,12 @@
 
 type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free chan struct{}
+	once  sync.Once
+	slots chan struct{}
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
-	c.once.Do(func() { <-c.free })
+	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
