--- a/contrib/measure/figures.go
+++ b/contrib/measure/figures.go
@@ -16,24 +16,23 @@
 	shiftInterval  = 250 * time.Millisecond
 )
 
-// figures are what one run is judged by. Maps of counts have the key true for
-// requests that may be repeated.
+// figures are the results of one run. The maps count by whether requests are repeatable.
 type figures struct {
-	asked, answered, notRun, unknown map[bool]int
-	doubled                          int
-	latency                          *hdrhistogram.Histogram
-	// headroom is the smallest share of free slots of a region in a second.
+	sent, answered, notRun, unknown map[bool]int
+	duplicated                      int
+	latency                         *hdrhistogram.Histogram
+	// headroom is the smallest share of free slots that a region had, sampled once a second.
 	headroom float64
-	// overloads are the seconds and regions in which a target had to shed.
+	// overloads holds the seconds and regions in which a target had to shed requests.
 	overloads map[string]bool
-	// overCap is the most points that were on the move beyond the cap.
-	overCap   int
-	drainTime time.Duration
+	// overCap is the highest number of unsettled points beyond the cap.
+	overCap       int
+	drainDuration time.Duration
 }
 
 func newFigures() *figures {
 	return &figures{
-		asked: make(map[bool]int), answered: make(map[bool]int), notRun: make(map[bool]int), unknown: make(map[bool]int),
+		sent: make(map[bool]int), answered: make(map[bool]int), notRun: make(map[bool]int), unknown: make(map[bool]int),
 		overloads: make(map[string]bool), headroom: 1,
 		latency: hdrhistogram.New(1, highestLatency, 3),
 	}
@@ -43,16 +42,16 @@
 	f.overloads[fmt.Sprint(int(at.Seconds()), region)] = true
 }
 
-// second looks at the whole system once a second.
-func (s *sim) second() {
-	s.after(time.Second, s.second)
+// sampleHeadroom updates the smallest headroom of all regions once a second.
+func (s *sim) sampleHeadroom() {
+	s.after(time.Second, s.sampleHeadroom)
 	for _, region := range s.layout.Regions {
 		busy, slots := 0, 0
-		for _, p := range s.order {
+		for _, p := range s.poolOrder {
 			if p.region != region || p.dead {
 				continue
 			}
-			for _, t := range p.order {
+			for _, t := range p.targetOrder {
 				if !t.dead && !t.draining {
 					slots += t.slots
 					busy += t.busy
@@ -65,19 +64,19 @@
 	}
 }
 
-// planShifts hosts the planner as the control leader does.
+// planShifts runs the shift planner as the control leader does.
 func (s *sim) planShifts() {
 	s.after(shiftInterval, s.planShifts)
 	for _, region := range s.layout.Regions {
 		r := shift.Measurement{Service: s.service.Name, Region: region, At: s.now.Add(-reportLag)}
-		for _, p := range s.order {
+		for _, p := range s.poolOrder {
 			if p.region == region && !p.dead {
-				load := p.machine.Load(s.now)
+				load := p.admission.Load(s.now)
 				r.Capacity += float64(load.Capacity)
 				r.InUse += float64(load.Busy + load.Waiting)
 			}
 		}
-		if !s.mute {
+		if !s.reportsStopped {
 			s.planner.Observe(r)
 		}
 	}
@@ -86,12 +85,13 @@
 			s.apply(&wire.Command{Shift: d.Command})
 		}
 	}
-	s.logOverCap()
+	s.recordOverCap()
 }
 
-func (s *sim) logOverCap() {
+// recordOverCap updates the highest number of unsettled points beyond the cap.
+func (s *sim) recordOverCap() {
 	for _, home := range s.layout.Regions {
-		limit := s.values(s.order[0]).ShiftCapShare * lookup.Points / 100
+		limit := s.values(s.poolOrder[0]).ShiftCapShare * lookup.Points / 100
 		moving := int(shift.UnsettledPoints(s.now, s.state, s.service.Name, home))
 		s.figures.overCap = max(s.figures.overCap, moving-limit)
 	}
--- a/contrib/measure/limits.go
+++ b/contrib/measure/limits.go
@@ -12,48 +12,49 @@
 	"ledgesill.dev/ledgesill/pkg/quota"
 )
 
-// Ways of keeping the limits of workspaces over all entry boxes, compared on the
-// same requests and faults in virtual time.
+// Methods of enforcing workspace limits across all entry boxes are compared in virtual time
+// on the same requests and faults.
 
 const (
 	limitBoxes    = 66
 	limitZones    = 6
 	limitStep     = time.Millisecond
 	limitLength   = 40 * time.Second
-	limitLead     = 5 * time.Second
-	limitShare    = 1 / 1.6 // of its limit that a workspace sends
+	limitStart    = 5 * time.Second
+	limitLoad     = 1 / 1.6 // share of its limit that a workspace sends
 	limitFaultAt  = 15 * time.Second
 	limitFaultFor = 6 * time.Second
 )
 
-// limitBound is that of the users' deployments.
+// limitBound returns the bound of the users' deployments.
 func limitBound() quota.Bound { return quota.Bound{Window: 5 * time.Second, Excess: 0.1, Slack: 20} }
 
-// limitWay decides at a box whether a request of a workspace is let in.
-type limitWay struct {
+// limitMethod enforces a limit. The function that start returns decides whether a box admits a
+// request and how many calls for permits that took.
+type limitMethod struct {
 	name  string
-	start func(l catalog.RateLimit, faults limitFaults) func(now time.Duration, box int) (allowed bool, asks int)
+	start func(l catalog.RateLimit, faults limitScenario) func(now time.Duration, box int) (allowed bool, asks int)
 }
 
-// limitFaults are what is lost from limitFaultAt on for limitFaultFor.
-type limitFaults struct {
+// limitScenario says where requests arrive and what fails from limitFaultAt on for limitFaultFor.
+type limitScenario struct {
 	name string
-	// leader tells that there is no leader, cutZone which zone's boxes reach only the
-	// replica of their own, -1 for none, and cutBoxes how many reach nothing.
-	leader   bool
+	// noLeader: there is no leader. cutZone is the zone whose boxes reach only the replica of
+	// their own zone, -1 for none. cutBoxes is how many boxes reach no replica.
+	noLeader bool
 	cutZone  int
 	cutBoxes int
-	// place draws the box of a request.
-	place func(r *rand.Rand, now time.Duration) int
+	// pickBox returns the box that a request arrives at.
+	pickBox func(r *rand.Rand, now time.Duration) int
 }
 
-func (f limitFaults) strikes(now time.Duration) bool {
+func (f limitScenario) isFaulty(now time.Duration) bool {
 	return now >= limitFaultAt && now < limitFaultAt+limitFaultFor
 }
 
 func anyBox(r *rand.Rand, _ time.Duration) int { return r.IntN(limitBoxes) }
 
-// oneZone sends 0.55 of the requests to one zone.
+// oneZone sends a share of 0.55 of the requests to one zone and spreads the rest.
 func oneZone(r *rand.Rand, _ time.Duration) int {
 	if r.Float64() < 0.55 {
 		return r.IntN(limitBoxes / limitZones)
@@ -61,8 +62,8 @@
 	return r.IntN(limitBoxes)
 }
 
-// moving sends half of the requests to a zone that is another one every 6 s.
-func moving(r *rand.Rand, now time.Duration) int {
+// movingZone sends half of the requests to one zone, which changes every 6 s.
+func movingZone(r *rand.Rand, now time.Duration) int {
 	if r.Float64() < 0.5 {
 		zone := int(now/(6*time.Second)) % limitZones
 		return zone*limitBoxes/limitZones + r.IntN(limitBoxes/limitZones)
@@ -70,61 +71,61 @@
 	return r.IntN(limitBoxes)
 }
 
-func limitScenarios() []limitFaults {
-	return []limitFaults{
-		{name: "spread evenly", cutZone: -1, place: anyBox},
-		{name: "0.55 in one zone", cutZone: -1, place: oneZone},
-		{name: "moves every 6 s", cutZone: -1, place: moving},
-		{name: "no leader for 6 s, moves", cutZone: -1, leader: true, place: moving},
-		{name: "a zone cut off", cutZone: 2, place: anyBox},
-		{name: "a fifth of the boxes cut off", cutZone: -1, cutBoxes: limitBoxes / 5, place: anyBox},
+func limitScenarios() []limitScenario {
+	return []limitScenario{
+		{name: "spread evenly", cutZone: -1, pickBox: anyBox},
+		{name: "0.55 in one zone", cutZone: -1, pickBox: oneZone},
+		{name: "moves every 6 s", cutZone: -1, pickBox: movingZone},
+		{name: "no leader for 6 s, moves", cutZone: -1, noLeader: true, pickBox: movingZone},
+		{name: "a zone cut off", cutZone: 2, pickBox: anyBox},
+		{name: "a fifth of the boxes cut off", cutZone: -1, cutBoxes: limitBoxes / 5, pickBox: anyBox},
 	}
 }
 
-// tokens is a bucket that starts empty.
-type tokens struct {
-	rate, depth, left float64
-	at                time.Duration
+// tokenBucket is a token bucket that starts empty.
+type tokenBucket struct {
+	rate, capacity, tokens float64
+	updated                time.Duration
 }
 
-func (b *tokens) take(now time.Duration) bool {
-	b.left = min(b.left+b.rate*(now-b.at).Seconds(), b.depth)
-	b.at = now
-	if b.left < 1 {
+func (b *tokenBucket) take(now time.Duration) bool {
+	b.tokens = min(b.tokens+b.rate*(now-b.updated).Seconds(), b.capacity)
+	b.updated = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// slackOf is what a limit may be exceeded by in a window, of which 0.9 is used.
-func slackOf(l catalog.RateLimit) float64 {
+// usableSlack returns 0.9 of what a limit may be exceeded by in a window.
+func usableSlack(l catalog.RateLimit) float64 {
 	b := limitBound()
 	return 0.9 * (b.Excess*(l.PerSecond*b.Window.Seconds()+l.Burst) + b.Slack)
 }
 
-// equalParts gives each box the same part.
-func equalParts(l catalog.RateLimit, _ limitFaults) func(time.Duration, int) (bool, int) {
-	boxes := make([]tokens, limitBoxes)
+// equalShares gives each box the same share of the limit.
+func equalShares(l catalog.RateLimit, _ limitScenario) func(time.Duration, int) (bool, int) {
+	boxes := make([]tokenBucket, limitBoxes)
 	for i := range boxes {
-		boxes[i] = tokens{rate: l.PerSecond / limitBoxes, depth: (l.Burst + slackOf(l)) / limitBoxes}
+		boxes[i] = tokenBucket{rate: l.PerSecond / limitBoxes, capacity: (l.Burst + usableSlack(l)) / limitBoxes}
 	}
 	return func(now time.Duration, box int) (bool, int) { return boxes[box].take(now), 0 }
 }
 
 const (
-	// leaseInterval is how often the leader divides a limit by what boxes report, and
-	// leaseLife for how long a box may use its part without word.
+	// leaseInterval is how often the leader divides a limit by the demand that boxes report,
+	// leaseTTL how long a box may use its share without contact to the leader.
 	leaseInterval = 500 * time.Millisecond
-	leaseLife     = 4 * time.Second
-	// leaseEven is the part that is divided evenly, for boxes without requests yet.
-	leaseEven = 0.2
+	leaseTTL      = 4 * time.Second
+	// leaseEvenShare is the share that is divided evenly, for boxes that have no requests yet.
+	leaseEvenShare = 0.2
 )
 
-// leasedParts has a leader divide the limit by the demand of the last interval. The
-// part of a box that it does not hear is kept for it.
-func leasedParts(l catalog.RateLimit, faults limitFaults) func(time.Duration, int) (bool, int) {
-	boxes := make([]tokens, limitBoxes)
+// leasedShares lets a leader divide the limit by recent demand, which is halved each
+// interval. The share of a box without contact stays reserved for it.
+func leasedShares(l catalog.RateLimit, faults limitScenario) func(time.Duration, int) (bool, int) {
+	boxes := make([]tokenBucket, limitBoxes)
 	demand := make([]float64, limitBoxes)
 	heard := make([]time.Duration, limitBoxes)
 	last := -leaseInterval
@@ -132,7 +133,7 @@
 		free, sum, reached := 1.0, 0.0, 0
 		lost := func(box int) bool {
 			zone := box * limitZones / limitBoxes
-			return faults.strikes(now) && (zone == faults.cutZone || box < faults.cutBoxes)
+			return faults.isFaulty(now) && (zone == faults.cutZone || box < faults.cutBoxes)
 		}
 		for i := range boxes {
 			if lost(i) {
@@ -146,14 +147,14 @@
 			if lost(i) {
 				continue
 			}
-			part := free * leaseEven / float64(reached)
+			part := free * leaseEvenShare / float64(reached)
 			if sum > 0 {
-				part += free * (1 - leaseEven) * demand[i] / sum
+				part += free * (1 - leaseEvenShare) * demand[i] / sum
 			}
-			boxes[i].take(now) // settles what has come at the part before
+			boxes[i].take(now) // refills the bucket at the previous rate first
 			boxes[i].rate = part * l.PerSecond
-			boxes[i].depth = part * (l.Burst + slackOf(l))
-			boxes[i].left = min(boxes[i].left, boxes[i].depth)
+			boxes[i].capacity = part * (l.Burst + usableSlack(l))
+			boxes[i].tokens = min(boxes[i].tokens, boxes[i].capacity)
 			demand[i] /= 2
 			heard[i] = now
 		}
@@ -161,19 +162,19 @@
 	return func(now time.Duration, box int) (bool, int) {
 		for now-last >= leaseInterval {
 			last += leaseInterval
-			if !faults.leader || !faults.strikes(now) {
+			if !faults.noLeader || !faults.isFaulty(now) {
 				divide(now)
 			}
 		}
 		demand[box]++
-		return now-heard[box] < leaseLife && boxes[box].take(now), 0
+		return now-heard[box] < leaseTTL && boxes[box].take(now), 0
 	}
 }
 
-// issuedPermits are those of pkg/quota, from so many issuers; a box asks those
-// that it reaches.
-func issuedPermits(issuers int) func(catalog.RateLimit, limitFaults) func(time.Duration, int) (bool, int) {
-	return func(l catalog.RateLimit, faults limitFaults) func(time.Duration, int) (bool, int) {
+// issuedPermits enforces the limit with the permits of pkg/quota from a number of issuers. A
+// box calls the issuers that it can reach.
+func issuedPermits(issuers int) func(catalog.RateLimit, limitScenario) func(time.Duration, int) (bool, int) {
+	return func(l catalog.RateLimit, faults limitScenario) func(time.Duration, int) (bool, int) {
 		start := time.Unix(0, 0)
 		list := make([]*quota.Issuer, issuers)
 		var names []string
@@ -188,30 +189,30 @@
 			boxes[i].SetIssuers(names)
 		}
 		reaches := func(now time.Duration, box, issuer int) bool {
-			if !faults.strikes(now) {
+			if !faults.isFaulty(now) {
 				return true
 			}
 			zone := box * limitZones / limitBoxes
-			place := issuer * limitZones / issuers
-			cut := (zone == faults.cutZone) != (place == faults.cutZone)
+			issuerZone := issuer * limitZones / issuers
+			cut := (zone == faults.cutZone) != (issuerZone == faults.cutZone)
 			return !cut && box >= faults.cutBoxes
 		}
-		return func(at time.Duration, box int) (allowed bool, asks int) {
+		return func(at time.Duration, box int) (allowed bool, calls int) {
 			now := start.Add(at)
 			b := boxes[box]
 			b.RecordRequest(now, "w")
 			for range issuers + 1 {
 				if _, ok := b.Take(now, "w"); ok {
-					return true, asks
+					return true, calls
 				}
 				if b.Refusal(now, "w") != nil {
-					return false, asks
+					return false, calls
 				}
 				b.AddWaiter("w")
 				for _, a := range b.StartCalls(now) {
-					asks++
+					calls++
 					var i int
-					_, _ = fmt.Sscan(a.Address, &i) // a number that was printed above
+					_, _ = fmt.Sscan(a.Address, &i) // a number that was formatted above
 					grants, err := list[i].Issue(now, 1, a.Requests)
 					if err != nil || !reaches(at, box, i) {
 						b.HandleFailure(now, a)
@@ -221,78 +222,78 @@
 				}
 				b.RemoveWaiter("w")
 			}
-			return false, asks
+			return false, calls
 		}
 	}
 }
 
-func limitWays() []limitWay {
-	return []limitWay{
-		{"equal part for each box", equalParts},
-		{"parts by demand, leased by the leader", leasedParts},
+func limitMethods() []limitMethod {
+	return []limitMethod{
+		{"equal part for each box", equalShares},
+		{"parts by demand, leased by the leader", leasedShares},
 		{"permits of one counter", issuedPermits(1)},
 		{"permits of a counter a region", issuedPermits(3)},
 		{"permits of each replica", issuedPermits(limitZones)},
 	}
 }
 
-// limitFigures are what one way did with one limit in one scenario.
+// limitFigures are the results of one method with one limit in one scenario.
 type limitFigures struct {
-	asked, refused, asks int
-	// worst is the largest part of the bound that a window used.
-	worst float64
+	sent, refused, permitCalls int
+	// worstWindow is the largest share of the bound that was used in a window.
+	worstWindow float64
 }
 
-func runLimit(w limitWay, l catalog.RateLimit, faults limitFaults, seed uint64) limitFigures {
+func runLimit(w limitMethod, l catalog.RateLimit, faults limitScenario, seed uint64) limitFigures {
 	random := rand.New(rand.NewPCG(seed, 3))
 	allowed := w.start(l, faults)
 	var out limitFigures
 	var sent []time.Duration
-	bound := limitBound()
-	most := (l.PerSecond*bound.Window.Seconds()+l.Burst)*(1+bound.Excess) + bound.Slack
+	limits := limitBound()
+	bound := (l.PerSecond*limits.Window.Seconds()+l.Burst)*(1+limits.Excess) + limits.Slack
 	first := 0
-	for now := limitLead; now < limitLead+limitLength; now += limitStep {
-		if random.Float64() >= limitShare*l.PerSecond*limitStep.Seconds() {
+	for now := limitStart; now < limitStart+limitLength; now += limitStep {
+		if random.Float64() >= limitLoad*l.PerSecond*limitStep.Seconds() {
 			continue
 		}
-		out.asked++
-		ok, asks := allowed(now, faults.place(random, now))
-		out.asks += asks
+		out.sent++
+		ok, calls := allowed(now, faults.pickBox(random, now))
+		out.permitCalls += calls
 		if !ok {
 			out.refused++
 			continue
 		}
 		sent = append(sent, now)
-		for now-sent[first] > bound.Window {
+		for now-sent[first] > limits.Window {
 			first++
 		}
-		out.worst = math.Max(out.worst, float64(len(sent)-first)/most)
+		out.worstWindow = math.Max(out.worstWindow, float64(len(sent)-first)/bound)
 	}
 	return out
 }
 
-// printLimits compares the ways on the limits of the users' workspaces.
+// printLimits compares the methods at three limits as the users' workspaces have them.
 func printLimits(out io.Writer, seeds []uint64) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "scenario\tway\trefused % of 10/s\tof 50/s\tof 311/s\tworst window, part of the bound\tasks a request\t")
 	for _, s := range limitScenarios() {
-		for _, way := range limitWays() {
+		for _, method := range limitMethods() {
 			var cells [3]limitFigures
 			for i, rate := range []float64{10, 50, 311} {
 				for _, seed := range seeds {
-					f := runLimit(way, catalog.RateLimit{PerSecond: rate, Burst: rate}, s, seed)
-					cells[i].asked += f.asked
+					f := runLimit(method, catalog.RateLimit{PerSecond: rate, Burst: rate}, s, seed)
+					cells[i].sent += f.sent
 					cells[i].refused += f.refused
-					cells[i].asks += f.asks
-					cells[i].worst = max(cells[i].worst, f.worst)
+					cells[i].permitCalls += f.permitCalls
+					cells[i].worstWindow = max(cells[i].worstWindow, f.worstWindow)
 				}
 			}
-			asked := cells[0].asked + cells[1].asked + cells[2].asked
-			asks := cells[0].asks + cells[1].asks + cells[2].asks
-			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", s.name, way.name,
-				share(cells[0].refused, cells[0].asked), share(cells[1].refused, cells[1].asked), share(cells[2].refused, cells[2].asked),
-				max(cells[0].worst, cells[1].worst, cells[2].worst), float64(asks)/float64(asked))
+			sent := cells[0].sent + cells[1].sent + cells[2].sent
+			calls := cells[0].permitCalls + cells[1].permitCalls + cells[2].permitCalls
+			fmt.Fprintf(w, "%s\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t\n", s.name, method.name,
+				share(cells[0].refused, cells[0].sent), share(cells[1].refused, cells[1].sent), share(cells[2].refused, cells[2].sent),
+				max(cells[0].worstWindow, cells[1].worstWindow, cells[2].worstWindow), float64(calls)/float64(sent))
 		}
 	}
-	_ = w.Flush() // the terminal is gone
+	_ = w.Flush() // nothing to do if standard output is gone
 }
--- a/contrib/measure/main.go
+++ b/contrib/measure/main.go
@@ -1,7 +1,7 @@
-// Command measure runs fixed scenarios of both users in virtual time, with the
-// decisions of the packages under pkg/ and small fakes around them, and prints
-// the thin baseline policy and the present one side by side. The same seeds
-// give the same figures.
+// Command measure simulates fixed scenarios of both users in virtual time and prints the
+// figures of a simple baseline policy beside those of the present one. The packages under
+// pkg/ make the decisions; small fakes stand in for the rest. The same seeds give the same
+// figures.
 package main
 
 import (
@@ -20,9 +20,9 @@
 
 func main() {
 	seeds := flag.String("seeds", "1,2,3", "seeds, separated by commas")
-	only := flag.String("scenario", "", "run only scenarios whose name contains this")
-	objects := flag.Bool("objects", false, "measure the choice among targets that remember objects")
-	limits := flag.Bool("limits", false, "measure ways of keeping the limits of workspaces")
+	only := flag.String("scenario", "", "run only scenarios whose names contain this")
+	objects := flag.Bool("objects", false, "measure the choice among targets that cache objects")
+	limits := flag.Bool("limits", false, "compare methods of enforcing workspace limits")
 	csv := flag.String("csv", "", "also write the figures to this file")
 	flag.Parse()
 	list, err := parseSeeds(*seeds)
@@ -97,7 +97,7 @@
 	})
 }
 
-// runParallel calls do with each number below n, on all processors.
+// runParallel calls do with each number from 0 to n-1, on all processors.
 func runParallel(n int, do func(i int)) {
 	work := make(chan int)
 	var running sync.WaitGroup
@@ -126,14 +126,14 @@
 	s.rate = func(region string, at time.Duration) float64 {
 		return capacity[region] * c.scenario.load(index[region], at)
 	}
-	c.scenario.plan(s)
+	c.scenario.schedule(s)
 	s.run(scenarioTime)
 	return s.figures
 }
 
-// row is the mean of a cell's figures over its seeds, the worst for headroom
-// and steps over the cap.
-type row struct {
+// summary is the mean of a cell's figures over its seeds. Headroom, points over the cap and
+// duplicated requests are not averaged: the worst value or the sum counts.
+type summary struct {
 	p50, p99, p999        float64
 	goodReads, goodWrites float64
 	notRun, unknown       float64
@@ -143,23 +143,23 @@
 	drain                 time.Duration
 }
 
-func (c *cell) row() row {
-	out := row{headroom: 1}
+func (c *cell) summarize() summary {
+	out := summary{headroom: 1}
 	n := float64(len(c.runs))
 	for _, f := range c.runs {
 		out.p50 += quantile(f.latency, 50) / n
 		out.p99 += quantile(f.latency, 99) / n
 		out.p999 += quantile(f.latency, 99.9) / n
-		out.goodReads += share(f.answered[true], f.asked[true]) / n
-		out.goodWrites += share(f.answered[false], f.asked[false]) / n
-		all := f.asked[true] + f.asked[false]
+		out.goodReads += share(f.answered[true], f.sent[true]) / n
+		out.goodWrites += share(f.answered[false], f.sent[false]) / n
+		all := f.sent[true] + f.sent[false]
 		out.notRun += share(f.notRun[true]+f.notRun[false], all) / n
 		out.unknown += share(f.unknown[true]+f.unknown[false], all) / n
 		out.headroom = min(out.headroom, f.headroom)
 		out.overloads += float64(len(f.overloads)) / n
 		out.overCap = max(out.overCap, f.overCap)
-		out.doubled += f.doubled
-		out.drain += f.drainTime / time.Duration(len(c.runs))
+		out.doubled += f.duplicated
+		out.drain += f.drainDuration / time.Duration(len(c.runs))
 	}
 	return out
 }
@@ -175,12 +175,12 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "user\tscenario\tpolicy\tp50 ms\tp99 ms\tp99.9 ms\treads ok %\twrites ok %\tnot run %\tunknown %\theadroom %\toverload s\tover cap\tdrain ms\tdoubled\t")
 	for _, c := range cells {
-		r := c.row()
+		r := c.summarize()
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%.3f\t%.0f\t%.1f\t%d\t%d\t%d\t\n",
 			c.layout.Name, c.scenario.name, c.policy(), r.p50, r.p99, r.p999, r.goodReads, r.goodWrites, r.notRun, r.unknown,
 			100*r.headroom, r.overloads, r.overCap, r.drain.Milliseconds(), r.doubled)
 	}
-	_ = w.Flush() // the terminal is gone
+	_ = w.Flush() // nothing to do if standard output is gone
 }
 
 func (c *cell) policy() string {
@@ -200,8 +200,8 @@
 		for i, g := range c.runs {
 			fmt.Fprintf(f, "%s,%s,%s,%d,%.2f,%.2f,%.2f,%.3f,%.3f,%d,%d\n", c.layout.Name, c.scenario.name, c.policy(), c.seeds[i],
 				quantile(g.latency, 50), quantile(g.latency, 99), quantile(g.latency, 99.9),
-				share(g.answered[true], g.asked[true]), share(g.answered[false], g.asked[false]),
-				g.unknown[true]+g.unknown[false], g.doubled)
+				share(g.answered[true], g.sent[true]), share(g.answered[false], g.sent[false]),
+				g.unknown[true]+g.unknown[false], g.duplicated)
 		}
 	}
 	return f.Close()
--- a/contrib/measure/objects.go
+++ b/contrib/measure/objects.go
@@ -11,18 +11,18 @@
 	"ledgesill.dev/ledgesill/pkg/targetstatus"
 )
 
-// objectLayout is a system whose targets serve an object faster when they have
-// seen it lately.
+// objectLayout is a system whose targets cache objects and serve those that they have cached
+// faster.
 type objectLayout struct {
 	name    string
 	regions []string
-	// targets in each region, boxes in each region.
+	// targets and boxes are the numbers in each region.
 	targets []int
 	boxes   []int
 	slots   int
-	// kept is how many objects a target keeps in mind, which nobody tells.
-	kept int
-	// objects are those of each region's callers.
+	// remembered is how many objects a target caches. Boxes are not told of it.
+	remembered int
+	// objects is the number of objects that each region's callers use.
 	objects     int
 	work        time.Duration
 	objective   time.Duration
@@ -30,60 +30,60 @@
 }
 
 const (
-	// knownPart is the part of the work that is left for an object that the
-	// target knows.
-	knownPart = 0.3
-	// workSpread is the spread of the work (log-normal).
+	// knownWorkShare is the share of the work that remains for an object that the target has
+	// cached.
+	knownWorkShare = 0.3
+	// workSpread is the standard deviation of the log-normal work.
 	workSpread = 0.15
-	// queueFactor is how many requests a target queues for each of its slots.
+	// queueFactor is how many requests a target queues per slot.
 	queueFactor = 3
-	// newTargetFactor is how much slower a new target is, for newTargetTime.
+	// newTargetFactor is how much slower a new target is, during newTargetTime.
 	newTargetFactor = 2
 	newTargetTime   = 3 * time.Second
-	// giveUpAfter is how long a caller of these scenarios waits.
-	giveUpAfter = 3 * time.Second
-	objectKind  = "lookup"
+	// objectCallerTimeout is how long a caller waits in these scenarios.
+	objectCallerTimeout = 3 * time.Second
+	objectKind          = "lookup"
 )
 
-// objectLayouts are sized like the users' platform: few large targets with
-// unequal regions, many small ones, and one where targets keep much in mind.
+// objectLayouts returns layouts sized like the users' platform: few large targets in unequal
+// regions, many small ones, and targets that cache few objects.
 func objectLayouts() []objectLayout {
 	regions := []string{"r1", "r2", "r3"}
 	return []objectLayout{
 		{
-			name: "large targets", regions: regions, targets: []int{12, 2, 10}, boxes: []int{3, 3, 3}, slots: 9, kept: 66,
+			name: "large targets", regions: regions, targets: []int{12, 2, 10}, boxes: []int{3, 3, 3}, slots: 9, remembered: 66,
 			objects: 126, work: 530 * time.Millisecond, objective: 430 * time.Millisecond, regionDelay: 35 * time.Millisecond,
 		},
 		{
-			name: "small targets", regions: regions, targets: []int{8, 8, 8}, boxes: []int{3, 3, 3}, slots: 3, kept: 25,
+			name: "small targets", regions: regions, targets: []int{8, 8, 8}, boxes: []int{3, 3, 3}, slots: 3, remembered: 25,
 			objects: 72, work: 710 * time.Millisecond, objective: 470 * time.Millisecond, regionDelay: 12 * time.Millisecond,
 		},
 		{
-			name: "forgetful targets", regions: regions, targets: []int{16, 16, 16}, boxes: []int{6, 6, 6}, slots: 3, kept: 10,
+			name: "forgetful targets", regions: regions, targets: []int{16, 16, 16}, boxes: []int{6, 6, 6}, slots: 3, remembered: 10,
 			objects: 96, work: 710 * time.Millisecond, objective: 470 * time.Millisecond, regionDelay: 12 * time.Millisecond,
 		},
 	}
 }
 
-// objectSim runs entry boxes that choose targets with pkg/balance, and fake
-// targets that remember objects.
+// objectSim simulates entry boxes that choose targets with pkg/balance, and targets that cache
+// objects.
 type objectSim struct {
 	schedule
-	layout   objectLayout
-	affinity bool
-	random   *rand.Rand
-	start    time.Time
-	boxes    []*objectBox
-	targets  []*objectTarget
-	load     func(region int, at time.Duration) float64
-	made     int
-	figures  objectFigures
+	layout     objectLayout
+	affinity   bool
+	random     *rand.Rand
+	start      time.Time
+	boxes      []*objectBox
+	targets    []*objectTarget
+	load       func(region int, at time.Duration) float64
+	lastTarget int
+	figures    objectFigures
 }
 
-// objectFigures are what a run is judged by.
+// objectFigures are the results of a run.
 type objectFigures struct {
-	asked, onTime, late, refused, failed int
-	known, unknown                       int
+	sent, onTime, late, refused, failed int
+	known, unknown                      int
 }
 
 type objectBox struct {
@@ -92,19 +92,19 @@
 	balancer *balance.Balancer
 }
 
-// objectTarget is a fake target: slots, a queue, and the objects it knows, the
-// latest last.
+// objectTarget is a simulated target: slots, a queue, and the cached objects, the most recently
+// used last.
 type objectTarget struct {
 	balance.Target
-	sim     *objectSim
-	running int
-	waiting []func()
-	known   []string
-	slow    float64
-	newTo   time.Time
-	dead    bool
-	// limit is how many requests a second it takes from all boxes together; zero if it names
-	// none.
+	sim      *objectSim
+	running  int
+	waiting  []func()
+	known    []string
+	slowdown float64
+	newUntil time.Time
+	dead     bool
+	// limit is the rate limit for all boxes together in requests a second, zero if the target
+	// reports none.
 	limit     float64
 	permits   float64
 	permitsAt time.Time
@@ -128,21 +128,21 @@
 	for _, b := range s.boxes {
 		b.balancer.SetBoxes(boxes)
 	}
-	s.tellTargets()
+	s.publishTargets()
 	return s
 }
 
 func (s *objectSim) addTarget(region string) *objectTarget {
-	s.made++
-	t := &objectTarget{sim: s, slow: 1, Target: balance.Target{
-		ID: fmt.Sprintf("t%d", s.made), Service: "s", Zone: region + "-a", Region: region, Slots: s.layout.slots,
+	s.lastTarget++
+	t := &objectTarget{sim: s, slowdown: 1, Target: balance.Target{
+		ID: fmt.Sprintf("t%d", s.lastTarget), Service: "s", Zone: region + "-a", Region: region, Slots: s.layout.slots,
 	}}
 	s.targets = append(s.targets, t)
 	return t
 }
 
-// tellTargets tells all boxes the targets that are registered.
-func (s *objectSim) tellTargets() {
+// publishTargets passes the registered targets to all boxes.
+func (s *objectSim) publishTargets() {
 	var out []balance.Target
 	for _, t := range s.targets {
 		out = append(out, t.Target)
@@ -152,49 +152,49 @@
 	}
 }
 
-// run lets callers ask for a length of time. The load of a region is the part
-// of all slots that its requests need if every object is known.
+// run makes callers send requests for a length of virtual time. The load of a region is the
+// share of all slots that its requests would use if every object were cached.
 func (s *objectSim) run(length time.Duration) {
 	for region := range s.layout.regions {
-		s.arrivals(region)
+		s.scheduleArrivals(region)
 	}
 	s.runUntil(s.start.Add(length))
 }
 
-func (s *objectSim) arrivals(region int) {
+func (s *objectSim) scheduleArrivals(region int) {
 	slots := 0
 	for _, n := range s.layout.targets {
 		slots += n * s.layout.slots
 	}
-	needed := s.layout.work.Seconds() * knownPart
+	needed := s.layout.work.Seconds() * knownWorkShare
 	rate := s.load(region, s.now.Sub(s.start)) * float64(slots) / needed
 	wait := time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 	s.after(wait, func() {
-		s.arrive(region)
-		s.arrivals(region)
+		s.startRequest(region)
+		s.scheduleArrivals(region)
 	})
 }
 
 // objectRequest is one request of a caller.
 type objectRequest struct {
-	box    *objectBox
-	key    string
-	began  time.Time
-	second bool
+	box     *objectBox
+	key     string
+	start   time.Time
+	retried bool
 }
 
-func (s *objectSim) arrive(region int) {
+func (s *objectSim) startRequest(region int) {
 	first := 0
 	for i := range region {
 		first += s.layout.boxes[i]
 	}
 	box := s.boxes[first+s.random.IntN(s.layout.boxes[region])]
 	key := fmt.Sprintf("%d-%d", region, s.random.IntN(s.layout.objects))
-	s.figures.asked++
-	box.ask(&objectRequest{box: box, key: key, began: s.now})
+	s.figures.sent++
+	box.send(&objectRequest{box: box, key: key, start: s.now})
 }
 
-func (b *objectBox) ask(r *objectRequest) {
+func (b *objectBox) send(r *objectRequest) {
 	s := b.sim
 	q := balance.Request{Service: "s", Route: objectKind, Objective: s.layout.objective, Remaining: s.layout.objective}
 	if s.affinity {
@@ -203,50 +203,52 @@
 	choice, err := b.choose(q)
 	var none *balance.NoTargetError
 	if errors.As(err, &none) {
-		b.refused(r, none.RetryAfter)
+		b.handleRefusal(r, none.RetryAfter)
 		return
 	}
-	way := time.Duration(0)
+	delay := time.Duration(0)
 	if choice.Remote {
-		way = s.layout.regionDelay
+		delay = s.layout.regionDelay
 	}
 	sent := s.now
 	t := s.target(choice.Target.ID)
 	done := func(outcome balance.Outcome) {
-		report := balance.Report{TargetID: choice.Target.ID, Route: objectKind, Outcome: outcome, Took: s.now.Sub(sent), Connect: 2 * way}
+		report := balance.Report{TargetID: choice.Target.ID, Route: objectKind, Outcome: outcome, Took: s.now.Sub(sent), Connect: 2 * delay}
 		if outcome == balance.Answered || outcome == balance.TurnedAway {
 			report.HasLoad = true
 			report.Load = targetstatus.Load{Running: t.running, Waiting: len(t.waiting), Slots: t.Slots}
 		}
 		b.balancer.Done(s.now, report)
-		b.ended(r, outcome)
+		b.handleOutcome(r, outcome)
 	}
-	s.after(way, func() { t.take(r.key, func(o balance.Outcome) { s.after(way, func() { done(o) }) }) })
+	s.after(delay, func() { t.enqueue(r.key, func(o balance.Outcome) { s.after(delay, func() { done(o) }) }) })
 }
 
-// choose chooses a target and passes over rate-limited ones that have no permit now.
+// choose chooses a target. It skips up to maxSkippedLimitedObject rate-limited targets that have
+// no permit now.
 func (b *objectBox) choose(q balance.Request) (balance.Choice, error) {
-	for passed := 0; ; passed++ {
-		q.ExcludeLimited = passed >= maxSkippedLimitedObject
+	for skipped := 0; ; skipped++ {
+		q.ExcludeLimited = skipped >= maxSkippedLimitedObject
 		choice, err := b.balancer.Choose(b.sim.now, q)
 		if err != nil || !choice.Limited {
 			return choice, err
 		}
 		t := b.sim.target(choice.Target.ID)
-		room := t.permit(b.sim.now)
-		if room == 0 {
+		wait := t.takePermit(b.sim.now)
+		if wait == 0 {
 			return choice, nil
 		}
-		b.balancer.ThrottleUntil(b.sim.now, t.ID, b.sim.now.Add(room))
+		b.balancer.ThrottleUntil(b.sim.now, t.ID, b.sim.now.Add(wait))
 	}
 }
 
-// maxSkippedLimitedObject is that of the gateway.
+// maxSkippedLimitedObject has the same value as in the gateway.
 const maxSkippedLimitedObject = 1
 
-// permit takes a permit of a rate-limited target; if there is none it returns when there is.
-func (t *objectTarget) permit(now time.Time) (room time.Duration) {
-	t.permits = min(t.permits+t.limit*now.Sub(t.permitsAt).Seconds(), permitsAtOnce)
+// takePermit takes a permit of a rate-limited target. If there is none it returns how long to
+// wait for one.
+func (t *objectTarget) takePermit(now time.Time) (wait time.Duration) {
+	t.permits = min(t.permits+t.limit*now.Sub(t.permitsAt).Seconds(), maxPermits)
 	t.permitsAt = now
 	if t.permits < 1 {
 		return time.Duration((1 - t.permits) / t.limit * float64(time.Second))
@@ -255,8 +257,8 @@
 	return 0
 }
 
-// permitsAtOnce is how many permits gather that nobody asks for.
-const permitsAtOnce = 5
+// maxPermits is how many unused permits accumulate.
+const maxPermits = 5
 
 func (s *objectSim) target(id string) *objectTarget {
 	for _, t := range s.targets {
@@ -267,24 +269,24 @@
 	return &objectTarget{sim: s, dead: true}
 }
 
-// refused tells the caller to come back, which it does once.
-func (b *objectBox) refused(r *objectRequest, after time.Duration) {
+// handleRefusal makes the caller send the request again after a delay, once at most.
+func (b *objectBox) handleRefusal(r *objectRequest, after time.Duration) {
 	s := b.sim
-	if r.second || after > giveUpAfter/3 {
+	if r.retried || after > objectCallerTimeout/3 {
 		s.figures.refused++
 		return
 	}
-	r.second = true
-	s.after(after, func() { b.ask(r) })
+	r.retried = true
+	s.after(after, func() { b.send(r) })
 }
 
-func (b *objectBox) ended(r *objectRequest, outcome balance.Outcome) {
+func (b *objectBox) handleOutcome(r *objectRequest, outcome balance.Outcome) {
 	s := b.sim
-	took := s.now.Sub(r.began)
+	took := s.now.Sub(r.start)
 	switch {
 	case outcome == balance.TurnedAway:
-		b.refused(r, 100*time.Millisecond)
-	case outcome != balance.Answered || took > giveUpAfter:
+		b.handleRefusal(r, 100*time.Millisecond)
+	case outcome != balance.Answered || took > objectCallerTimeout:
 		s.figures.failed++
 	case took > s.layout.objective:
 		s.figures.late++
@@ -293,8 +295,8 @@
 	}
 }
 
-// take runs a request or queues it; done is called when it has ended.
-func (t *objectTarget) take(key string, done func(balance.Outcome)) {
+// enqueue runs a request or queues it. It calls done with the outcome.
+func (t *objectTarget) enqueue(key string, done func(balance.Outcome)) {
 	switch {
 	case t.dead:
 		done(balance.Unreachable)
@@ -310,7 +312,7 @@
 func (t *objectTarget) start(key string, done func(balance.Outcome)) {
 	s := t.sim
 	t.running++
-	s.after(t.workFor(key), func() {
+	s.after(t.workTime(key), func() {
 		t.running--
 		if len(t.waiting) > 0 {
 			next := t.waiting[0]
@@ -325,24 +327,24 @@
 	})
 }
 
-// workFor draws the time of a request and notes its object as the latest.
-func (t *objectTarget) workFor(key string) time.Duration {
+// workTime returns a random service time for a request and updates the cache.
+func (t *objectTarget) workTime(key string) time.Duration {
 	s := t.sim
-	factor := math.Exp(s.random.NormFloat64()*workSpread) * t.slow
-	if t.remembers(key) {
+	factor := math.Exp(s.random.NormFloat64()*workSpread) * t.slowdown
+	if t.remember(key) {
 		s.figures.known++
-		factor *= knownPart
+		factor *= knownWorkShare
 	} else {
 		s.figures.unknown++
 	}
-	if s.now.Before(t.newTo) {
+	if s.now.Before(t.newUntil) {
 		factor *= newTargetFactor
 	}
 	return time.Duration(float64(s.layout.work) * factor)
 }
 
-// remembers notes the object as the latest and reports whether it was known.
-func (t *objectTarget) remembers(key string) bool {
+// remember makes an object the most recently used one and reports whether it was cached.
+func (t *objectTarget) remember(key string) bool {
 	known := false
 	kept := t.known[:0]
 	for _, k := range t.known {
@@ -353,7 +355,7 @@
 		kept = append(kept, k)
 	}
 	t.known = append(kept, key)
-	if extra := len(t.known) - t.sim.layout.kept; extra > 0 {
+	if extra := len(t.known) - t.sim.layout.remembered; extra > 0 {
 		t.known = t.known[extra:]
 	}
 	return known
--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -12,86 +12,86 @@
 	"ledgesill.dev/ledgesill/pkg/settings"
 )
 
-// unrepeatableShare is the part of the requests that may not be repeated.
+// unrepeatableShare is the share of requests that may not be repeated.
 const unrepeatableShare = 0.15
 
 // request is one request of a caller.
 type request struct {
-	sim        *sim
-	home       string
-	block      string
-	repeatable bool
-	began      time.Time
-	deadline   time.Time
-	choices    []lookup.Choice
-	config     routing.Config
-	failover   *routing.Failover
-	place      int
-	kept       retry.Verdict
-	ran        int
-	path       time.Duration // one-way delay to the box that took it
+	sim         *sim
+	home        string
+	block       string
+	repeatable  bool
+	start       time.Time
+	deadline    time.Time
+	choices     []lookup.Choice
+	config      routing.Config
+	failover    *routing.Failover
+	pool        int
+	keptVerdict retry.Verdict
+	runs        int
+	callerDelay time.Duration // one-way delay to the first box
 }
 
-// visit is a request at one place.
-type visit struct {
-	request *request
-	pool    *pool
-	plan    *retry.Plan
-	exclude []string
-	after   time.Duration
+// poolRequest is a request at one pool.
+type poolRequest struct {
+	request    *request
+	pool       *pool
+	plan       *retry.Plan
+	exclude    []string
+	retryAfter time.Duration
 }
 
-// attempt is one attempt of a visit.
+// attempt is one attempt of a request at a target of a pool.
 type attempt struct {
-	visit  *visit
+	visit  *poolRequest
 	number int
 	id     uint64
 	target *target
-	began  time.Time
-	over   bool
+	start  time.Time
+	ended  bool
 }
 
-// arrive begins a request of a caller of a region. The blocks of a region are
-// uneven: a few have much of the traffic.
-func (s *sim) arrive(region string) {
+// startRequest starts a request of a caller in a region. The load of the caller blocks is
+// skewed: a few blocks send most requests.
+func (s *sim) startRequest(region string) {
 	block := int(blocksPerRegion * math.Pow(s.random.Float64(), 3))
 	r := &request{
 		sim:        s,
 		home:       region,
 		block:      fmt.Sprintf("%s-%d", region, block),
 		repeatable: s.random.Float64() >= unrepeatableShare,
-		began:      s.now,
+		start:      s.now,
 		deadline:   s.now.Add(callerTimeout),
 	}
-	s.figures.asked[r.repeatable]++
-	r.choices = s.lookUp(r)
+	s.figures.sent[r.repeatable]++
+	r.choices = s.choicesFor(r)
 	if len(r.choices) == 0 {
 		r.finish(retry.DidNotRun)
 		return
 	}
-	places := len(r.choices)
+	pools := len(r.choices)
 	if s.baseline {
-		places = 1
+		pools = 1
 	}
-	r.config = routing.Config{Pools: places, AtOrigin: true, Repeatable: r.repeatable, Deadline: r.deadline}
+	r.config = routing.Config{Pools: pools, AtOrigin: true, Repeatable: r.repeatable, Deadline: r.deadline}
 	r.failover = routing.NewFailover(r.config, s.budget)
-	r.path = s.layout.CallerDelay + s.delay(region, r.choices[0])
-	s.after(r.path, r.visit)
+	r.callerDelay = s.layout.CallerDelay + s.delay(region, r.choices[0])
+	s.after(r.callerDelay, r.sendToPool)
 }
 
-// lookUp returns the caller's cached answer or a new one. Zones whose boxes are
-// dead are left out of new answers.
-func (s *sim) lookUp(r *request) []lookup.Choice {
+// choicesFor returns the choices of the caller's cached lookup result, or of a new one. New results
+// leave out zones whose boxes are dead.
+func (s *sim) choicesFor(r *request) []lookup.Choice {
 	if c, ok := s.caches[r.block]; ok && s.now.Before(c.until) {
 		return c.choices
 	}
 	choices := s.table.Choose(s.service.Name, r.home, r.block, routing.MaxPools, func(b settings.Box) bool { return !s.pools[b.Zone].dead })
 	ttl := s.state.Tree().Values(settings.Path{Service: s.service.Name}).AnswerTTL
-	s.caches[r.block] = cached{choices, s.now.Add(ttl)}
+	s.caches[r.block] = cachedChoices{choices, s.now.Add(ttl)}
 	return choices
 }
 
-// delay is the one-way delay between a caller's region, or zone, and a place.
+// delay returns the one-way delay between a caller's region and a pool.
 func (s *sim) delay(region string, c lookup.Choice) time.Duration {
 	if region == c.Region {
 		return 0
@@ -99,26 +99,26 @@
 	return s.layout.RegionDelay
 }
 
-// visit has the present place run the request.
-func (r *request) visit() {
+// sendToPool makes the current pool run the request.
+func (r *request) sendToPool() {
 	s := r.sim
-	c := r.choices[r.place]
+	c := r.choices[r.pool]
 	p := s.pools[c.Zone]
-	if r.place > 0 && (s.cut[c.Zone] || s.cut[r.choices[0].Zone]) || p.dead {
-		s.after(deadDial, func() { r.placeEnded(retry.DidNotRun, 0) })
+	if r.pool > 0 && (s.cut[c.Zone] || s.cut[r.choices[0].Zone]) || p.dead {
+		s.after(deadDialTime, func() { r.handlePoolResult(retry.DidNotRun, 0) })
 		return
 	}
 	attempts := s.values(p).RetryAttempts
 	if s.baseline {
 		attempts = 1
 	}
-	v := &visit{request: r, pool: p, plan: retry.NewPlan(retry.Config{
+	v := &poolRequest{request: r, pool: p, plan: retry.NewPlan(retry.Config{
 		Repeatable:  r.repeatable,
 		MaxAttempts: attempts,
 		HedgeAfter:  s.hedgeAfter(p),
 		Deadline:    r.deadline,
 	}, s.budget)}
-	v.carryOut(v.plan.Begin(s.now))
+	v.execute(v.plan.Begin(s.now))
 }
 
 func (s *sim) hedgeAfter(p *pool) time.Duration {
@@ -128,21 +128,21 @@
 	return s.values(p).HedgeAfter
 }
 
-func (v *visit) carryOut(out retry.Output) {
+func (v *poolRequest) execute(out retry.Output) {
 	s := v.request.sim
 	if out.Launch > 0 {
 		v.launch(out.Launch)
 	}
 	if out.Final != 0 {
-		v.request.placeEnded(out.Final, v.after)
+		v.request.handlePoolResult(out.Final, v.retryAfter)
 		return
 	}
 	if !out.NextTick.IsZero() {
-		s.at(out.NextTick, func() { v.carryOut(v.plan.Tick(s.now)) })
+		s.at(out.NextTick, func() { v.execute(v.plan.Tick(s.now)) })
 	}
 }
 
-func (v *visit) launch(number int) {
+func (v *poolRequest) launch(number int) {
 	r := v.request
 	s := r.sim
 	s.nextID++
@@ -153,88 +153,88 @@
 		class = admission.Repeatable
 	}
 	foreign := s.table.AssignedRegion(s.service.Name, r.home, r.block) != v.pool.region
-	s.handle(v.pool, admission.Arrive{ID: a.id, Class: class, Deadline: r.deadline, Foreign: foreign, Exclude: v.exclude, NoWait: r.noWait()})
+	s.handleEvent(v.pool, admission.Arrive{ID: a.id, Class: class, Deadline: r.deadline, Foreign: foreign, Exclude: v.exclude, NoWait: r.noWait()})
 }
 
-// noWait is decided as at an entry box, which finds no place beyond a cut.
+// noWait decides as an entry box does, which doesn't count a pool that it can't reach.
 func (r *request) noWait() bool {
 	if r.sim.baseline || len(r.choices) < 2 || r.choices[1].Region != r.choices[0].Region {
 		return false
 	}
 	first, second := r.choices[0].Zone, r.choices[1].Zone
 	near := !r.sim.pools[second].dead && !r.sim.cut[first] && !r.sim.cut[second]
-	return r.config.NoWait(r.place, near)
+	return r.config.NoWait(r.pool, near)
 }
 
-// granted runs an attempt at its target.
-func (s *sim) granted(p *pool, a *attempt, g admission.Grant) {
+// runAttempt runs an attempt at its target.
+func (s *sim) runAttempt(p *pool, a *attempt, g admission.Grant) {
 	t := p.targets[g.Target]
 	a.target = t
-	a.began = s.now
+	a.start = s.now
 	a.visit.exclude = append(a.visit.exclude, t.name)
 	switch {
 	case t.dead:
-		s.after(time.Millisecond, func() { s.finished(p, a, admission.Failed, retry.NotRun) })
+		s.after(time.Millisecond, func() { s.finishAttempt(p, a, admission.Failed, retry.NotRun) })
 		return
 	case t.busy >= t.slots:
 		s.figures.overload(s.now.Sub(s.start), p.region)
-		s.after(time.Millisecond, func() { s.finished(p, a, admission.Shed, retry.NotRun) })
+		s.after(time.Millisecond, func() { s.finishAttempt(p, a, admission.Shed, retry.NotRun) })
 		return
 	case t.failing:
-		a.visit.request.ran++
-		s.after(2*time.Millisecond, func() { s.finished(p, a, admission.Failed, retry.Failed) })
+		a.visit.request.runs++
+		s.after(2*time.Millisecond, func() { s.finishAttempt(p, a, admission.Failed, retry.Failed) })
 		return
 	}
 	t.busy++
-	a.visit.request.ran++
+	a.visit.request.runs++
 	s.after(s.serviceTime(t), func() {
 		t.busy--
 		if t.dead {
-			s.finished(p, a, admission.Failed, retry.Failed)
+			s.finishAttempt(p, a, admission.Failed, retry.Failed)
 			return
 		}
-		s.finished(p, a, admission.Succeeded, retry.Answered)
+		s.finishAttempt(p, a, admission.Succeeded, retry.Answered)
 	})
 }
 
-func (s *sim) finished(p *pool, a *attempt, result admission.Result, end retry.AttemptResult) {
-	s.handle(p, admission.Finish{ID: a.id, Result: result, Latency: s.now.Sub(a.began)})
+func (s *sim) finishAttempt(p *pool, a *attempt, result admission.Result, end retry.AttemptResult) {
+	s.handleEvent(p, admission.Finish{ID: a.id, Result: result, Latency: s.now.Sub(a.start)})
 	a.end(end, 0)
 }
 
 func (a *attempt) end(end retry.AttemptResult, retryAfter time.Duration) {
-	if a.over {
+	if a.ended {
 		return
 	}
-	a.over = true
-	a.visit.after = retryAfter
-	a.visit.carryOut(a.visit.plan.HandleResult(a.visit.request.sim.now, a.number, end))
+	a.ended = true
+	a.visit.retryAfter = retryAfter
+	a.visit.execute(a.visit.plan.HandleResult(a.visit.request.sim.now, a.number, end))
 }
 
-// placeEnded takes the answer of a place and goes on as the failover decides.
-func (r *request) placeEnded(v retry.Verdict, retryAfter time.Duration) {
+// handlePoolResult handles the result of a pool and continues as the failover decides.
+func (r *request) handlePoolResult(v retry.Verdict, retryAfter time.Duration) {
 	s := r.sim
 	d := r.failover.HandleResult(s.now, routing.Result{Verdict: v, RetryAfter: retryAfter})
 	if d.KeepResult {
-		r.kept = v
+		r.keptVerdict = v
 	}
 	if d.TryNext {
-		r.place++
+		r.pool++
 		hop := s.layout.ZoneDelay
-		if r.choices[r.place].Region != r.choices[0].Region {
+		if r.choices[r.pool].Region != r.choices[0].Region {
 			hop = s.layout.RegionDelay
 		}
-		s.after(hop, r.visit)
+		s.after(hop, r.sendToPool)
 		return
 	}
-	back := r.path
-	if r.place > 0 {
+	back := r.callerDelay
+	if r.pool > 0 {
 		back += s.layout.ZoneDelay
-		if r.choices[r.place].Region != r.choices[0].Region {
+		if r.choices[r.pool].Region != r.choices[0].Region {
 			back += s.layout.RegionDelay - s.layout.ZoneDelay
 		}
 	}
-	s.after(back, func() { r.finish(r.kept) })
+	s.after(back, func() { r.finish(r.keptVerdict) })
 }
 
 func (r *request) finish(v retry.Verdict) {
@@ -243,14 +243,14 @@
 	case retry.Ran:
 		f.answered[r.repeatable]++
 		if r.repeatable {
-			_ = f.latency.RecordValue(int64(r.sim.now.Sub(r.began))) // no wait is longer than the highest value
+			_ = f.latency.RecordValue(int64(r.sim.now.Sub(r.start))) // no request takes longer than the highest value
 		}
 	case retry.DidNotRun:
 		f.notRun[r.repeatable]++
 	default:
 		f.unknown[r.repeatable]++
 	}
-	if !r.repeatable && r.ran > 1 {
-		f.doubled++
+	if !r.repeatable && r.runs > 1 {
+		f.duplicated++
 	}
 }
--- a/contrib/measure/schedule.go
+++ b/contrib/measure/schedule.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time; events of equal times happen in
-// the order in which they were planned.
+// event is a scheduled function call. Events of the same time run in the order in which they
+// were scheduled.
 type event struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
+// events is a heap of events, the next one first. It implements heap.Interface.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -31,7 +32,7 @@
 	return last
 }
 
-// schedule carries planned events out in virtual time.
+// schedule runs scheduled events in virtual time.
 type schedule struct {
 	now   time.Time
 	queue events
@@ -52,6 +53,6 @@
 			return
 		}
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 }
