--- a/contrib/demo/cost.go
+++ b/contrib/demo/cost.go
@@ -20,17 +20,17 @@
 
 const (
 	settleTime  = 5 * time.Second
-	restTime    = 10 * time.Second
-	changes     = 10
+	idleTime    = 10 * time.Second
+	changeCount = 10
 	loadTime    = 4 * time.Second
 	loadWorkers = 8
 )
 
-// sample is what a process says of its own cost.
-type sample struct{ sent, received, cpu, memory float64 }
+// processUsage holds the resource usage that a process reports.
+type processUsage struct{ sent, received, cpu, memory float64 }
 
-// scrape reads the metrics of a process.
-func (d *driver) scrape(ctx context.Context, operator string) (sample, error) {
+// scrape reads the resource usage from the metrics of a process.
+func (d *driver) scrape(ctx context.Context, operator string) (processUsage, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	var families map[string]*dto.MetricFamily
 	err := d.fetch(ctx, "http://"+operator+"/metrics", func(body io.Reader) (err error) {
@@ -38,7 +38,7 @@
 		return err
 	})
 	if err != nil {
-		return sample{}, err
+		return processUsage{}, err
 	}
 	value := func(name string) float64 {
 		f := families[name]
@@ -48,7 +48,7 @@
 		m := f.Metric[0]
 		return m.GetGauge().GetValue() + m.GetCounter().GetValue()
 	}
-	return sample{
+	return processUsage{
 		sent:     value("ledgesill_control_bytes_sent"),
 		received: value("ledgesill_control_bytes_received"),
 		cpu:      value("process_cpu_seconds_total"),
@@ -56,9 +56,10 @@
 	}, nil
 }
 
-// places names the processes whose cost is shown: the control replicas, the
-// first box of the first zone, which relays, and the last box, which does not.
-func (d *driver) places() map[string]string {
+// observedProcesses returns the operator addresses of the processes whose usage is printed:
+// the control replicas, the first box of the first zone, which relays, and the last box,
+// which does not.
+func (d *driver) observedProcesses() map[string]string {
 	out := make(map[string]string)
 	for _, c := range d.layout.Controls {
 		out[c.Name] = c.Operator
@@ -69,9 +70,9 @@
 	return out
 }
 
-func (d *driver) scrapeAll(ctx context.Context) (map[string]sample, error) {
-	out := make(map[string]sample)
-	for name, address := range d.places() {
+func (d *driver) scrapeAll(ctx context.Context) (map[string]processUsage, error) {
+	out := make(map[string]processUsage)
+	for name, address := range d.observedProcesses() {
 		s, err := d.scrape(ctx, address)
 		if err != nil {
 			return nil, err
@@ -81,10 +82,10 @@
 	return out, nil
 }
 
-// measureRest prints what control costs each role, at rest and with one change
-// a second.
-func measureRest(ctx context.Context, l layout.Layout, folder string) error {
-	d := newDriver(l, folder)
+// measureIdle prints what control costs the processes of each role, idle and with one change a
+// second.
+func measureIdle(ctx context.Context, l layout.Layout, dir string) error {
+	d := newDriver(l, dir)
 	if err := d.setUp(ctx); err != nil {
 		return err
 	}
@@ -93,14 +94,14 @@
 	if err != nil {
 		return err
 	}
-	wait(ctx, restTime)
+	wait(ctx, idleTime)
 	rest, err := d.scrapeAll(ctx)
 	if err != nil {
 		return err
 	}
 	var slowest time.Duration
 	began := time.Now()
-	for i := range changes {
+	for i := range changeCount {
 		took, err := d.changeSetting(ctx, fmt.Sprint("change-", i), fmt.Sprint(1000+i))
 		if err != nil {
 			return err
@@ -117,18 +118,18 @@
 	fmt.Fprintf(w, "%s: %d boxes\tsent B/s\treceived B/s\tcpu %%\tmemory MB\tB per change\t\n", l.Name, len(l.Boxes))
 	for name := range rest {
 		b, r, c := before[name], rest[name], changed[name]
-		restSent, restReceived := (r.sent-b.sent)/restTime.Seconds(), (r.received-b.received)/restTime.Seconds()
-		extra := (c.sent - r.sent + c.received - r.received - (restSent+restReceived)*length) / changes
-		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.2f\t%.0f\t%.0f\t\n", name, restSent, restReceived, 100*(r.cpu-b.cpu)/restTime.Seconds(), r.memory/1e6, extra)
+		restSent, restReceived := (r.sent-b.sent)/idleTime.Seconds(), (r.received-b.received)/idleTime.Seconds()
+		extra := (c.sent - r.sent + c.received - r.received - (restSent+restReceived)*length) / changeCount
+		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.2f\t%.0f\t%.0f\t\n", name, restSent, restReceived, 100*(r.cpu-b.cpu)/idleTime.Seconds(), r.memory/1e6, extra)
 	}
 	fmt.Fprintf(w, "slowest change in force at all boxes: %d ms\n", slowest.Milliseconds())
 	return w.Flush()
 }
 
-// measureLoad prints how many look-ups and requests a second one entry box
-// serves for each second of processor time, and a target asked directly.
-func measureLoad(ctx context.Context, l layout.Layout, folder string) error {
-	d := newDriver(l, folder)
+// measureLoad prints how many lookups and requests a second one entry box serves, also per
+// second of its CPU time, and for comparison the requests of a target without the box.
+func measureLoad(ctx context.Context, l layout.Layout, dir string) error {
+	d := newDriver(l, dir)
 	if err := d.setUp(ctx); err != nil {
 		return err
 	}
@@ -146,14 +147,15 @@
 		{"requests through the box", "http://" + b.Caller + caller.ServicePrefix + service + "/flag"},
 		{"requests to a target", "http://" + target + "/flag"},
 	} {
-		if err := d.load(ctx, c.name, c.url, b.Operator); err != nil {
+		if err := d.measureRate(ctx, c.name, c.url, b.Operator); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *driver) load(ctx context.Context, name, url, operator string) error {
+// measureRate requests a URL with loadWorkers workers for loadTime and prints the rate.
+func (d *driver) measureRate(ctx context.Context, name, url, operator string) error {
 	before, err := d.scrape(ctx, operator)
 	if err != nil {
 		return err
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// get reads an answer to its end and lets it go.
+// get requests a URL and discards the response body.
 func (d *driver) get(ctx context.Context, url string) error {
 	return d.fetch(ctx, url, func(body io.Reader) error {
 		_, err := io.Copy(io.Discard, body)
--- a/contrib/demo/drill.go
+++ b/contrib/demo/drill.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	frozenTime  = 3 * time.Second
-	drillWait   = 20 * time.Second
-	missedCount = 500
+	freezeTime    = 3 * time.Second
+	repairTimeout = 20 * time.Second
+	missedChanges = 500
 )
 
-// drill does to real control replicas what the fault matrix does to those in
-// virtual time, and checks after each blow that nothing acknowledged is lost
-// and that a change is in force at every box.
-func drill(ctx context.Context, l layout.Layout, folder string) error {
-	d := newDriver(l, folder)
+// drill injects the faults that the fault matrix covers in virtual time into real control
+// replicas. After each it checks that no acknowledged change is lost and that a new change
+// becomes active at every box.
+func drill(ctx context.Context, l layout.Layout, dir string) error {
+	d := newDriver(l, dir)
 	if err := d.setUp(ctx); err != nil {
 		return err
 	}
@@ -34,9 +34,9 @@
 	}{
 		{"the leader is killed", d.killLeader},
 		{"the leader is frozen and thawed", d.freezeLeader},
-		{"the leader loses its disk", d.emptyLeader},
-		{"the next leader loses its disk right after the repair", d.emptyLeader},
-		{fmt.Sprintf("a replica misses %d changes", missedCount), d.missChanges},
+		{"the leader loses its disk", d.wipeLeader},
+		{"the next leader loses its disk right after the repair", d.wipeLeader},
+		{fmt.Sprintf("a replica misses %d changes", missedChanges), d.missChanges},
 	}
 	for i, s := range steps {
 		began := time.Now()
@@ -60,21 +60,22 @@
 	return s, d.operator.Do(ctx, http.MethodGet, "/v1/status", nil, &s)
 }
 
-// await polls the leader's status until it is as wanted.
-func (d *driver) await(ctx context.Context, what string, wanted func(s operator.Status) bool) error {
-	ctx, cancel := context.WithTimeout(ctx, drillWait)
+// waitForStatus polls the leader's status until a condition holds.
+func (d *driver) waitForStatus(ctx context.Context, what string, wanted func(s operator.Status) bool) error {
+	ctx, cancel := context.WithTimeout(ctx, repairTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		if s, err := d.status(ctx); err == nil && wanted(s) {
 			return nil
 		}
-		wait(ctx, 10*poll)
+		wait(ctx, 10*pollInterval)
 	}
-	return fmt.Errorf("within %s not seen: %s", drillWait, what)
+	return fmt.Errorf("timed out after %s waiting for: %s", repairTimeout, what)
 }
 
-// allThree reports whether three replicas vote, all hold the log and answer.
-func allThree(s operator.Status) bool {
+// allCaughtUp reports whether the replicas are three voters that respond and have the whole log,
+// and no repair is in progress.
+func allCaughtUp(s operator.Status) bool {
 	voters := 0
 	for _, r := range s.Replicas {
 		if !r.Voter || r.SilenceMillis > 1000 || r.Match < s.Commit {
@@ -90,9 +91,9 @@
 	return voters == len(s.Replicas) && voters == 3
 }
 
-// restartWith ends a process so that the script starts it again.
-func (d *driver) restartWith(name string, s syscall.Signal) error {
-	if err := os.WriteFile(filepath.Join(d.folder, name+".restart"), nil, 0o600); err != nil {
+// restart sends a signal that ends a process and makes run.sh start the process again.
+func (d *driver) restart(name string, s syscall.Signal) error {
+	if err := os.WriteFile(filepath.Join(d.dir, name+".restart"), nil, 0o600); err != nil {
 		return err
 	}
 	return d.signal(name, s)
@@ -103,10 +104,10 @@
 	if err != nil {
 		return err
 	}
-	if err := d.restartWith(s.Process, syscall.SIGKILL); err != nil {
+	if err := d.restart(s.Process, syscall.SIGKILL); err != nil {
 		return err
 	}
-	return d.await(ctx, "three replicas that hold the log", allThree)
+	return d.waitForStatus(ctx, "three replicas that hold the log", allCaughtUp)
 }
 
 func (d *driver) freezeLeader(ctx context.Context) error {
@@ -117,17 +118,17 @@
 	if err := d.signal(s.Process, syscall.SIGSTOP); err != nil {
 		return err
 	}
-	wait(ctx, frozenTime)
+	wait(ctx, freezeTime)
 	if err := d.signal(s.Process, syscall.SIGCONT); err != nil {
 		return err
 	}
-	return d.await(ctx, "another leader and three replicas", func(now operator.Status) bool {
-		return now.Process != s.Process && allThree(now)
+	return d.waitForStatus(ctx, "another leader and three replicas that hold the log", func(now operator.Status) bool {
+		return now.Process != s.Process && allCaughtUp(now)
 	})
 }
 
-// emptyLeader kills the leader and empties its data folder.
-func (d *driver) emptyLeader(ctx context.Context) error {
+// wipeLeader kills the leader and deletes its data.
+func (d *driver) wipeLeader(ctx context.Context) error {
 	s, err := d.status(ctx)
 	if err != nil {
 		return err
@@ -135,23 +136,23 @@
 	if err := d.signal(s.Process, syscall.SIGSTOP); err != nil {
 		return err
 	}
-	if err := os.RemoveAll(filepath.Join(d.folder, s.Process)); err != nil {
+	if err := os.RemoveAll(filepath.Join(d.dir, s.Process)); err != nil {
 		return err
 	}
-	if err := d.restartWith(s.Process, syscall.SIGKILL); err != nil {
+	if err := d.restart(s.Process, syscall.SIGKILL); err != nil {
 		return err
 	}
-	return d.await(ctx, "the repair finished", func(now operator.Status) bool {
+	return d.waitForStatus(ctx, "the repair finished", func(now operator.Status) bool {
 		for _, r := range now.Replicas {
 			if strings.HasPrefix(r.ID, s.Process+"-") && r.ID == s.Leader {
 				return false
 			}
 		}
-		return allThree(now)
+		return allCaughtUp(now)
 	})
 }
 
-// missChanges stops a follower, makes changes and lets it come back.
+// missChanges suspends a follower, makes changes and restarts the follower.
 func (d *driver) missChanges(ctx context.Context) error {
 	s, err := d.status(ctx)
 	if err != nil {
@@ -167,7 +168,7 @@
 		return err
 	}
 	version := s.SettingsVersion
-	for i := range missedCount {
+	for i := range missedChanges {
 		change := operator.Change{
 			ID: fmt.Sprint("missed-", i), BaseVersion: version,
 			Edits: []operator.Edit{{Path: "/", Key: "reserveShare", Value: fmt.Sprint(10 + i%5)}},
@@ -177,17 +178,17 @@
 			return err
 		}
 		if v.Verdict != operator.Accepted {
-			return fmt.Errorf("change %d: %s", i, v.Detail)
+			return fmt.Errorf("change %d was not accepted: %s", i, v.Detail)
 		}
 		version = v.Version
 	}
-	if err := d.restartWith(follower, syscall.SIGKILL); err != nil {
+	if err := d.restart(follower, syscall.SIGKILL); err != nil {
 		return err
 	}
-	return d.await(ctx, "the follower holds the log", allThree)
+	return d.waitForStatus(ctx, "the follower holds the log", allCaughtUp)
 }
 
-// checkHistory checks that every change of the drill so far is still known.
+// checkHistory checks that every change of the drill so far is in the history.
 func (d *driver) checkHistory(ctx context.Context, upTo int) error {
 	var list []operator.HistoryEntry
 	if err := d.operator.Do(ctx, http.MethodGet, "/v1/history", nil, &list); err != nil {
--- a/contrib/demo/drive.go
+++ b/contrib/demo/drive.go
@@ -26,54 +26,59 @@
 	changeAfter  = 2 * time.Second
 	stopAfter    = 4 * time.Second
 	killAfter    = 8 * time.Second
-	poll         = 5 * time.Millisecond
-	stoppedBox   = 0 // index of the box that is stopped as planned
+	pollInterval = 5 * time.Millisecond
+	stoppedBox   = 0 // index of the box that is stopped with SIGTERM
 	killedBox    = 3 // index of the box that is killed
 )
 
-// targetRuns is how often each request ran, over all targets.
+// targetRuns holds what the stand-in targets counted.
 type targetRuns struct {
+	// Runs is how often each unrepeatable request ran, over all targets.
 	Runs map[string]int `json:"runs"`
-	// Over counts targets that had more requests at once than slots.
-	Most map[string]int `json:"most"`
+	// MaxConcurrent is the highest number of concurrent requests of each target, by its index in
+	// the layout.
+	MaxConcurrent map[string]int `json:"most"`
 }
 
 func runsHandler(targets []*standin.Target) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		out := targetRuns{Runs: make(map[string]int), Most: make(map[string]int)}
+		out := targetRuns{Runs: make(map[string]int), MaxConcurrent: make(map[string]int)}
 		for i, t := range targets {
-			runs, most := t.Runs()
+			runs, maxConcurrent := t.Runs()
 			for id, n := range runs {
 				out.Runs[id] += n
 			}
-			out.Most[strconv.Itoa(i)] = most
+			out.MaxConcurrent[strconv.Itoa(i)] = maxConcurrent
 		}
-		_ = json.NewEncoder(w).Encode(out) // the driver sees a broken answer
+		_ = json.NewEncoder(w).Encode(out) // the driver sees a truncated response
 	})
 }
 
+// driver drives the running processes of a layout.
 type driver struct {
 	layout   layout.Layout
-	folder   string
+	dir      string
 	operator *operator.Client
 	http     *http.Client
 }
 
-func newDriver(l layout.Layout, folder string) *driver {
+func newDriver(l layout.Layout, dir string) *driver {
 	var addresses []string
 	for _, c := range l.Controls {
 		addresses = append(addresses, c.Operator)
 	}
 	return &driver{
 		layout:   l,
-		folder:   folder,
+		dir:      dir,
 		operator: operator.NewClient(addresses, "", &http.Transport{}),
 		http:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
 	}
 }
 
-func drive(ctx context.Context, l layout.Layout, folder string) error {
-	d := newDriver(l, folder)
+// drive runs the demo: traffic during a change of a setting, the planned stop of one box and the
+// kill of another.
+func drive(ctx context.Context, l layout.Layout, dir string) error {
+	d := newDriver(l, dir)
 	if err := d.setUp(ctx); err != nil {
 		return err
 	}
@@ -90,14 +95,14 @@
 		t.run(ctx, trafficTime)
 		running.Wait()
 	}()
-	r := &report{}
+	r := &measurements{}
 	began := time.Now()
 	wait(ctx, changeAfter)
-	if r.inForce, err = d.changeSetting(ctx, "demo-change", "800"); err != nil {
+	if r.activationTime, err = d.changeSetting(ctx, "demo-change", "800"); err != nil {
 		return err
 	}
 	wait(ctx, stopAfter-time.Since(began))
-	if r.drain, err = d.stopBox(ctx, l.Boxes[stoppedBox].Name); err != nil {
+	if r.drainTime, err = d.stopBox(ctx, l.Boxes[stoppedBox].Name); err != nil {
 		return err
 	}
 	wait(ctx, killAfter-time.Since(began))
@@ -118,7 +123,7 @@
 	}
 }
 
-// setUp puts the user's tree in force and waits until every pool is held.
+// setUp applies the user's settings tree and waits until the lease of every pool is held.
 func (d *driver) setUp(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -130,7 +135,7 @@
 			break
 		}
 		if err == nil {
-			return fmt.Errorf("the tree is not accepted: %s", v.Detail)
+			return fmt.Errorf("the settings tree was not accepted: %s", v.Detail)
 		}
 		if ctx.Err() != nil {
 			return err
@@ -138,17 +143,18 @@
 	}
 	for {
 		var s operator.Status
-		if err := d.operator.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil && d.allHeld(s) {
+		if err := d.operator.Do(ctx, http.MethodGet, "/v1/status", nil, &s); err == nil && d.allPoolsServing(s) {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return fmt.Errorf("the pools are not all held within %s: %v", startTimeout, s.NeedsAttention)
+			return fmt.Errorf("after %s the leases of some pools are not held: %v", startTimeout, s.NeedsAttention)
 		}
-		wait(ctx, 20*poll)
+		wait(ctx, 20*pollInterval)
 	}
 }
 
-func (d *driver) allHeld(s operator.Status) bool {
+// allPoolsServing reports whether boxes hold the leases of all pools, which shows in their capacity.
+func (d *driver) allPoolsServing(s operator.Status) bool {
 	held := 0
 	for _, b := range s.Boxes {
 		for _, p := range b.Pools {
@@ -164,25 +170,25 @@
 	return held == len(pools)
 }
 
-// changeSetting changes a setting and returns how long it took until it was in
-// force at every box, counted from the call.
+// changeSetting changes a setting and returns how long it took from the call until the setting
+// was active at every box.
 func (d *driver) changeSetting(ctx context.Context, id, ttl string) (time.Duration, error) {
-	var present operator.Settings
-	if err := d.operator.Do(ctx, http.MethodGet, "/v1/settings", nil, &present); err != nil {
+	var current operator.Settings
+	if err := d.operator.Do(ctx, http.MethodGet, "/v1/settings", nil, &current); err != nil {
 		return 0, err
 	}
 	change := operator.Change{
 		ID:          id,
-		BaseVersion: present.Version,
+		BaseVersion: current.Version,
 		Edits:       []operator.Edit{{Path: "/:" + d.layout.Services[0].Name, Key: "answerTtlMillis", Value: ttl}},
 	}
-	began := time.Now()
+	start := time.Now()
 	var v operator.Verdict
 	if err := d.operator.Do(ctx, http.MethodPost, "/v1/changes", change, &v); err != nil {
 		return 0, err
 	}
 	if v.Verdict != operator.Accepted {
-		return 0, fmt.Errorf("the change is not accepted: %s", v.Detail)
+		return 0, fmt.Errorf("change %s was not accepted: %s", id, v.Detail)
 	}
 	for _, b := range d.layout.Boxes {
 		for {
@@ -190,13 +196,13 @@
 			if err == nil && version >= v.Version {
 				break
 			}
-			if ctx.Err() != nil || time.Since(began) > startTimeout {
-				return 0, fmt.Errorf("the change is not in force at %s", b.Name)
+			if ctx.Err() != nil || time.Since(start) > startTimeout {
+				return 0, fmt.Errorf("change %s is not active at %s", id, b.Name)
 			}
-			wait(ctx, poll)
+			wait(ctx, pollInterval)
 		}
 	}
-	return time.Since(began), nil
+	return time.Since(start), nil
 }
 
 func (d *driver) versionAt(ctx context.Context, b layout.Box) (uint64, error) {
@@ -210,7 +216,7 @@
 	return d.fetch(ctx, url, func(body io.Reader) error { return json.NewDecoder(body).Decode(into) })
 }
 
-// fetch gets a page and has its body read.
+// fetch requests a URL and passes the response body to read.
 func (d *driver) fetch(ctx context.Context, url string, read func(body io.Reader) error) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -228,7 +234,7 @@
 }
 
 func (d *driver) pid(name string) (int, error) {
-	data, err := os.ReadFile(filepath.Join(d.folder, name+".pid"))
+	data, err := os.ReadFile(filepath.Join(d.dir, name+".pid"))
 	if err != nil {
 		return 0, err
 	}
@@ -243,24 +249,25 @@
 	return syscall.Kill(pid, s)
 }
 
-// stopBox stops a box as planned and returns how long it took to end.
+// stopBox stops a box with SIGTERM and returns how long it took to exit.
 func (d *driver) stopBox(ctx context.Context, name string) (time.Duration, error) {
 	began := time.Now()
 	if err := d.signal(name, syscall.SIGTERM); err != nil {
 		return 0, err
 	}
 	for ctx.Err() == nil {
-		if _, err := os.Stat(filepath.Join(d.folder, name+".ended")); err == nil {
+		if _, err := os.Stat(filepath.Join(d.dir, name+".ended")); err == nil {
 			return time.Since(began), nil
 		}
 		if time.Since(began) > startTimeout {
-			return 0, fmt.Errorf("%s has not ended within %s", name, startTimeout)
+			return 0, fmt.Errorf("%s did not exit within %s", name, startTimeout)
 		}
-		wait(ctx, poll)
+		wait(ctx, pollInterval)
 	}
 	return 0, ctx.Err()
 }
 
+// fetchRuns reads what the stand-in targets counted.
 func (d *driver) fetchRuns(ctx context.Context) (targetRuns, error) {
 	var out targetRuns
 	return out, d.getJSON(ctx, "http://"+adminAddress+"/", &out)
--- a/contrib/demo/main.go
+++ b/contrib/demo/main.go
@@ -1,14 +1,14 @@
-// Command demo drives a whole system on loopback that contrib/demo/run.sh has
-// started: it sets the tree, sends traffic, changes a setting, stops one entry
-// box as planned, kills another and prints one table, and a second one of two
-// workspaces of which one asks for more than its limit.
+// Command demo drives a whole system on loopback that contrib/demo/run.sh has started. It
+// applies the settings tree, sends traffic, changes a setting, stops one entry box with
+// SIGTERM and kills another. It then prints one table of the requests and one of two
+// workspaces, of which one exceeds its limit.
 //
-//	demo plan LAYOUT FOLDER WHAT   prints the processes to start, one a line
-//	demo targets LAYOUT       serves the stand-in targets
-//	demo drive LAYOUT FOLDER  drives the running system
-//	demo drill LAYOUT FOLDER  kills, freezes and empties control replicas
-//	demo rest LAYOUT FOLDER   measures the cost of control at rest and per change
-//	demo load LAYOUT FOLDER   measures look-ups and requests of one entry box
+//	demo plan LAYOUT DIR COMMAND  prints the processes to start, one a line
+//	demo targets LAYOUT           serves the stand-in targets
+//	demo drive LAYOUT DIR         drives the running system
+//	demo drill LAYOUT DIR         kills, freezes and wipes control replicas
+//	demo rest LAYOUT DIR          measures the cost of control when idle and per change
+//	demo load LAYOUT DIR          measures lookups and requests of one entry box
 package main
 
 import (
@@ -37,7 +37,7 @@
 
 func run(ctx context.Context, args []string) error {
 	if len(args) < 2 {
-		return fmt.Errorf("usage: demo plan|targets|drive|drill|rest|load LAYOUT [FOLDER]")
+		return fmt.Errorf("usage: demo plan|targets|drive|drill|rest|load LAYOUT [DIR]")
 	}
 	l, err := layout.ByName(args[1])
 	if err != nil {
@@ -54,18 +54,18 @@
 	case "drill":
 		return drill(ctx, l, args[2])
 	case "rest":
-		return measureRest(ctx, l, args[2])
+		return measureIdle(ctx, l, args[2])
 	case "load":
 		return measureLoad(ctx, l, args[2])
 	}
-	return fmt.Errorf("there is no demo %q", args[0])
+	return fmt.Errorf("unknown command %q", args[0])
 }
 
-// printPlan prints a line for each process: its name and its arguments. The boxes of the
-// workspaces are for the drive alone: they would add to what the others measure.
-func printPlan(l layout.Layout, folder string, workspaces bool) {
+// printPlan prints the name and the arguments of each process, one process a line. The boxes of
+// the workspaces run for drive only, as they would add to what the others measure.
+func printPlan(l layout.Layout, dir string, workspaces bool) {
 	for _, c := range l.Controls {
-		fmt.Println(c.Name, strings.Join(l.ControlArguments(c, folder), " "))
+		fmt.Println(c.Name, strings.Join(l.ControlArguments(c, dir), " "))
 	}
 	for _, b := range l.Boxes {
 		fmt.Println(b.Name, strings.Join(l.EntryArguments(b), " "))
@@ -83,7 +83,7 @@
 	targetConnections = 330
 )
 
-// serveTargets serves all targets of a layout, and their runs on adminAddress.
+// serveTargets serves all targets of a layout, and what they counted on adminAddress.
 func serveTargets(ctx context.Context, l layout.Layout) error {
 	var targets []*standin.Target
 	ended := make(chan error, len(l.Targets))
--- a/contrib/demo/run.sh
+++ b/contrib/demo/run.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Starts the processes of a layout on loopback, drives them and ends them all.
-# usage: run.sh BIN-FOLDER [LAYOUT [drive|drill|rest|load]]
+# Starts the processes of a layout on loopback, runs a demo command on them and stops them all.
+# usage: run.sh BIN-DIR [LAYOUT [drive|drill|rest|load]]
 set -u
 bin=$1
 layout=${2:-flagpost}
-what=${3:-drive}
-folder=$(mktemp -d)
+command=${3:-drive}
+dir=$(mktemp -d)
 pids=()
 
 end_all() {
-  rm -f "$folder"/*.restart
-  for file in "$folder"/*.pid; do pids+=("$(cat "$file")"); done
+  rm -f "$dir"/*.restart
+  for file in "$dir"/*.pid; do pids+=("$(cat "$file")"); done
   for pid in "${pids[@]}"; do kill "$pid" 2>/dev/null; done
   for _ in $(seq 100); do
     alive=0
@@ -20,34 +20,35 @@
   done
   for pid in "${pids[@]}"; do kill -9 "$pid" 2>/dev/null; done
   wait 2>/dev/null
-  rm -rf "$folder"
+  rm -rf "$dir"
 }
 trap end_all EXIT
 
-"$bin/demo" targets "$layout" >"$folder/targets.log" 2>&1 &
+"$bin/demo" targets "$layout" >"$dir/targets.log" 2>&1 &
 pids+=($!)
 while read -r name arguments; do
-  # The subshell notes the end of the process, which the driver waits for.
+  # The subshell restarts the process if the driver asked for it. When the process has ended for
+  # good, it writes the .ended file that the driver waits for.
   # shellcheck disable=SC2086
   (
     while :; do
-      "$bin/ledgesill" $arguments >>"$folder/$name.log" 2>&1 &
-      echo $! >"$folder/$name.pid"
+      "$bin/ledgesill" $arguments >>"$dir/$name.log" 2>&1 &
+      echo $! >"$dir/$name.pid"
       wait $!
-      ended=$?
-      [ -f "$folder/$name.restart" ] || break
-      rm "$folder/$name.restart"
+      exit_code=$?
+      [ -f "$dir/$name.restart" ] || break
+      rm "$dir/$name.restart"
     done
-    echo $ended >"$folder/$name.ended"
+    echo $exit_code >"$dir/$name.ended"
   ) &
   pids+=($!)
-done < <("$bin/demo" plan "$layout" "$folder" "$what")
+done < <("$bin/demo" plan "$layout" "$dir" "$command")
 sleep 0.5
 
-"$bin/demo" "$what" "$layout" "$folder"
-verdict=$?
-[ -n "${DEMO_LOGS:-}" ] && cp "$folder"/*.log "$DEMO_LOGS"
-if [ $verdict != 0 ]; then
-  tail -n 5 "$folder"/*.log
+"$bin/demo" "$command" "$layout" "$dir"
+status=$?
+[ -n "${DEMO_LOGS:-}" ] && cp "$dir"/*.log "$DEMO_LOGS"
+if [ $status != 0 ]; then
+  tail -n 5 "$dir"/*.log
 fi
-exit $verdict
+exit $status
--- a/contrib/demo/traffic.go
+++ b/contrib/demo/traffic.go
@@ -18,8 +18,8 @@
 	"ledgesill.dev/ledgesill/pkg/caller"
 )
 
-// kind is one kind of request of the demo.
-type kind struct {
+// requestKind describes one kind of request of the demo.
+type requestKind struct {
 	name       string
 	service    int
 	method     string
@@ -32,8 +32,8 @@
 
 const exportSize = 3 << 20
 
-func kinds() []kind {
-	return []kind{
+func kinds() []requestKind {
+	return []requestKind{
 		{name: "flag read", service: 0, method: http.MethodGet, path: "/flag", workers: 24, pause: 5 * time.Millisecond, repeatable: true},
 		{name: "toggle", service: 0, method: http.MethodPost, path: "/toggle", workers: 6, pause: 20 * time.Millisecond},
 		{name: "webhook", service: 1, method: http.MethodPost, path: "/webhook", workers: 3, pause: 100 * time.Millisecond},
@@ -41,25 +41,25 @@
 	}
 }
 
-// tally counts what became of the requests of one kind.
-type tally struct {
-	mu       sync.Mutex
-	asked    int
-	answered int
-	notRun   int
-	unknown  int
-	cut      int
-	resent   int
-	latency  *hdrhistogram.Histogram
-	// sent maps the names of requests that may not be repeated to their
-	// outcome.
-	sent map[string]caller.Outcome
+// kindResults counts the outcomes of the requests of one kind.
+type kindResults struct {
+	mu        sync.Mutex
+	sent      int
+	answered  int
+	notRun    int
+	unknown   int
+	truncated int
+	retries   int
+	latency   *hdrhistogram.Histogram
+	// outcomes maps the names of unrepeatable requests to their outcomes.
+	outcomes map[string]caller.Outcome
 }
 
+// traffic sends requests of all kinds and collects their results.
 type traffic struct {
 	driver  *driver
-	kinds   []kind
-	tallies []*tally
+	kinds   []requestKind
+	results []*kindResults
 	nonce   atomic.Uint64
 }
 
@@ -71,24 +71,24 @@
 func newTraffic(d *driver) *traffic {
 	t := &traffic{driver: d, kinds: kinds()}
 	for range t.kinds {
-		t.tallies = append(t.tallies, &tally{latency: hdrhistogram.New(1, highestLatency, 3), sent: make(map[string]caller.Outcome)})
+		t.results = append(t.results, &kindResults{latency: hdrhistogram.New(1, highestLatency, 3), outcomes: make(map[string]caller.Outcome)})
 	}
 	return t
 }
 
-// run sends traffic from callers of all regions and waits for all answers.
+// run sends requests from callers of all regions for a length of time and waits for all responses.
 func (t *traffic) run(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
 	var running sync.WaitGroup
 	for i, k := range t.kinds {
 		for w := range k.workers {
-			running.Go(func() { t.work(ctx, end, k, t.tallies[i], w) })
+			running.Go(func() { t.runWorker(ctx, end, k, t.results[i], w) })
 		}
 	}
 	running.Wait()
 }
 
-func (t *traffic) work(ctx context.Context, end time.Time, k kind, y *tally, worker int) {
+func (t *traffic) runWorker(ctx context.Context, end time.Time, k requestKind, results *kindResults, worker int) {
 	l := t.driver.layout
 	var boxes []string
 	for _, b := range l.Boxes {
@@ -103,12 +103,12 @@
 		Nonce:   func() string { return fmt.Sprint(t.nonce.Add(1)) },
 	})
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		t.send(ctx, c, k, y, fmt.Sprintf("%s-%d-%d", k.name, worker, n))
+		t.send(ctx, c, k, results, fmt.Sprintf("%s-%d-%d", k.name, worker, n))
 		time.Sleep(k.pause)
 	}
 }
 
-func (t *traffic) send(ctx context.Context, c *caller.Client, k kind, y *tally, name string) {
+func (t *traffic) send(ctx context.Context, c *caller.Client, k requestKind, results *kindResults, name string) {
 	r := caller.Request{Method: k.method, Path: k.path, Timeout: requestTimeout, Repeatable: k.repeatable}
 	if k.method == http.MethodPost {
 		r.Body = []byte(name)
@@ -116,28 +116,28 @@
 	began := time.Now()
 	a, err := c.Do(ctx, r)
 	took := time.Since(began)
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.asked++
-	y.resent += max(a.Attempts-1, 0)
+	results.mu.Lock()
+	defer results.mu.Unlock()
+	results.sent++
+	results.retries += max(a.Attempts-1, 0)
 	if k.method == http.MethodPost {
-		y.sent[name] = a.Outcome
+		results.outcomes[name] = a.Outcome
 	}
 	switch {
 	case err != nil || a.Outcome == caller.NotRun:
-		y.notRun++
+		results.notRun++
 	case a.Outcome == caller.Unknown:
-		y.unknown++
-	case !whole(a, k, name):
-		y.cut++
+		results.unknown++
+	case !isComplete(a, k, name):
+		results.truncated++
 	default:
-		y.answered++
-		_ = y.latency.RecordValue(int64(took)) // longer than the highest is not possible
+		results.answered++
+		_ = results.latency.RecordValue(int64(took)) // no request takes longer than the highest value
 	}
 }
 
-// whole reports whether an answer is the whole answer to its own request.
-func whole(a caller.Answer, k kind, name string) bool {
+// isComplete reports whether a response has the whole body that belongs to its request.
+func isComplete(a caller.Answer, k requestKind, name string) bool {
 	if a.Status != http.StatusOK {
 		return false
 	}
@@ -150,24 +150,25 @@
 	return string(a.Body) == k.path+" "
 }
 
-type report struct {
-	inForce time.Duration
-	drain   time.Duration
-	runs    targetRuns
+// measurements are the results of the demo beside those of the requests.
+type measurements struct {
+	activationTime time.Duration
+	drainTime      time.Duration
+	runs           targetRuns
 }
 
-// report prints the table and fails if a promise was broken.
-func (t *traffic) report(r *report, l layout.Layout) error {
-	doubledInAll, falseNotRun, lost, cut := 0, 0, 0, 0
+// report prints the table and returns an error if a guarantee was violated.
+func (t *traffic) report(r *measurements, l layout.Layout) error {
+	allDuplicated, falseNotRun, lost, truncated := 0, 0, 0, 0
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "request\tasked\tanswered\tnot run\tunknown\tdoubled\tcut\tresent\tp50 ms\tp99 ms\t")
 	for i, k := range t.kinds {
-		y := t.tallies[i]
-		doubled := 0
-		for name, outcome := range y.sent {
+		results := t.results[i]
+		duplicated := 0
+		for name, outcome := range results.outcomes {
 			n := r.runs.Runs[name]
 			if n > 1 {
-				doubled++
+				duplicated++
 			}
 			if n > 0 && outcome == caller.NotRun {
 				falseNotRun++
@@ -176,29 +177,29 @@
 				lost++
 			}
 		}
-		doubledInAll += doubled
-		cut += y.cut
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.name, y.asked, y.answered, y.notRun, y.unknown, doubled, y.cut, y.resent,
-			quantile(y, 50), quantile(y, 99))
+		allDuplicated += duplicated
+		truncated += results.truncated
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t\n", k.name, results.sent, results.answered, results.notRun, results.unknown, duplicated, results.truncated, results.retries,
+			quantile(results, 50), quantile(results, 99))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	over := 0
 	for i, g := range l.Targets {
-		if r.runs.Most[fmt.Sprint(i)] > g.Slots {
+		if r.runs.MaxConcurrent[fmt.Sprint(i)] > g.Slots {
 			over++
 		}
 	}
-	fmt.Printf("time to in force on %d boxes: %d ms\n", len(l.Boxes), r.inForce.Milliseconds())
-	fmt.Printf("drain time of %s: %d ms\n", l.Boxes[stoppedBox].Name, r.drain.Milliseconds())
+	fmt.Printf("time to in force on %d boxes: %d ms\n", len(l.Boxes), r.activationTime.Milliseconds())
+	fmt.Printf("drain time of %s: %d ms\n", l.Boxes[stoppedBox].Name, r.drainTime.Milliseconds())
 	fmt.Printf("targets that had more requests at once than slots: %d\n", over)
-	if doubledInAll+falseNotRun+lost+cut > 0 {
-		return fmt.Errorf("promises broken: %d doubled, %d ran though said not to, %d lost, %d cut", doubledInAll, falseNotRun, lost, cut)
+	if allDuplicated+falseNotRun+lost+truncated > 0 {
+		return fmt.Errorf("guarantees violated: %d requests duplicated, %d ran despite the outcome not run, %d lost despite the outcome ran, %d truncated", allDuplicated, falseNotRun, lost, truncated)
 	}
 	return nil
 }
 
-func quantile(y *tally, q float64) float64 {
-	return float64(y.latency.ValueAtQuantile(q)) / float64(time.Millisecond)
+func quantile(results *kindResults, q float64) float64 {
+	return float64(results.latency.ValueAtQuantile(q)) / float64(time.Millisecond)
 }
--- a/contrib/demo/workspaces.go
+++ b/contrib/demo/workspaces.go
@@ -17,29 +17,29 @@
 	"ledgesill.dev/ledgesill/internal/operator"
 )
 
-// Two workspaces share two boxes of kind gateway: one without a limit, and one whose
-// callers ask for several times its limit.
+// Two workspaces share two boxes of kind gateway: one without a limit, and one whose callers
+// send several times its limit.
 const (
 	workspaceService = "flags"
 	workspaceHost    = "flags.example"
 	workspaceTargets = 2
 	targetSlots      = 8
 	targetWork       = 10 * time.Millisecond
-	// gatewayPort is the first port of the boxes, which take four each.
+	// gatewayPort is the first port of the gateways. Each uses four.
 	gatewayPort = 8960
 	gateways    = 2
-	// limitPerSecond and limitBurst are the limit. limitExcess and limitExtra are what
-	// control's defaults allow beyond it, in each window of limitWindow.
+	// limitPerSecond and limitBurst are the limit. limitExcess and limitExtra are the tolerance
+	// over it in each limitWindow by control's default settings.
 	limitPerSecond = 20
 	limitBurst     = 20
 	limitExcess    = 0.1
 	limitExtra     = 20
 	limitWindow    = 5 * time.Second
-	// askersPerWorkspace callers of each workspace send a request each askPause: 100 a
-	// second together.
-	askersPerWorkspace = 4
-	askPause           = 40 * time.Millisecond
-	// servedShare is what must be served of the workspace without a limit.
+	// Each workspace has clientsPerWorkspace callers that send one request per requestInterval
+	// each: 100 a second together.
+	clientsPerWorkspace = 4
+	requestInterval     = 40 * time.Millisecond
+	// servedShare is the share of requests that must be served for the workspace without a limit.
 	servedShare = 0.95
 )
 
@@ -60,7 +60,7 @@
 	}
 	zone, region := l.Boxes[i].Zone, l.Boxes[i].Region
 	return []string{
-		"gateway", "-name", gatewayName(i), "-region", region, "-zone", zone, "-zones", zonesText(l),
+		"gateway", "-name", gatewayName(i), "-region", region, "-zone", zone, "-zones", zoneList(l),
 		"-caller-address", gatewayAddress(i, 0), "-ready-address", gatewayAddress(i, 1),
 		"-peer-address", gatewayAddress(i, 2), "-operator-address", gatewayAddress(i, 3), "-controls", strings.Join(peers, ","),
 	}
@@ -70,7 +70,7 @@
 
 func gatewayAddress(i, use int) string { return fmt.Sprintf("127.0.0.1:%d", gatewayPort+4*i+use) }
 
-func zonesText(l layout.Layout) string {
+func zoneList(l layout.Layout) string {
 	seen := make(map[string]bool)
 	var out []string
 	for _, b := range l.Boxes {
@@ -82,7 +82,7 @@
 	return strings.Join(out, ",")
 }
 
-// workspaceTarget is a stand-in for a target that answers and notes whose request it ran.
+// workspaceTarget is a stand-in for a target that records the runs of each workspace.
 type workspaceTarget struct {
 	mu   sync.Mutex
 	runs map[string][]time.Time
@@ -96,27 +96,28 @@
 	t.mu.Unlock()
 	time.Sleep(targetWork)
 	w.Header().Set("Ledgesill-Request-Id", r.Header.Get("Ledgesill-Request-Id"))
-	_, _ = io.WriteString(w, "on\n") // the caller sees a broken answer
+	_, _ = io.WriteString(w, "on\n") // the caller sees a truncated response
 }
 
-// workspaceDemo drives the workspaces and keeps what became of their requests.
+// workspaceDemo sends the requests of the workspaces and counts their results.
 type workspaceDemo struct {
 	driver  *driver
 	target  *workspaceTarget
 	limited *limitedTarget
-	// backingOff is the target that asks for back-offs.
+	// backingOff is the target that requests back-offs.
 	backingOff *backingOffTarget
 
 	mu     sync.Mutex
 	counts map[string]map[string]int
 }
 
-// startWorkspaces registers targets, puts the document in force and waits for the boxes.
+// startWorkspaces sends the routes document, registers targets and waits until the gateways are
+// ready.
 func startWorkspaces(ctx context.Context, d *driver) (*workspaceDemo, error) {
 	w := &workspaceDemo{driver: d, target: &workspaceTarget{runs: make(map[string][]time.Time)}, counts: make(map[string]map[string]int)}
 	var document operator.RoutesVerdict
 	if err := d.operator.Do(ctx, http.MethodPut, "/v1/routes", w.document(), &document); err != nil {
-		return nil, fmt.Errorf("putting the document of routes: %w", err)
+		return nil, fmt.Errorf("sending the routes document: %w", err)
 	}
 	for i := range workspaceTargets {
 		if err := w.startTarget(ctx, i, w.target); err != nil {
@@ -141,9 +142,9 @@
 
 func (w *workspaceDemo) document() map[string]any {
 	var workspaces []any
-	for _, one := range demoWorkspaces {
+	for _, ws := range demoWorkspaces {
 		workspaces = append(workspaces, map[string]any{
-			"name": one.name, "keys": []string{one.key()}, "priority": 1, "perSecond": one.perSecond, "burst": one.burst,
+			"name": ws.name, "keys": []string{ws.key()}, "priority": 1, "perSecond": ws.perSecond, "burst": ws.burst,
 		})
 	}
 	return map[string]any{
@@ -165,14 +166,14 @@
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	go func() { _ = server.Serve(l) }() // ends with the demo
-	word := map[string]any{
+	registration := map[string]any{
 		"service": workspaceService, "address": l.Addr().String(), "zone": w.driver.layout.Boxes[i].Zone, "slots": targetSlots, "sequence": 1,
 	}
 	var registered operator.Target
-	return w.driver.operator.Do(ctx, http.MethodPut, fmt.Sprintf("/v1/targets/flags-%d", i+1), word, &registered)
+	return w.driver.operator.Do(ctx, http.MethodPut, fmt.Sprintf("/v1/targets/flags-%d", i+1), registration, &registered)
 }
 
-// waitReady waits until a box says that it serves.
+// waitReady waits until a box reports that it is ready.
 func (d *driver) waitReady(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -184,21 +185,21 @@
 		if ctx.Err() != nil {
 			return fmt.Errorf("%s is not ready within %s: %w", address, startTimeout, err)
 		}
-		wait(ctx, 20*poll)
+		wait(ctx, 20*pollInterval)
 	}
 }
 
-// run sends traffic of both workspaces.
+// run sends requests of both workspaces for a length of time.
 func (w *workspaceDemo) run(ctx context.Context, length time.Duration) {
 	end := time.Now().Add(length)
 	var running sync.WaitGroup
-	for _, one := range demoWorkspaces {
-		w.counts[one.name] = make(map[string]int)
-		for i := range askersPerWorkspace {
+	for _, ws := range demoWorkspaces {
+		w.counts[ws.name] = make(map[string]int)
+		for i := range clientsPerWorkspace {
 			running.Go(func() {
 				for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-					w.send(ctx, one, gatewayAddress((i+n)%gateways, 0), fmt.Sprintf("%s-%d-%d", one.name, i, n))
-					time.Sleep(askPause)
+					w.send(ctx, ws, gatewayAddress((i+n)%gateways, 0), fmt.Sprintf("%s-%d-%d", ws.name, i, n))
+					time.Sleep(requestInterval)
 				}
 			})
 		}
@@ -206,31 +207,31 @@
 	running.Wait()
 }
 
-func (w *workspaceDemo) send(ctx context.Context, one demoWorkspace, box, id string) {
+func (w *workspaceDemo) send(ctx context.Context, ws demoWorkspace, box, id string) {
 	kind := "other"
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+box+"/flag/"+id+"/"+box, nil)
 	if err == nil {
 		request.Host = workspaceHost
 		request.Header.Set("Ledgesill-Request-Id", id)
 		request.Header.Set("Ledgesill-Deadline-Millis", "1500")
-		request.Header.Set("Ledgesill-Key", one.key())
+		request.Header.Set("Ledgesill-Key", ws.key())
 		kind = w.exchange(request)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.counts[one.name][kind]++
+	w.counts[ws.name][kind]++
 }
 
 func (w *workspaceDemo) exchange(request *http.Request) string {
-	answer, err := w.driver.http.Do(request)
+	response, err := w.driver.http.Do(request)
 	if err != nil {
 		return "other"
 	}
-	defer answer.Body.Close()
-	if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+	defer response.Body.Close()
+	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return "other"
 	}
-	switch answer.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
 		return "served"
 	case http.StatusTooManyRequests:
@@ -239,33 +240,33 @@
 	return "other"
 }
 
-// report prints a table and fails if a workspace got more than its limit, or one without
-// a limit less than it asked for.
+// report prints a table and returns an error if a workspace exceeded its limit, or if too few
+// requests of the one without a limit were served.
 func (w *workspaceDemo) report() error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "workspace\tlimit/s\tasked\tserved\tover its limit\tother\tmost in 5 s\tallowed\t")
-	var broken []error
-	for _, one := range demoWorkspaces {
-		c := w.counts[one.name]
-		asked := c["served"] + c["overLimit"] + c["other"]
-		most, allowed, limit := w.mostInWindow(one.name), "-", "none"
-		if one.perSecond > 0 {
-			bound := (float64(one.perSecond)*limitWindow.Seconds()+float64(one.burst))*(1+limitExcess) + limitExtra
-			allowed, limit = fmt.Sprint(int(bound)), fmt.Sprint(one.perSecond)
-			if float64(most) > bound || c["overLimit"] == 0 {
-				broken = append(broken, fmt.Errorf("workspace %s: %d runs in %s, %s allowed, %d over its limit", one.name, most, limitWindow, allowed, c["overLimit"]))
+	var failures []error
+	for _, ws := range demoWorkspaces {
+		c := w.counts[ws.name]
+		sent := c["served"] + c["overLimit"] + c["other"]
+		highest, allowed, limit := w.mostInWindow(ws.name), "-", "none"
+		if ws.perSecond > 0 {
+			bound := (float64(ws.perSecond)*limitWindow.Seconds()+float64(ws.burst))*(1+limitExcess) + limitExtra
+			allowed, limit = fmt.Sprint(int(bound)), fmt.Sprint(ws.perSecond)
+			if float64(highest) > bound || c["overLimit"] == 0 {
+				failures = append(failures, fmt.Errorf("workspace %s: %d requests ran in %s, allowed are %s; %d were rejected as over the limit", ws.name, highest, limitWindow, allowed, c["overLimit"]))
 			}
-		} else if float64(c["served"]) < servedShare*float64(asked) {
-			broken = append(broken, fmt.Errorf("workspace %s: %d of %d served", one.name, c["served"], asked))
+		} else if float64(c["served"]) < servedShare*float64(sent) {
+			failures = append(failures, fmt.Errorf("workspace %s without a limit: %d of %d requests served", ws.name, c["served"], sent))
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", one.name, limit, asked, c["served"], c["overLimit"], c["other"], most, allowed)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", ws.name, limit, sent, c["served"], c["overLimit"], c["other"], highest, allowed)
 	}
-	broken = append(broken, table.Flush(), w.limited.report(), w.backingOff.report())
-	return errors.Join(broken...)
+	failures = append(failures, table.Flush(), w.limited.report(), w.backingOff.report())
+	return errors.Join(failures...)
 }
 
-// mostInWindow returns the most runs of a workspace at targets in any window.
-func (w *workspaceDemo) mostInWindow(name string) (most int) {
+// mostInWindow returns the highest number of runs of a workspace in any window.
+func (w *workspaceDemo) mostInWindow(name string) (highest int) {
 	w.target.mu.Lock()
 	defer w.target.mu.Unlock()
 	runs := w.target.runs[name]
@@ -274,7 +275,7 @@
 		for at.Sub(runs[first]) > limitWindow {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
