--- a/contrib/layout/layout.go
+++ b/contrib/layout/layout.go
@@ -1,5 +1,5 @@
-// Package layout describes the places and processes of the two users, sized as
-// their brief says, for the demo and the measurements.
+// Package layout describes the regions, availability zones and processes of the two users, in
+// the sizes that the users specified, for the demo and the measurements.
 package layout
 
 import (
@@ -20,14 +20,14 @@
 // Control is a control replica.
 type Control struct{ Name, Peer, Operator string }
 
-// Target is a back end.
+// Target is a back end of a service.
 type Target struct {
 	Name, Service, Region, Zone, Address string
 	Slots                                int
 	ServiceTime                          time.Duration
 }
 
-// Service is a service with the size of its pools.
+// Service is a service with its number of targets over all regions and their slots.
 type Service struct {
 	Name        string
 	Servers     int
@@ -35,7 +35,7 @@
 	ServiceTime time.Duration
 }
 
-// Layout is one user's system.
+// Layout describes one user's system.
 type Layout struct {
 	Name     string
 	Regions  []string
@@ -43,28 +43,29 @@
 	Boxes    []Box
 	Controls []Control
 	Targets  []Target
-	// ZoneDelay, RegionDelay and CallerDelay are one-way delays.
+	// ZoneDelay and RegionDelay are the one-way delays between availability zones and between
+	// regions, CallerDelay is the one-way delay between a caller and a box.
 	ZoneDelay, RegionDelay, CallerDelay time.Duration
 	ProbeTime                           time.Duration
-	// Defaults are the settings that the user chose at the top of the tree.
+	// Defaults are the settings that the user changed at the root of the settings tree.
 	Defaults map[string]string
 }
 
 const (
-	controls    = 3
-	zoneNames   = "ab"
-	controlPort = 7100
-	entryPort   = 8100
-	portBlock   = 100
-	targetPort  = 9000
-	scalePort   = 10_000
-	scaleBlock  = 2_000
-	maxVoters   = 5
+	controlCount     = 3
+	zoneNames        = "ab"
+	controlPort      = 7100
+	entryPort        = 8100
+	portsPerUse      = 100
+	targetPort       = 9000
+	scalePort        = 10_000
+	scalePortsPerUse = 2_000
+	maxVoters        = 5
 )
 
-// Flagpost runs feature flags: latency first.
+// Flagpost is a user that runs feature flags and needs low latency first.
 func Flagpost() Layout {
-	return build(Layout{
+	return buildLayout(Layout{
 		Name:    "flagpost",
 		Regions: []string{"us-east", "eu-west", "ap-south"},
 		Services: []Service{
@@ -79,9 +80,9 @@
 	})
 }
 
-// Portal books installation appointments: headroom first.
+// Portal is a user that books installation appointments and needs spare capacity first.
 func Portal() Layout {
-	return build(Layout{
+	return buildLayout(Layout{
 		Name:    "portal",
 		Regions: []string{"ost", "west", "sued"},
 		Services: []Service{
@@ -96,8 +97,8 @@
 	})
 }
 
-// Scale is one region with a number of zones of so many entry boxes each, to
-// measure how the cost of control grows. Its targets are not served.
+// Scale returns a layout of one region with many availability zones and entry boxes, to measure
+// how the cost of control grows. Its targets are not served.
 func Scale(zones, boxesPerZone int) Layout {
 	l := Layout{
 		Name:     fmt.Sprintf("scale-%dx%d", zones, boxesPerZone),
@@ -111,15 +112,15 @@
 			i := len(l.Boxes)
 			l.Boxes = append(l.Boxes, Box{
 				Name: fmt.Sprintf("entry-%d", i+1), Region: "scale", Zone: zone,
-				Caller: address(scalePort + i), Peer: address(scalePort + scaleBlock + i), Operator: address(scalePort + 2*scaleBlock + i),
+				Caller: loopbackAddress(scalePort + i), Peer: loopbackAddress(scalePort + scalePortsPerUse + i), Operator: loopbackAddress(scalePort + 2*scalePortsPerUse + i),
 			})
 		}
-		l.Targets = append(l.Targets, Target{Name: "work-" + zone, Service: "work", Region: "scale", Zone: zone, Address: address(targetPort + z), Slots: 1})
+		l.Targets = append(l.Targets, Target{Name: "work-" + zone, Service: "work", Region: "scale", Zone: zone, Address: loopbackAddress(targetPort + z), Slots: 1})
 	}
-	return withControls(l)
+	return addControls(l)
 }
 
-// ByName returns a layout by its name: flagpost, portal or scale-ZONESxBOXES.
+// ByName returns the layout with a name: flagpost, portal or scale-ZONESxBOXES.
 func ByName(name string) (Layout, error) {
 	var zones, boxes int
 	if n, err := fmt.Sscanf(name, "scale-%dx%d", &zones, &boxes); n == 2 && err == nil {
@@ -130,26 +131,28 @@
 			return l, nil
 		}
 	}
-	return Layout{}, fmt.Errorf("layout %q: allowed is flagpost, portal or scale-ZONESxBOXES", name)
+	return Layout{}, fmt.Errorf("unknown layout %q, want flagpost, portal or scale-ZONESxBOXES", name)
 }
 
-func withControls(l Layout) Layout {
-	for i := range controls {
+// addControls adds the control replicas.
+func addControls(l Layout) Layout {
+	for i := range controlCount {
 		l.Controls = append(l.Controls, Control{
 			Name:     fmt.Sprintf("control-%d", i+1),
-			Peer:     address(controlPort + i),
-			Operator: address(controlPort + portBlock + i),
+			Peer:     loopbackAddress(controlPort + i),
+			Operator: loopbackAddress(controlPort + portsPerUse + i),
 		})
 	}
 	return l
 }
 
-func build(l Layout) Layout {
-	l = withControls(l)
+// buildLayout adds the control replicas, three entry boxes in each region and the targets.
+func buildLayout(l Layout) Layout {
+	l = addControls(l)
 	for _, region := range l.Regions {
 		for zone, boxes := range []int{2, 1} {
 			for range boxes {
-				l.Boxes = append(l.Boxes, l.box(region, zoneName(region, zone)))
+				l.Boxes = append(l.Boxes, l.newBox(region, zoneName(region, zone)))
 			}
 		}
 	}
@@ -161,7 +164,7 @@
 				Service:     s.Name,
 				Region:      region,
 				Zone:        zoneName(region, i/len(l.Regions)%len(zoneNames)),
-				Address:     address(targetPort + len(l.Targets)),
+				Address:     loopbackAddress(targetPort + len(l.Targets)),
 				Slots:       s.Slots,
 				ServiceTime: s.ServiceTime,
 			})
@@ -170,23 +173,23 @@
 	return l
 }
 
-func (l Layout) box(region, zone string) Box {
+func (l Layout) newBox(region, zone string) Box {
 	i := len(l.Boxes)
 	return Box{
 		Name:     fmt.Sprintf("entry-%d", i+1),
 		Region:   region,
 		Zone:     zone,
-		Caller:   address(entryPort + i),
-		Peer:     address(entryPort + portBlock + i),
-		Operator: address(entryPort + 2*portBlock + i),
+		Caller:   loopbackAddress(entryPort + i),
+		Peer:     loopbackAddress(entryPort + portsPerUse + i),
+		Operator: loopbackAddress(entryPort + 2*portsPerUse + i),
 	}
 }
 
 func zoneName(region string, i int) string { return region + "-" + zoneNames[i:i+1] }
 
-func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+func loopbackAddress(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// Edits returns the user's whole tree of settings.
+// Edits returns the edits that create the user's settings tree.
 func (l Layout) Edits() []operator.Edit {
 	var out []operator.Edit
 	add := func(path, key, value string) {
@@ -199,12 +202,12 @@
 		add("/:"+s.Name, "slots", fmt.Sprint(s.Slots))
 	}
 	for _, zone := range l.zones() {
-		l.zoneEdits(zone[0], zone[1], add)
+		l.addZoneEdits(zone[0], zone[1], add)
 	}
 	return out
 }
 
-// zones returns region and name of each availability zone.
+// zones returns the region and the name of each availability zone.
 func (l Layout) zones() [][2]string {
 	var out [][2]string
 	for _, b := range l.Boxes {
@@ -215,24 +218,25 @@
 	return out
 }
 
-func (l Layout) zoneEdits(region, zone string, add func(path, key, value string)) {
+// addZoneEdits adds the edits of one availability zone.
+func (l Layout) addZoneEdits(region, zone string, add func(path, key, value string)) {
 	path := "/" + region + "/" + zone
 	var boxes, names []string
-	witness := ""
+	witnessBox := ""
 	for _, b := range l.Boxes {
 		if b.Zone == zone {
 			names = append(names, b.Name)
 			boxes = append(boxes, fmt.Sprintf("%s=%s+%s", b.Name, b.Caller, b.Peer))
 		} else if b.Region == region {
-			witness = b.Name
+			witnessBox = b.Name
 		}
 	}
 	add(path, "entryBoxes", strings.Join(boxes, ","))
 	switch {
 	case len(boxes) > maxVoters:
 		add(path, "leaseVoters", strings.Join(names[:maxVoters], ","))
-	case len(boxes)%2 == 0 && witness != "":
-		add(path, "leaseWitness", witness)
+	case len(boxes)%2 == 0 && witnessBox != "":
+		add(path, "leaseWitness", witnessBox)
 	}
 	for _, s := range l.Services {
 		var targets []string
@@ -246,13 +250,13 @@
 }
 
 // ControlArguments returns the command line of a control replica.
-func (l Layout) ControlArguments(c Control, folder string) []string {
+func (l Layout) ControlArguments(c Control, dir string) []string {
 	var peers []string
 	for _, other := range l.Controls {
 		peers = append(peers, other.Peer)
 	}
 	return []string{
-		"control", "-name", c.Name, "-folder", folder + "/" + c.Name,
+		"control", "-name", c.Name, "-folder", dir + "/" + c.Name,
 		"-peer-address", c.Peer, "-operator-address", c.Operator, "-peers", strings.Join(peers, ","),
 	}
 }
--- a/contrib/layout/layout_test.go
+++ b/contrib/layout/layout_test.go
@@ -22,7 +22,8 @@
 	return out
 }
 
-// TestSampleTree keeps the shipped sample equal to the Flagpost layout.
+// TestSampleTree guards against a sample settings tree in docs that differs from the Flagpost
+// layout.
 func TestSampleTree(t *testing.T) {
 	data, err := settings.FormatFile(tree(t, Flagpost()))
 	if err != nil {
@@ -31,6 +32,8 @@
 	goldie.New(t, goldie.WithFixtureDir("../../docs"), goldie.WithNameSuffix(".json")).Assert(t, "tree.sample", data)
 }
 
+// Guards against layouts that deviate from the users' sizes, and against an even number of lease
+// voters, which tolerates no more failures than one voter less.
 func TestSizesOfTheBrief(t *testing.T) {
 	for _, l := range []Layout{Flagpost(), Portal()} {
 		zones := tree(t, l).Zones()
