--- a/contrib/knownred/entry.go
+++ b/contrib/knownred/entry.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	form     = "PACKAGE TEST[|TEST]: what was seen[; command COMMAND][; seed SEED]; issue N[; CI does not pass over it]"
-	finding  = "finding"
-	notOver  = "CI does not pass over it"
-	issue    = "issue "
-	seed     = "seed "
-	command  = "command "
-	between  = "; "
-	testFile = "_test.go"
+	entryFormat    = "PACKAGE TEST[|TEST]: what was seen[; command COMMAND][; seed SEED]; issue N[; CI does not pass over it]"
+	findingWord    = "finding"
+	runMarker      = "CI does not pass over it"
+	issuePrefix    = "issue "
+	seedPrefix     = "seed "
+	commandPrefix  = "command "
+	separator      = "; "
+	testFileSuffix = "_test.go"
 )
 
-// entry is a line of the list: tests of a package that may fail, or a finding without a test.
+// entry is a line of the list: tests of a package that may fail, or a finding that no test covers.
 type entry struct {
-	// Line is its number in the list, from 1.
+	// Line is the line number in the list, from 1.
 	Line    int
 	Package string
 	Tests   []string
-	// Finding names what was seen without a test; empty for tests.
+	// Finding is the subject of a finding, empty for tests.
 	Finding string
 	Seen    string
-	// Command and Seed bring the failure about; empty if none is known.
+	// Command and Seed reproduce the failure, empty if unknown.
 	Command string
 	Seed    string
 	Issue   int
-	// Run tells that CI runs the tests all the same.
+	// Run says that CI runs the tests although they may fail.
 	Run bool
 }
 
-// lineError says what is wrong with a line of the list.
+// lineError describes an invalid line of the list.
 type lineError struct {
 	Line    int
 	Problem string
@@ -54,7 +54,7 @@
 	testName    = regexp.MustCompile(`^Test[A-Za-z0-9_]*$`)
 )
 
-// parse reads a list. The error is a lineError.
+// parse parses a list. Its error is a *lineError.
 func parse(text string) ([]entry, error) {
 	var entries []entry
 	number := 0
@@ -77,20 +77,20 @@
 func parseLine(line string) (e entry, problem string) {
 	head, rest, ok := strings.Cut(line, ": ")
 	if !ok {
-		return e, "it is not of the form " + form
+		return e, "it is not of the form " + entryFormat
 	}
 	if e, problem = parseHead(head); problem != "" {
 		return e, problem
 	}
-	parts := strings.Split(rest, between)
-	parts, e.Run = cutRun(parts)
-	parts, number := cutLast(parts, issue)
+	parts := strings.Split(rest, separator)
+	parts, e.Run = cutRunMarker(parts)
+	parts, number := cutLastPrefixed(parts, issuePrefix)
 	if e.Issue, _ = strconv.Atoi(number); e.Issue <= 0 {
 		return e, "it names no issue (; issue N)"
 	}
-	parts, e.Seed = cutLast(parts, seed)
-	parts, e.Command = cutLast(parts, command)
-	if e.Seen = strings.Join(parts, between); e.Seen == "" {
+	parts, e.Seed = cutLastPrefixed(parts, seedPrefix)
+	parts, e.Command = cutLastPrefixed(parts, commandPrefix)
+	if e.Seen = strings.Join(parts, separator); e.Seen == "" {
 		return e, "it does not tell what was seen"
 	}
 	if e.Finding != "" && e.Run {
@@ -99,13 +99,13 @@
 	return e, ""
 }
 
-// parseHead reads what a line is about: tests of a package, or a finding.
+// parseHead parses the start of a line: tests of a package, or a finding.
 func parseHead(head string) (e entry, problem string) {
 	name, rest, ok := strings.Cut(head, " ")
 	if !ok || !packageName.MatchString(name) {
 		return e, fmt.Sprintf("%q does not begin with a package and a test", head)
 	}
-	if name == finding {
+	if name == findingWord {
 		e.Finding = rest
 		return e, ""
 	}
@@ -119,36 +119,37 @@
 	return e, ""
 }
 
-// cutRun takes the last part off if it says that CI runs the test.
-func cutRun(parts []string) ([]string, bool) {
+// cutRunMarker removes the last part if it is the marker that CI runs the tests.
+func cutRunMarker(parts []string) ([]string, bool) {
 	last := len(parts) - 1
-	if parts[last] == notOver {
+	if parts[last] == runMarker {
 		return parts[:last], true
 	}
 	return parts, false
 }
 
-// cutLast takes the last part off if it begins with a word, and returns what follows that.
-func cutLast(parts []string, word string) ([]string, string) {
+// cutLastPrefixed removes the last part if it has a prefix, and returns what follows the prefix.
+func cutLastPrefixed(parts []string, prefix string) ([]string, string) {
 	last := len(parts) - 1
-	if last < 0 || !strings.HasPrefix(parts[last], word) {
+	if last < 0 || !strings.HasPrefix(parts[last], prefix) {
 		return parts, ""
 	}
-	return parts[:last], strings.TrimPrefix(parts[last], word)
+	return parts[:last], strings.TrimPrefix(parts[last], prefix)
 }
 
-// findTests reports the first entry whose test does not exist below a folder.
-func findTests(root string, entries []entry) error {
+// checkTestsExist returns a *lineError for the first entry with a test that does not exist below
+// root.
+func checkTestsExist(root string, entries []entry) error {
 	for _, e := range entries {
 		if e.Finding != "" {
 			continue
 		}
-		known, err := testsOf(filepath.Join(root, filepath.FromSlash(e.Package)))
+		tests, err := testNames(filepath.Join(root, filepath.FromSlash(e.Package)))
 		if err != nil {
 			return &lineError{e.Line, fmt.Sprintf("package %s: %v", e.Package, err)}
 		}
 		for _, t := range e.Tests {
-			if !known[t] {
+			if !tests[t] {
 				return &lineError{e.Line, fmt.Sprintf("package %s has no test %s", e.Package, t)}
 			}
 		}
@@ -156,30 +157,30 @@
 	return nil
 }
 
-// testsOf returns the names of the functions at the top level of a package's test files.
-func testsOf(folder string) (map[string]bool, error) {
-	files, err := os.ReadDir(folder)
+// testNames returns the names of the functions without a receiver in a package's test files.
+func testNames(dir string) (map[string]bool, error) {
+	files, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	known := make(map[string]bool)
+	names := make(map[string]bool)
 	for _, f := range files {
-		if !strings.HasSuffix(f.Name(), testFile) {
+		if !strings.HasSuffix(f.Name(), testFileSuffix) {
 			continue
 		}
-		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(folder, f.Name()), nil, parser.SkipObjectResolution)
+		parsed, err := parser.ParseFile(token.NewFileSet(), filepath.Join(dir, f.Name()), nil, parser.SkipObjectResolution)
 		if err != nil {
 			return nil, err
 		}
-		for _, name := range functionsOf(parsed) {
-			known[name] = true
+		for _, name := range functionNames(parsed) {
+			names[name] = true
 		}
 	}
-	return known, nil
+	return names, nil
 }
 
-// functionsOf returns the names of a file's functions that have no receiver.
-func functionsOf(f *ast.File) (names []string) {
+// functionNames returns the names of a file's functions without a receiver.
+func functionNames(f *ast.File) (names []string) {
 	for _, d := range f.Decls {
 		if function, ok := d.(*ast.FuncDecl); ok && function.Recv == nil {
 			names = append(names, function.Name.Name)
--- a/contrib/knownred/knownred_test.go
+++ b/contrib/knownred/knownred_test.go
@@ -11,12 +11,12 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// Guards against a list that is read in another way than its author meant: an entry that hides
-// a test of another package or one that CI is to run, and a line that is passed over unseen.
+// Guards against a list that is parsed differently from what its author meant: an entry that
+// skips a test of another package or one that CI must run, or an invalid line that is ignored.
 func TestLists(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no lists: %v", err)
+		t.Fatalf("found no lists in testdata: %v", err)
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".txt")
@@ -30,11 +30,11 @@
 	}
 }
 
-// report tells what a list leads to.
+// report returns what a list results in: an error, or its description and the go commands.
 func report(text string) string {
 	entries, err := parse(text)
 	if err == nil {
-		err = findTests("testdata/module", entries)
+		err = checkTestsExist("testdata/module", entries)
 	}
 	if err != nil {
 		var e *lineError
@@ -48,14 +48,14 @@
 	return out.String()
 }
 
-// Guards against a list in the repository that CI would refuse.
+// Guards against an invalid list of known failures in this repository.
 func TestOwnList(t *testing.T) {
 	const root = "../.."
 	entries, err := readList(filepath.Join(root, "KNOWN-RED.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := findTests(root, entries); err != nil {
+	if err := checkTestsExist(root, entries); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/contrib/knownred/main.go
+++ b/contrib/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs go test without the tests that a list of known failures names, each by
-// its package and name, and prints the list. A list that can't be read ends it with exit code 2.
+// Command knownred runs go test without the tests on a list of known failures, each identified
+// by package and name, and prints the list. It exits with code 2 if the list is invalid.
 //
 //	knownred [-list FILE] [-check] [-race] PACKAGES
 package main
@@ -13,11 +13,11 @@
 	"strings"
 )
 
-// exitUsage is the exit code for a wrong list or flag.
+// exitUsage is the exit code for an invalid list or flag.
 const exitUsage = 2
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "list of known failures; none if there is no such file")
+	list := flag.String("list", "KNOWN-RED.txt", "list of known failures; a missing file is an empty list")
 	check := flag.Bool("check", false, "only check and print the list")
 	race := flag.Bool("race", false, "run with the race detector")
 	flag.Parse()
@@ -25,7 +25,7 @@
 	if err != nil {
 		fail(exitUsage, err)
 	}
-	if err := findTests(".", entries); err != nil {
+	if err := checkTestsExist(".", entries); err != nil {
 		fail(exitUsage, fmt.Errorf("%s: %w", *list, err))
 	}
 	fmt.Print(describe(entries))
@@ -46,7 +46,7 @@
 	os.Exit(code)
 }
 
-// readList reads the entries of a file, of which there are none if it is missing.
+// readList reads the entries of a file. A missing file has none.
 func readList(path string) ([]entry, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -62,7 +62,7 @@
 	return entries, nil
 }
 
-// listPackages returns the folders of packages below the module's root.
+// listPackages returns the directories of packages relative to the module's root.
 func listPackages(patterns []string) ([]string, error) {
 	command := exec.Command("go", append([]string{"list", "-f", "{{.Module.Path}} {{.ImportPath}}"}, patterns...)...)
 	command.Stderr = os.Stderr
@@ -70,19 +70,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("listing the packages: %w", err)
 	}
-	var folders []string
+	var dirs []string
 	for line := range strings.Lines(string(out)) {
 		module, path, _ := strings.Cut(strings.TrimSpace(line), " ")
-		folder := strings.TrimPrefix(strings.TrimPrefix(path, module), "/")
-		if folder == "" {
-			folder = "."
+		dir := strings.TrimPrefix(strings.TrimPrefix(path, module), "/")
+		if dir == "" {
+			dir = "."
 		}
-		folders = append(folders, folder)
+		dirs = append(dirs, dir)
 	}
-	return folders, nil
+	return dirs, nil
 }
 
-// runAll runs all invocations of go, also after one that failed.
+// runAll runs go with each list of arguments, even after one has failed.
 func runAll(list [][]string) error {
 	var failed []error
 	for _, arguments := range list {
--- a/contrib/knownred/plan.go
+++ b/contrib/knownred/plan.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// describe returns what is passed over, and what is run though it may fail.
+// describe lists the entries: skipped tests, tests that run although they may fail, and findings.
 func describe(entries []entry) string {
 	if len(entries) == 0 {
 		return "no known failures\n"
@@ -21,7 +21,7 @@
 	return out.String()
 }
 
-// subject tells what an entry is about and what CI does with it.
+// subject returns what an entry is about and how CI treats it.
 func (e entry) subject() string {
 	if e.Finding != "" {
 		return "open finding: " + e.Finding
@@ -33,8 +33,8 @@
 	return "passed over: " + tests
 }
 
-// invocations returns the arguments of go that test packages: one without skipped tests for
-// those of which none is passed over, and one for each other.
+// invocations returns the arguments of the go commands that test packages: one command for all
+// packages without skipped tests, and one for each other package.
 func invocations(packages []string, entries []entry, race bool) [][]string {
 	skipped := make(map[string][]string)
 	for _, e := range entries {
@@ -46,18 +46,18 @@
 	if race {
 		test = append(test, "-race")
 	}
-	whole := slices.Clone(test)
-	var parts [][]string
+	unfiltered := slices.Clone(test)
+	var calls [][]string
 	for _, p := range packages {
 		names := skipped[p]
 		if len(names) == 0 {
-			whole = append(whole, "./"+p)
+			unfiltered = append(unfiltered, "./"+p)
 			continue
 		}
-		parts = append(parts, append(slices.Clone(test), "-skip", "^("+strings.Join(names, "|")+")$", "./"+p))
+		calls = append(calls, append(slices.Clone(test), "-skip", "^("+strings.Join(names, "|")+")$", "./"+p))
 	}
-	if len(whole) > len(test) {
-		parts = append([][]string{whole}, parts...)
+	if len(unfiltered) > len(test) {
+		calls = append([][]string{unfiltered}, calls...)
 	}
-	return parts
+	return calls
 }
