--- a/contrib/regress/compare.go
+++ b/contrib/regress/compare.go
@@ -11,14 +11,14 @@
 	"strings"
 )
 
-// mostDown is by how much the mean worth of a deployment's days with trouble may fall:
-// less than that differs between two plays of the same code.
-const mostDown = 0.03
+// maxDrop is how much the mean worth of a deployment's days with trouble may drop. Runs of the
+// same code differ by up to that.
+const maxDrop = 0.03
 
-// drawnPrefix begins the names of days that were drawn for one score alone.
-const drawnPrefix = "fresh-"
+// extraDayPrefix is the name prefix of days that were drawn for a single score.
+const extraDayPrefix = "fresh-"
 
-// day is one played day of an entry.
+// day is the result of one simulated day.
 type day struct {
 	Name  string          `json:"name"`
 	Slot  string          `json:"slot"`
@@ -29,40 +29,40 @@
 	Short json.RawMessage `json:"short"`
 }
 
-// entry is one entry of the journal, as far as it is compared.
+// entry holds the compared fields of a journal entry.
 type entry struct {
-	ID    string   `json:"id"`
-	Verb  string   `json:"cmd"`
-	Site  string   `json:"site"`
-	Head  string   `json:"head"`
-	Ended bool     `json:"ok"`
-	At    []string `json:"at"`
-	Days  []day    `json:"days"`
-	// Arguments are those of the play.
+	ID      string   `json:"id"`
+	Command string   `json:"cmd"`
+	Site    string   `json:"site"`
+	Commit  string   `json:"head"`
+	OK      bool     `json:"ok"`
+	Times   []string `json:"at"`
+	Days    []day    `json:"days"`
+	// Arguments are the command-line arguments of the run.
 	Arguments []string `json:"argv"`
 }
 
-// partial are the arguments of scores that don't compare with whole ones.
-var partial = []string{"--small", "--quick", "--no-cpu"}
+// partialArguments are the arguments of scores that can't be compared with complete ones.
+var partialArguments = []string{"--small", "--quick", "--no-cpu"}
 
-// isWhole reports whether an entry is a score that was played to its end on all
-// standard days as they are.
+// isWhole reports whether an entry is the score of a run that finished and covered all standard
+// days in full.
 func (e entry) isWhole() bool {
-	part := slices.ContainsFunc(e.Arguments, func(a string) bool { return slices.Contains(partial, a) })
-	return e.Verb == "score" && e.Ended && e.Site != "" && len(e.At) > 0 && !part
+	partial := slices.ContainsFunc(e.Arguments, func(a string) bool { return slices.Contains(partialArguments, a) })
+	return e.Command == "score" && e.OK && e.Site != "" && len(e.Times) > 0 && !partial
 }
 
-// readEntries reads the whole scores of a journal, the oldest first.
-func readEntries(folder string) ([]entry, error) {
-	paths, err := filepath.Glob(filepath.Join(folder, "*.json"))
+// readEntries reads the complete scores of a journal, the oldest first.
+func readEntries(dir string) ([]entry, error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
-		return nil, fmt.Errorf("looking for entries: %w", err)
+		return nil, fmt.Errorf("searching journal %s: %w", dir, err)
 	}
 	var out []entry
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			return nil, fmt.Errorf("reading an entry: %w", err)
+			return nil, fmt.Errorf("reading a journal entry: %w", err)
 		}
 		var e entry
 		if err := json.Unmarshal(text, &e); err != nil {
@@ -72,25 +72,25 @@
 			out = append(out, e)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b entry) int { return cmp.Compare(a.At[0], b.At[0]) })
+	slices.SortStableFunc(out, func(a, b entry) int { return cmp.Compare(a.Times[0], b.Times[0]) })
 	return out, nil
 }
 
-// comparison is the latest score of a deployment beside an earlier one.
+// comparison compares the latest score of a deployment with an earlier one.
 type comparison struct {
-	Site         string
-	Now, Before  entry
-	Worth, Was   float64
-	HasBefore    bool
-	Faults       []string
-	DaysCompared int
+	Site               string
+	Now, Before        entry
+	Worth, WorthBefore float64
+	HasBefore          bool
+	Faults             []string
+	DaysCompared       int
 }
 
-// String returns a line for people.
+// String returns a printable line.
 func (c comparison) String() string {
 	out := fmt.Sprintf("%s: %s worth %.3f", c.Site, c.Now.ID, c.Worth)
 	if c.HasBefore {
-		out += fmt.Sprintf(", %s %.3f (%d days)", c.Before.ID, c.Was, c.DaysCompared)
+		out += fmt.Sprintf(", %s %.3f (%d days)", c.Before.ID, c.WorthBefore, c.DaysCompared)
 	} else {
 		out += ", nothing to compare with"
 	}
@@ -100,8 +100,8 @@
 	return out
 }
 
-// compare compares the latest score of each deployment with the latest one before it
-// of another commit, or of the commit that earlier begins.
+// compare compares the latest score of each deployment with the latest one before it of another
+// commit whose hash starts with earlier.
 func compare(entries []entry, earlier string) []comparison {
 	bySite := make(map[string][]entry)
 	for _, e := range entries {
@@ -117,18 +117,18 @@
 func compareSite(site string, list []entry, earlier string) comparison {
 	c := comparison{Site: site, Now: list[len(list)-1]}
 	for _, e := range slices.Backward(list[:len(list)-1]) {
-		if e.Head != c.Now.Head && strings.HasPrefix(e.Head, earlier) {
+		if e.Commit != c.Now.Commit && strings.HasPrefix(e.Commit, earlier) {
 			c.Before, c.HasBefore = e, true
 			break
 		}
 	}
-	c.judgeDays()
-	c.judgeWorth()
+	c.checkDays()
+	c.checkWorth()
 	return c
 }
 
-// judgeDays notes the days of the latest score that broke a rule or failed the gate.
-func (c *comparison) judgeDays() {
+// checkDays adds the days of the latest score that broke a rule, had a fault or failed the gate.
+func (c *comparison) checkDays() {
 	for _, d := range c.Now.Days {
 		if len(d.Rules) > 0 {
 			c.Faults = append(c.Faults, fmt.Sprintf("%s broke %s", d.Name, strings.Join(slices.Sorted(maps.Keys(d.Rules)), ", ")))
@@ -142,35 +142,35 @@
 	}
 }
 
-// judgeWorth compares the means of the days with trouble that both scores have.
-func (c *comparison) judgeWorth() {
-	was := make(map[string]float64)
+// checkWorth compares the mean worth of the days with trouble that both scores have.
+func (c *comparison) checkWorth() {
+	worthBefore := make(map[string]float64)
 	for _, d := range c.Before.Days {
-		was[d.Name] = d.Worth
+		worthBefore[d.Name] = d.Worth
 	}
-	var now, before, all float64
+	var now, before, sum float64
 	days := 0
 	for _, d := range c.Now.Days {
-		if d.Slot == "quiet" || strings.HasPrefix(d.Name, drawnPrefix) {
+		if d.Slot == "quiet" || strings.HasPrefix(d.Name, extraDayPrefix) {
 			continue
 		}
 		days++
-		all += d.Worth
-		if w, ok := was[d.Name]; ok {
+		sum += d.Worth
+		if w, ok := worthBefore[d.Name]; ok {
 			c.DaysCompared++
 			now += d.Worth
 			before += w
 		}
 	}
 	if days > 0 {
-		c.Worth = all / float64(days)
+		c.Worth = sum / float64(days)
 	}
 	if c.DaysCompared == 0 {
 		return
 	}
 	n := float64(c.DaysCompared)
-	c.Was = before / n
-	if down := c.Was - now/n; down > mostDown {
-		c.Faults = append(c.Faults, fmt.Sprintf("down by %.3f, at most %.2f is allowed", down, mostDown))
+	c.WorthBefore = before / n
+	if drop := c.WorthBefore - now/n; drop > maxDrop {
+		c.Faults = append(c.Faults, fmt.Sprintf("down by %.3f, at most %.2f is allowed", drop, maxDrop))
 	}
 }
--- a/contrib/regress/compare_test.go
+++ b/contrib/regress/compare_test.go
@@ -8,27 +8,30 @@
 	"testing"
 )
 
-// write writes a journal of one deployment's scores, the oldest first, each with the
-// worth of its days and what else is to stand in its second day.
+// write writes a journal with scores of one deployment, the oldest first. Each argument is the
+// JSON of the second day of a score.
 func write(t *testing.T, scores ...string) string {
 	t.Helper()
-	folder := t.TempDir()
+	dir := t.TempDir()
 	for i, second := range scores {
 		text := fmt.Sprintf(`{"id":"e%d","cmd":"score","site":"shop","ok":true,"head":"commit%d","at":["2026-01-0%d"],"days":[
 			{"name":"quiet-1","slot":"quiet","G":0.1,"gate":true,"rules":{},"fault":null},
 			%s,
 			{"name":"fresh-1","slot":"trouble","G":0.0,"gate":true,"rules":{},"fault":null}]}`, i, i, i+1, second)
-		if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("e%d.json", i)), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("e%d.json", i)), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return folder
+	return dir
 }
 
+// dayOf returns the JSON of a day with trouble.
 func dayOf(worth float64, gate bool, rules string) string {
 	return fmt.Sprintf(`{"name":"trouble-1","slot":"trouble","G":%g,"gate":%t,"rules":%s,"fault":null}`, worth, gate, rules)
 }
 
+// Guards against a worse score, a broken rule or a failed gate that is not reported, and against
+// noise that is.
 func TestWorseScoresAreNamed(t *testing.T) {
 	good := dayOf(0.60, true, "{}")
 	tests := []struct {
@@ -52,7 +55,7 @@
 			}
 			got := compare(entries, "")
 			if len(got) != 1 {
-				t.Fatalf("%d comparisons", len(got))
+				t.Fatalf("got %d comparisons, want 1", len(got))
 			}
 			faults := strings.Join(got[0].Faults, "; ")
 			if (faults == "") != (test.want == "") || !strings.Contains(faults, test.want) {
@@ -62,37 +65,40 @@
 	}
 }
 
+// Guards against a comparison with another commit than -earlier names.
 func TestScoreIsComparedWithTheNamedCommit(t *testing.T) {
 	entries, err := readEntries(write(t, dayOf(0.7, true, "{}"), dayOf(0.6, true, "{}"), dayOf(0.6, true, "{}")))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c := compare(entries, "commit0")[0]; c.Before.ID != "e0" || len(c.Faults) != 1 {
-		t.Errorf("%v", c)
+		t.Errorf("comparison with commit0: got %v", c)
 	}
 }
 
+// Guards against a comparison with partial or unfinished scores.
 func TestPartialScoresAreLeftOut(t *testing.T) {
-	folder := write(t, dayOf(0.6, true, "{}"))
+	dir := write(t, dayOf(0.6, true, "{}"))
 	small := `{"id":"s","cmd":"score","site":"shop","ok":true,"head":"h","at":["2026-02-01"],"argv":["shop.toml","--small"],"days":[]}`
 	unfinished := `{"id":"u","cmd":"score","site":"shop","ok":false,"head":"h","at":["2026-02-02"],"days":[]}`
 	for i, text := range []string{small, unfinished} {
-		if err := os.WriteFile(filepath.Join(folder, fmt.Sprintf("p%d.json", i)), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("p%d.json", i)), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	entries, err := readEntries(folder)
+	entries, err := readEntries(dir)
 	if err != nil || len(entries) != 1 || entries[0].ID != "e0" {
-		t.Errorf("%d entries: %v", len(entries), err)
+		t.Errorf("got %d entries (error: %v), want only e0", len(entries), err)
 	}
 }
 
+// Guards against an invalid journal entry that is ignored, or whose error doesn't name the file.
 func TestBrokenEntryIsNamed(t *testing.T) {
-	folder := write(t, dayOf(0.6, true, "{}"))
-	if err := os.WriteFile(filepath.Join(folder, "broken.json"), []byte("{"), 0o600); err != nil {
+	dir := write(t, dayOf(0.6, true, "{}"))
+	if err := os.WriteFile(filepath.Join(dir, "broken.json"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := readEntries(folder); err == nil || !strings.Contains(err.Error(), "broken.json") {
-		t.Errorf("got %v", err)
+	if _, err := readEntries(dir); err == nil || !strings.Contains(err.Error(), "broken.json") {
+		t.Errorf("got error %v, want one that names broken.json", err)
 	}
 }
--- a/contrib/regress/main.go
+++ b/contrib/regress/main.go
@@ -1,5 +1,5 @@
-// Command regress compares the latest score of each deployment in a journal of plays
-// with the one before it, of an earlier commit, and fails if one got worse.
+// Command regress compares the latest score of each deployment in a journal with the previous
+// one of another commit, and fails if a deployment got worse.
 package main
 
 import (
@@ -9,8 +9,8 @@
 )
 
 func main() {
-	journal := flag.String("journal", "journal", "folder of the entries of plays")
-	earlier := flag.String("earlier", "", "commit that the scores to compare with are of; the latest other one of each deployment if empty")
+	journal := flag.String("journal", "journal", "directory of the journal")
+	earlier := flag.String("earlier", "", "commit to compare with, or the start of its hash; if empty, the latest other commit of each deployment")
 	flag.Parse()
 	entries, err := readEntries(*journal)
 	if err != nil {
