--- a/contrib/measure/limits.go
+++ b/contrib/measure/limits.go
@@ -36,7 +36,7 @@
 	start func(l catalog.RateLimit, faults limitScenario) func(now time.Duration, box int) (allowed bool, asks int)
 }
 
-// limitScenario says where requests arrive and what fails from limitFaultAt on for limitFaultFor.
+// limitScenario says where requests arrive, and what fails for limitFaultFor from limitFaultAt on.
 type limitScenario struct {
 	name string
 	// noLeader: there is no leader. cutZone is the zone whose boxes reach only the replica of
--- a/contrib/measure/objects.go
+++ b/contrib/measure/objects.go
@@ -33,7 +33,7 @@
 	// knownWorkShare is the share of the work that remains for an object that the target has
 	// cached.
 	knownWorkShare = 0.3
-	// workSpread is the standard deviation of the log-normal work.
+	// workSpread is the standard deviation of the logarithm of the work, which is log-normal.
 	workSpread = 0.15
 	// queueFactor is how many requests a target queues per slot.
 	queueFactor = 3
@@ -269,7 +269,8 @@
 	return &objectTarget{sim: s, dead: true}
 }
 
-// handleRefusal makes the caller send the request again after a delay, once at most.
+// handleRefusal makes the caller send the request again after a delay. A second refusal, or a
+// delay that is too long, counts as refused.
 func (b *objectBox) handleRefusal(r *objectRequest, after time.Duration) {
 	s := b.sim
 	if r.retried || after > objectCallerTimeout/3 {
--- a/contrib/measure/request.go
+++ b/contrib/measure/request.go
@@ -26,7 +26,7 @@
 	choices     []lookup.Choice
 	config      routing.Config
 	failover    *routing.Failover
-	pool        int
+	poolIndex   int
 	keptVerdict retry.Verdict
 	runs        int
 	callerDelay time.Duration // one-way delay to the first box
@@ -102,9 +102,9 @@
 // sendToPool makes the current pool run the request.
 func (r *request) sendToPool() {
 	s := r.sim
-	c := r.choices[r.pool]
+	c := r.choices[r.poolIndex]
 	p := s.pools[c.Zone]
-	if r.pool > 0 && (s.cut[c.Zone] || s.cut[r.choices[0].Zone]) || p.dead {
+	if r.poolIndex > 0 && (s.cut[c.Zone] || s.cut[r.choices[0].Zone]) || p.dead {
 		s.after(deadDialTime, func() { r.handlePoolResult(retry.DidNotRun, 0) })
 		return
 	}
@@ -163,7 +163,7 @@
 	}
 	first, second := r.choices[0].Zone, r.choices[1].Zone
 	near := !r.sim.pools[second].dead && !r.sim.cut[first] && !r.sim.cut[second]
-	return r.config.NoWait(r.pool, near)
+	return r.config.NoWait(r.poolIndex, near)
 }
 
 // runAttempt runs an attempt at its target.
@@ -219,18 +219,18 @@
 		r.keptVerdict = v
 	}
 	if d.TryNext {
-		r.pool++
+		r.poolIndex++
 		hop := s.layout.ZoneDelay
-		if r.choices[r.pool].Region != r.choices[0].Region {
+		if r.choices[r.poolIndex].Region != r.choices[0].Region {
 			hop = s.layout.RegionDelay
 		}
 		s.after(hop, r.sendToPool)
 		return
 	}
 	back := r.callerDelay
-	if r.pool > 0 {
+	if r.poolIndex > 0 {
 		back += s.layout.ZoneDelay
-		if r.choices[r.pool].Region != r.choices[0].Region {
+		if r.choices[r.poolIndex].Region != r.choices[0].Region {
 			back += s.layout.RegionDelay - s.layout.ZoneDelay
 		}
 	}
--- a/contrib/measure/sim.go
+++ b/contrib/measure/sim.go
@@ -22,8 +22,8 @@
 	deadDialTime    = 250 * time.Millisecond
 	callerTimeout   = 2 * time.Second
 	warmUpFactor    = 4
-	// minServiceTime bounds the number of requests of a run. The users specify slots and no
-	// service times.
+	// minServiceTime is a lower bound of the service time, which limits the number of requests of
+	// a run. It doesn't contradict the users' sizes: they specify slots and no service times.
 	minServiceTime = 20 * time.Millisecond
 	warmUpTime     = 5 * time.Second
 )
