--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -63,19 +63,19 @@
 		}},
 		{name: "target lies", inject: func(s *system, at location) {
 			t := s.target(at.target).target
-			t.SetBroken(true)
-			undoLater(func() { t.SetBroken(false) })
+			t.SetFailing(true)
+			undoLater(func() { t.SetFailing(false) })
 		}},
 		{name: "target drains", planned: true, inject: func(s *system, at location) {
 			s.target(at.target).target.SetDraining(true)
 		}},
 		{name: "reports missing", inject: func(s *system, _ location) {
 			for _, t := range s.allTargets() {
-				t.target.SetMute(true)
+				t.target.SetHealthFailing(true)
 			}
 			undoLater(func() {
 				for _, t := range s.allTargets() {
-					t.target.SetMute(false)
+					t.target.SetHealthFailing(false)
 				}
 			})
 		}},
