--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -163,9 +163,9 @@
 func (d *Daemon) connectReplica(id string) {
 	syncs := d.process.Counter("journal_syncs_total", "Syncs of the journal.").WithLabelValues()
 	syncTime := d.process.Counter("journal_sync_seconds_total", "Time spent in syncs of the journal.").WithLabelValues()
-	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Registration updates of targets that were rejected.").WithLabelValues()
+	d.rejectedUpdates = d.process.Counter("target_words_unread_total", "Words of targets that can't be used.").WithLabelValues()
 	d.rejectedLogLimiter = process.NewLineLimiter(maxRejectedLogsPerSecond)
-	verdicts := d.process.Counter("changes_settled_total", "Changes that received a verdict, by verdict.", "verdict")
+	verdicts := d.process.Counter("changes_settled_total", "Changes that got a verdict, by verdict.", "verdict")
 	d.replica.send = func(m *wire.ConsensusMessage) {
 		m.FromAddress = d.config.PeerAddress
 		d.transport.send(d.addressOf(m.To), m)
@@ -194,11 +194,11 @@
 			verdicts.WithLabelValues(verdictName(v.Kind)).Inc()
 		}
 	}
-	d.process.Gauge("quarantine_suspects", "Requests that crashed targets, as reported by boxes.", func() float64 { return float64(d.evidence.len()) })
-	d.process.Gauge("target_limits", "Targets that report a rate limit for all boxes together.", func() float64 { return float64(d.targetLimits.limitedCount()) })
+	d.process.Gauge("quarantine_suspects", "Requests under which targets ended, as boxes told.", func() float64 { return float64(d.evidence.len()) })
+	d.process.Gauge("target_limits", "Targets that name how much they take from all boxes together.", func() float64 { return float64(d.targetLimits.limitedCount()) })
 	d.process.Gauge("control_bytes_sent", "Bytes sent to other processes.", func() float64 { return float64(d.node.Control.Sent.Load()) })
 	d.process.Gauge("control_bytes_received", "Bytes received from other processes.", func() float64 { return float64(d.node.Control.Received.Load()) })
-	d.process.Gauge("control_age_seconds", "Time since the last contact with a leader that has a quorum; it grows on a replica that is cut off.", func() float64 { return d.controlAge().Seconds() })
+	d.process.Gauge("control_age_seconds", "Age of the update of a leader with a quorum; a replica that is cut off shows it growing.", func() float64 { return d.controlAge().Seconds() })
 }
 
 func (d *Daemon) recordApplied(c *wire.Command, result steering.Result) {
