--- a/internal/control/boxes_test.go
+++ b/internal/control/boxes_test.go
@@ -21,7 +21,7 @@
 	publisher      *distribution.Publisher
 	source         *distribution.Subscribe
 	sentAt         time.Time
-	sent           uint64
+	sentVersion    uint64
 	alive          bool
 	downUntil      time.Time
 	highestVersion uint64
@@ -55,7 +55,7 @@
 	out := b.follower.Handle(sim.now, e)
 	if out.Subscribe != nil {
 		b.source = out.Subscribe
-		b.sent = out.Subscribe.Version
+		b.sentVersion = out.Subscribe.Version
 		b.sentAt = time.Time{}
 	}
 	if out.State == nil {
@@ -95,16 +95,16 @@
 	if b.sentAt.IsZero() {
 		sim.boxEvent(b, distribution.Opened{Attempt: attempt})
 	}
-	if !b.alive || (sim.now.Sub(b.sentAt) < time.Second && pub.Version() <= b.sent) {
+	if !b.alive || (sim.now.Sub(b.sentAt) < time.Second && pub.Version() <= b.sentVersion) {
 		return
 	}
 	sim.boxHook("distribute", b)
 	if !b.alive {
 		return
 	}
-	u := pub.Update(b.sent, age)
+	u := pub.Update(b.sentVersion, age)
 	b.sentAt = sim.now
-	b.sent = max(b.sent, u.Version)
+	b.sentVersion = max(b.sentVersion, u.Version)
 	sim.boxEvent(b, distribution.Received{Attempt: attempt, Update: proto.CloneOf(u)})
 }
 
--- a/internal/control/burst_test.go
+++ b/internal/control/burst_test.go
@@ -46,7 +46,7 @@
 		{3002, 2 * time.Millisecond},
 	} {
 		t.Run(fmt.Sprintf("%d/%v", b.targets, b.commandTime), func(t *testing.T) {
-			runReplicasOn(t, wideLinkBytes, steering.State{}, func(t *testing.T, s *slowReplicas) { s.checkBurst(t, b) })
+			runReplicasWithBandwidth(t, wideLinkBytes, steering.State{}, func(t *testing.T, s *slowReplicas) { s.checkBurst(t, b) })
 		})
 	}
 }
@@ -128,7 +128,7 @@
 	began := time.Now()
 	for attempt := 0; ; attempt++ {
 		ctx, cancel := context.WithTimeout(t.Context(), targetCallTimeout)
-		err := s.daemons[attempt%len(s.daemons)].PutRoutes(ctx, catalog.Document{Number: 1}, operatorsText(100))
+		err := s.daemons[attempt%len(s.daemons)].PutRoutes(ctx, catalog.Document{Number: 1}, sampleRoutesText(100))
 		cancel()
 		if err == nil {
 			return time.Since(began)
--- a/internal/control/faults_test.go
+++ b/internal/control/faults_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-func named(name string, f fault) fault {
+// withName returns a fault as a row of the matrix with the given name.
+func withName(name string, f fault) fault {
 	f.name = name
 	return f
 }
@@ -59,8 +60,8 @@
 	}}
 }
 
-// fullDiskFault makes a disk reject writes for a while. The first rejected write leaves half of
-// its bytes.
+// fullDiskFault makes a disk reject writes for a while. A rejected write leaves half of its bytes,
+// until another operation of the disk succeeds.
 func fullDiskFault(length time.Duration) fault {
 	return fault{onNode: func(sim *simulation, n *node) {
 		until := sim.now.Add(length)
@@ -76,6 +77,7 @@
 	}}
 }
 
+// cutFault cuts an availability zone off from the others, in one direction or both.
 func cutFault(out, in bool, length time.Duration) fault {
 	return fault{
 		onNode: func(sim *simulation, n *node) { sim.cutZone(n.zone, out, in, length) },
@@ -85,34 +87,34 @@
 
 func faults() []fault {
 	return []fault{
-		named("kill", killFault(3*time.Second, false)),
-		named("restart", killFault(0, false)),
-		named("torn write", killFault(time.Second, true)),
-		named("failed sync", diskFault("sync")),
-		named("full disk", diskFault("write")),
-		named("full disk for a while", fullDiskFault(4*time.Second)),
-		named("disk lost", fault{onNode: func(sim *simulation, n *node) {
+		withName("kill", killFault(3*time.Second, false)),
+		withName("restart", killFault(0, false)),
+		withName("torn write", killFault(time.Second, true)),
+		withName("failed sync", diskFault("sync")),
+		withName("full disk", diskFault("write")),
+		withName("full disk for a while", fullDiskFault(4*time.Second)),
+		withName("disk lost", fault{onNode: func(sim *simulation, n *node) {
 			sim.loseDisk(n, time.Second)
 			panic(crashed{n})
 		}, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
-		named("freeze and thaw", fault{onNode: func(sim *simulation, n *node) {
+		withName("freeze and thaw", fault{onNode: func(sim *simulation, n *node) {
 			n.frozen = true
 			n.downUntil = sim.now.Add(2500 * time.Millisecond)
 		}}),
-		named("zone cut", cutFault(true, true, 4*time.Second)),
-		named("zone cut, out only", cutFault(true, false, 4*time.Second)),
-		named("zone cut, in only", cutFault(false, true, 4*time.Second)),
-		named("control box cut for long", cutFault(true, true, 45*time.Second)),
-		named("second loss after repair", fault{onNode: secondLoss, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
-		named("operators racing", fault{prepare: func(_ *simulation, o *operators) { o.pause = simulationStep }, onNode: func(sim *simulation, n *node) {
+		withName("zone cut", cutFault(true, true, 4*time.Second)),
+		withName("zone cut, out only", cutFault(true, false, 4*time.Second)),
+		withName("zone cut, in only", cutFault(false, true, 4*time.Second)),
+		withName("control box cut for long", cutFault(true, true, 45*time.Second)),
+		withName("second loss after repair", fault{onNode: secondLoss, onBox: func(sim *simulation, b *box) { sim.killBox(b, time.Second) }}),
+		withName("operators racing", fault{prepare: func(_ *simulation, o *operators) { o.pause = simulationStep }, onNode: func(sim *simulation, n *node) {
 			sim.kill(n, false, time.Second)
 			panic(crashed{n})
 		}}),
-		named("operators resending", fault{prepare: func(_ *simulation, o *operators) { o.duplicates = true }, onNode: func(sim *simulation, n *node) {
+		withName("operators resending", fault{prepare: func(_ *simulation, o *operators) { o.duplicates = true }, onNode: func(sim *simulation, n *node) {
 			sim.kill(n, false, time.Second)
 			panic(crashed{n})
 		}}),
-		named("restart after 500 changes", fault{onNode: func(sim *simulation, n *node) {
+		withName("restart after 500 changes", fault{onNode: func(sim *simulation, n *node) {
 			sim.kill(n, false, 25*time.Second)
 			panic(crashed{n})
 		}, prepare: func(_ *simulation, o *operators) { o.pause = 2 * simulationStep }}),
@@ -176,13 +178,13 @@
 	if first.prepare != nil {
 		first.prepare(sim, o)
 	}
-	struck := armFaults(sim, s, first, second)
+	triggered := armFaults(sim, s, first, second)
 	if s.provoke != nil && sim.leader() != nil {
 		s.provoke(sim)
 	}
 	o.run(8*time.Second, nil)
 	o.run(60*time.Second, func() bool { return recovered(sim) })
-	if !*struck {
+	if !*triggered {
 		return []string{"the step was not reached"}
 	}
 	o.checkRecovery()
@@ -205,33 +207,34 @@
 }
 
 // armFaults installs hooks that trigger the first fault when the step is reached next, and the
-// second when it is reached again at another node.
+// second when it is reached again, for steps of nodes at another node. The returned flag is set
+// once a fault was triggered.
 func armFaults(sim *simulation, s step, first fault, second *fault) *bool {
-	struck := false
-	left := []fault{first}
+	triggered := false
+	remaining := []fault{first}
 	if second != nil {
-		left = append(left, *second)
+		remaining = append(remaining, *second)
 	}
 	var last *node
 	sim.hook = func(name string, n *node) {
-		if name != s.name || len(left) == 0 || n == last {
+		if name != s.name || len(remaining) == 0 || n == last {
 			return
 		}
-		f := left[0]
-		left = left[1:]
+		f := remaining[0]
+		remaining = remaining[1:]
 		last = n
-		struck = true
+		triggered = true
 		if f.onNode != nil {
 			f.onNode(sim, n)
 		}
 	}
 	sim.boxHook = func(name string, b *box) {
-		if name != s.name || len(left) == 0 {
+		if name != s.name || len(remaining) == 0 {
 			return
 		}
-		f := left[0]
-		left = left[1:]
-		struck = true
+		f := remaining[0]
+		remaining = remaining[1:]
+		triggered = true
 		if f.onBox != nil {
 			f.onBox(sim, b)
 			return
@@ -241,7 +244,7 @@
 			recoverCrash(n, func() { f.onNode(sim, n) })
 		}
 	}
-	return &struck
+	return &triggered
 }
 
 // cell is a cell of the table.
--- a/internal/control/fulldisk_test.go
+++ b/internal/control/fulldisk_test.go
@@ -35,7 +35,7 @@
 	r.onApplied = func(*wire.Command, steering.Result) {}
 	r.onSynced = func(time.Duration) {}
 	r.onDiskChange = func(full *FullDiskError) { reported = append(reported, full != nil) }
-	carryOut := func(out consensus.Output) {
+	applyOutput := func(out consensus.Output) {
 		t.Helper()
 		if err := r.handleOutput(out); err != nil {
 			t.Fatalf("the replica stopped: %v", err)
@@ -48,13 +48,13 @@
 			if err != nil {
 				t.Fatalf("the replica stopped: %v", err)
 			}
-			carryOut(out)
+			applyOutput(out)
 		}
 	}
 	propose := func(zone string) outcome {
 		t.Helper()
 		reply := make(chan outcome, 1)
-		carryOut(r.handle(proposal{&wire.Command{Evacuation: &wire.EvacuationCommand{Zone: zone}}, reply}))
+		applyOutput(r.handle(proposal{&wire.Command{Evacuation: &wire.EvacuationCommand{Zone: zone}}, reply}))
 		select {
 		case o := <-reply:
 			return o
@@ -63,7 +63,7 @@
 			return outcome{}
 		}
 	}
-	carryOut(r.handle(bootstrap{&wire.Membership{Voters: []*wire.Replica{{Id: r.id, Address: "a"}}}}))
+	applyOutput(r.handle(bootstrap{&wire.Membership{Voters: []*wire.Replica{{Id: r.id, Address: "a"}}}}))
 	advance(3 * time.Second)
 	if o := propose("z1"); o.err != nil {
 		t.Fatal(o.err)
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -22,15 +22,16 @@
 	knownVersion uint64 // settings version known to the operators
 	changeCount  int
 	openChanges  []*openChange
-	nextAt       time.Time
+	nextChangeAt time.Time
 	verdicts     map[string]*wire.Verdict
 	acceptedIDs  map[uint64]string // change id by version
 	acked        uint64            // highest acknowledged version
 	reads        []*openRead
-	duplicates   bool // send every change to two nodes
+	duplicates   bool // also send every change to a random node, and again to the same one
 	pause        time.Duration
 }
 
+// openChange is a change that has no verdict yet.
 type openChange struct {
 	change         *wire.Change
 	node           *node
@@ -45,6 +46,7 @@
 	return c.duplicateReply
 }
 
+// openRead is an unanswered read. A fresh answer has at least minVersion.
 type openRead struct {
 	reply      chan readOutcome
 	minVersion uint64
@@ -56,12 +58,12 @@
 
 // step sends new changes and processes answers.
 func (o *operators) step() {
-	if !o.sim.now.Before(o.nextAt) && len(o.openChanges) < 2 {
-		o.nextAt = o.sim.now.Add(o.pause)
+	if !o.sim.now.Before(o.nextChangeAt) && len(o.openChanges) < 2 {
+		o.nextChangeAt = o.sim.now.Add(o.pause)
 		for range 2 - len(o.openChanges) {
-			o.begin()
+			o.beginChange()
 		}
-		o.read()
+		o.beginRead()
 	}
 	open := o.openChanges
 	o.openChanges = nil
@@ -73,7 +75,7 @@
 	o.checkReads()
 }
 
-func (o *operators) begin() {
+func (o *operators) beginChange() {
 	o.changeCount++
 	c := &openChange{change: &wire.Change{
 		Id:          fmt.Sprintf("change-%d", o.changeCount),
@@ -135,7 +137,7 @@
 			c.reply = nil
 			return false
 		}
-		o.verdict(got.result.Verdict)
+		o.recordVerdict(got.result.Verdict)
 		o.pollDuplicate(c)
 		return true
 	default:
@@ -151,14 +153,15 @@
 	select {
 	case got := <-c.duplicateReply:
 		if got.err == nil {
-			o.verdict(got.result.Verdict)
+			o.recordVerdict(got.result.Verdict)
 		}
 	default:
 	}
 }
 
-// verdict checks that each change has one verdict and each version one change.
-func (o *operators) verdict(v *wire.Verdict) {
+// recordVerdict records a verdict and checks that each change has one verdict and each version one
+// change.
+func (o *operators) recordVerdict(v *wire.Verdict) {
 	if before, ok := o.verdicts[v.Id]; ok && (before.Kind != v.Kind || before.Version != v.Version) {
 		o.sim.addProblem("change %s has two verdicts: %s at version %d and %s at version %d", v.Id, before.Kind, before.Version, v.Kind, v.Version)
 	}
@@ -174,7 +177,7 @@
 	o.acked = max(o.acked, v.Version)
 }
 
-func (o *operators) read() {
+func (o *operators) beginRead() {
 	n := o.sim.nodes[o.sim.random.IntN(len(o.sim.nodes))]
 	if !n.alive || n.frozen {
 		return
@@ -295,7 +298,7 @@
 func (o *operators) checkActive() {
 	sim := o.sim
 	before := o.acked
-	o.begin()
+	o.beginChange()
 	if !sim.run(3*time.Second, func() bool {
 		open := o.openChanges
 		o.openChanges = nil
@@ -307,7 +310,7 @@
 		return o.acked > before
 	}) {
 		if o.acked == before {
-			o.begin()
+			o.beginChange()
 		}
 	}
 	version := sim.leaderVersion()
--- a/internal/control/packed_test.go
+++ b/internal/control/packed_test.go
@@ -77,8 +77,8 @@
 // TestLogWithPlainAndPackedDocuments starts a replica on a snapshot and a log that hold plain
 // documents, as earlier versions write them, followed by packed ones.
 func TestLogWithPlainAndPackedDocuments(t *testing.T) {
-	state := stateWith(t, operatorsText(1400))
-	texts := [][]byte{operatorsText(1401), operatorsText(1402), operatorsText(1403)}
+	state := stateWithDocument(t, sampleRoutesText(1400))
+	texts := [][]byte{sampleRoutesText(1401), sampleRoutesText(1402), sampleRoutesText(1403)}
 	l := openSoleReplica(t, state, plainCommand(1, 2, texts[0]), packedCommand(2, 3, texts[1]), packedCommand(3, 4, texts[2]))
 	document := l.replica.state.Catalog().Document()
 	if document.GetNumber() != 4 || !bytes.Equal(document.Text, texts[2]) {
@@ -102,7 +102,7 @@
 // TestInvalidPackedDocumentIsRejected checks that a replica continues after a document that it
 // can't unpack.
 func TestInvalidPackedDocumentIsRejected(t *testing.T) {
-	state := stateWith(t, []byte("one"))
+	state := stateWithDocument(t, []byte("one"))
 	broken := packedCommand(1, 2, []byte("two"))
 	broken.Routes.Packed.Data = []byte("no frame")
 	l := openSoleReplica(t, state, broken, packedCommand(1, 2, []byte("three")))
--- a/internal/control/permits_test.go
+++ b/internal/control/permits_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Permits that become available during a suspension can be issued afterwards, up to the burst and
-// no more.
-func TestIssuerCountsASuspension(t *testing.T) {
+// Permits that become available while the machine is suspended can be issued afterwards, up to the
+// capacity of the bucket.
+func TestPermitsAccrueDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var suspended atomic.Int64
 		clock := boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
@@ -76,10 +76,10 @@
 // share and publishes the limit to its subscribers. It also publishes that the limit was
 // withdrawn, which it learns from a report.
 func TestReplicaIssuesForARateLimitedTarget(t *testing.T) {
-	synctest.Test(t, testIssueForATarget)
+	synctest.Test(t, testIssueForRateLimitedTarget)
 }
 
-func testIssueForATarget(t *testing.T) {
+func testIssueForRateLimitedTarget(t *testing.T) {
 	p, err := process.New("a", io.Discard, zerolog.Disabled, "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/quarantine_test.go
+++ b/internal/control/quarantine_test.go
@@ -17,8 +17,8 @@
 )
 
 // Boxes report targets that crashed under a request to every replica. The leader puts the request
-// on probation and then in quarantine, within the time in which all boxes must know. A release by
-// an operator reaches all replicas.
+// on probation and then in quarantine, within the 2 s in which all boxes must know. A release by an
+// operator reaches all replicas.
 func TestEvidenceQuarantinesARequest(t *testing.T) {
 	const bound = 2 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
--- a/internal/control/registrations_bench_test.go
+++ b/internal/control/registrations_bench_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// processorTime returns the CPU time that this process has used on all cores.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used on all cores.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -88,9 +88,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkWordsAtOnce measures the CPU time that nine replicas use together for the registrations
+// BenchmarkConcurrentRegistrations measures the CPU time that nine replicas use together for the registrations
 // of targets that all join at the same moment, each at one of the replicas.
-func BenchmarkWordsAtOnce(b *testing.B) {
+func BenchmarkConcurrentRegistrations(b *testing.B) {
 	for _, n := range []int{400, 1356, 3000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -98,7 +98,7 @@
 				daemons := openReplicas(b, 9, steering.State{})
 				awaitLeader(b, daemons)
 				time.Sleep(time.Second)
-				used := processorTime()
+				used := cpuTime()
 				b.StartTimer()
 				var failed, calls int
 				var counting sync.Mutex
@@ -127,7 +127,7 @@
 				}
 				registering.Wait()
 				b.StopTimer()
-				took := processorTime() - used
+				took := cpuTime() - used
 				b.ReportMetric(float64(took.Microseconds())/float64(n), "cpu-us/update")
 				b.ReportMetric(float64(calls), "calls")
 				b.ReportMetric(float64(failed), "failed")
--- a/internal/control/registrations_test.go
+++ b/internal/control/registrations_test.go
@@ -35,6 +35,7 @@
 	return &wire.RegistrationCommand{Registration: &wire.Registration{Id: id, Sequence: sequence}}
 }
 
+// An update that is submitted again while it is pending is committed once.
 func TestWordToldAgainWhileItWaitsIsSettledOnce(t *testing.T) {
 	committed := 0
 	commit := func(_ context.Context, batch []*pendingUpdate) []error {
@@ -180,14 +181,14 @@
 			dropped = append(dropped, kind)
 		}
 	}
-	gone, leave := context.WithCancel(t.Context())
+	callerCtx, giveUp := context.WithCancel(t.Context())
 	reply := make(chan outcome, 2)
-	for _, ctx := range []context.Context{gone, t.Context()} {
+	for _, ctx := range []context.Context{callerCtx, t.Context()} {
 		if err := r.inbox.put(ctx, proposal{&wire.Command{Evacuation: &wire.EvacuationCommand{Zone: "z"}}, reply}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	leave()
+	giveUp()
 	a, _ := r.inbox.next()
 	out := r.drain(a)
 	if len(out.Entries) != 1 || len(dropped) != 1 || dropped[0] != "order" {
--- a/internal/control/restarts_test.go
+++ b/internal/control/restarts_test.go
@@ -44,6 +44,7 @@
 	held map[string]int64
 }
 
+// send sends an update of each target to a node, and with late also one of the previous incarnation.
 func (r *restartRun) send(n *node, late bool) {
 	if n == nil || !n.alive || n.frozen {
 		return
@@ -59,7 +60,7 @@
 		b.sequence++
 		add(b, b.incarnation, b.sequence)
 		if late && b.incarnation > 1 {
-			add(b, b.incarnation-1, 1_000_000+b.sequence) // late update of the previous incarnation
+			add(b, b.incarnation-1, 1_000_000+b.sequence) // late update of the previous incarnation, with a higher sequence number
 		}
 	}
 	r.sim.handleOutput(n, n.replica.handle(batch))
@@ -78,8 +79,8 @@
 	}
 }
 
-// check checks that no node returns to an earlier incarnation.
-func (r *restartRun) check() {
+// checkIncarnations checks that no node returns to an earlier incarnation.
+func (r *restartRun) checkIncarnations() {
 	for _, n := range r.sim.nodes {
 		for _, b := range r.targets {
 			key := n.id() + " " + b.id
@@ -98,7 +99,8 @@
 	}
 }
 
-func (r *restartRun) disturb() {
+// injectFault cuts off or kills a random node, restarts a random target, or does nothing.
+func (r *restartRun) injectFault() {
 	random := r.sim.random
 	n := r.sim.nodes[random.IntN(len(r.sim.nodes))]
 	switch random.IntN(8) {
@@ -117,6 +119,8 @@
 	}
 }
 
+// Guards against a late update of an earlier incarnation that replaces a later one, while replicas
+// are cut off, killed and restarted.
 func TestLatestIncarnationIsKeptThroughCuts(t *testing.T) {
 	for seed := range uint64(restartSeeds) {
 		sim := newSimulation(t, seed+1)
@@ -125,19 +129,19 @@
 			r.targets = append(r.targets, &restartingTarget{id: fmt.Sprint("t", i), incarnation: 1})
 		}
 		for range 60 {
-			r.disturb()
+			r.injectFault()
 			node := sim.nodes[sim.random.IntN(len(sim.nodes))]
 			if sim.random.IntN(2) == 0 {
 				node = sim.leader()
 			}
 			r.send(node, sim.random.IntN(3) == 0)
-			sim.run(200*time.Millisecond, func() bool { r.check(); return false })
+			sim.run(200*time.Millisecond, func() bool { r.checkIncarnations(); return false })
 			r.recordAcks()
 		}
-		sim.run(5*time.Second, func() bool { r.check(); return false })
+		sim.run(5*time.Second, func() bool { r.checkIncarnations(); return false })
 		for range 5 {
 			r.send(sim.leader(), true)
-			sim.run(time.Second, func() bool { r.check(); return false })
+			sim.run(time.Second, func() bool { r.checkIncarnations(); return false })
 			r.recordAcks()
 		}
 		for _, b := range r.targets {
--- a/internal/control/simulation_test.go
+++ b/internal/control/simulation_test.go
@@ -31,7 +31,7 @@
 	sim           *simulation
 	name          string
 	zone          string
-	disks         int
+	diskCount     int
 	disk          *fakeDisk
 	replica       *replica
 	journal       *journal.Journal
@@ -40,41 +40,43 @@
 	frozen        bool
 	inbox         []*wire.ConsensusMessage
 	downUntil     time.Time
-	nextAt        time.Time
+	nextTickAt    time.Time
 	awaitsJoin    bool // not yet in the membership
 	lastContactAt time.Time
-	// aloneSince is when the node could last reach another or be reached.
-	aloneSince time.Time
+	// isolatedSince is when the node could last reach another node or be reached by one.
+	isolatedSince time.Time
 }
 
 type packet struct {
-	at       time.Time
-	from, to string
-	message  *wire.ConsensusMessage
+	deliverAt time.Time
+	from, to  string
+	message   *wire.ConsensusMessage
 }
 
 // simulation runs three control boxes and six entry boxes in three availability zones, in virtual
 // time and with fake disks and networks.
 type simulation struct {
-	t        *testing.T
-	random   *rand.Rand
-	seed     uint64
-	now      time.Time
-	nodes    []*node
-	boxes    []*box
-	queue    []packet
-	blocked  map[[2]string]time.Time // by sending and receiving zone: the end of the cut
+	t       *testing.T
+	random  *rand.Rand
+	seed    uint64
+	now     time.Time
+	nodes   []*node
+	boxes   []*box
+	queue   []packet
+	blocked map[[2]string]time.Time // by sending and receiving zone: the end of the cut
+	// hook and boxHook are called when a node or box reaches a step of the fault matrix.
 	hook     func(step string, n *node)
 	boxHook  func(step string, b *box)
-	joining  map[string]*wire.Replica
-	finished map[string]bool
+	joining  map[string]*wire.Replica // by node name: replicas on new disks that asked to join
+	finished map[string]bool          // by replica id: repairs that are finished
 
-	leaders  map[uint64]string
-	applied  map[uint64]uint64
+	leaders  map[uint64]string // by term
+	applied  map[uint64]uint64 // by log index: the hash of the command
 	problems []string
 	// quorumLost is set if two of three disks were lost before a repair was finished.
 	quorumLost bool
-	crashAt    map[*node]time.Time
+	// crashAt is when nodes with a failed disk operation are killed if they are still alive.
+	crashAt map[*node]time.Time
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
@@ -121,15 +123,15 @@
 
 // newDisk gives the node an empty disk with a new identity.
 func (n *node) newDisk() {
-	n.disks++
-	n.disk = newFakeDisk(n.sim.seed*100 + uint64(n.disks))
+	n.diskCount++
+	n.disk = newFakeDisk(n.sim.seed*100 + uint64(n.diskCount))
 	id := []byte(n.id())
 	n.disk.names["identity"] = &fakeFile{data: id, synced: len(id)}
 	n.disk.durable["identity"] = n.disk.names["identity"]
 }
 
 // id returns the identity on the node's current disk.
-func (n *node) id() string { return fmt.Sprintf("%s-disk%d", n.name, n.disks) }
+func (n *node) id() string { return fmt.Sprintf("%s-disk%d", n.name, n.diskCount) }
 
 func (sim *simulation) start(n *node) {
 	n.disk.beforeOperation = func(string, string) error { return nil }
@@ -148,8 +150,8 @@
 	}
 	n.alive, n.frozen, n.journal, n.replica, n.inbox = true, false, j, r, nil
 	n.publisher = distribution.NewPublisher(r.state)
-	n.nextAt = sim.now
-	n.aloneSince = sim.now
+	n.nextTickAt = sim.now
+	n.isolatedSince = sim.now
 	r.send = func(m *wire.ConsensusMessage) { sim.send(n, m) }
 	r.publish = func(s steering.State, c []*wire.Command) { n.publisher.SetState(s, c) }
 	r.onNotice = func(notice consensus.Notice) { sim.checkNotice(n, notice) }
@@ -169,6 +171,7 @@
 	n.awaitsJoin = len(v.Voters) == 0 || addressOf(v, r.id) == ""
 }
 
+// checkNotice checks that no term has two leaders.
 func (sim *simulation) checkNotice(n *node, notice consensus.Notice) {
 	if notice.Role != consensus.Leader {
 		return
@@ -250,9 +253,10 @@
 	n.disk.crash(torn)
 }
 
+// loseDisk crashes a node and replaces its disk by an empty one.
 func (sim *simulation) loseDisk(n *node, down time.Duration) {
 	for _, other := range sim.nodes {
-		if other != n && other.disks > 1 && !sim.finished[other.id()] {
+		if other != n && other.diskCount > 1 && !sim.finished[other.id()] {
 			sim.quorumLost = true
 		}
 	}
@@ -260,6 +264,7 @@
 	n.newDisk()
 }
 
+// cut drops the messages from one availability zone to another for a while.
 func (sim *simulation) cut(from, to string, length time.Duration) {
 	sim.blocked[[2]string{from, to}] = sim.now.Add(length)
 }
@@ -332,7 +337,7 @@
 	due := sim.queue
 	sim.queue = nil
 	for _, p := range due {
-		if sim.now.Before(p.at) {
+		if sim.now.Before(p.deliverAt) {
 			sim.queue = append(sim.queue, p)
 			continue
 		}
@@ -368,8 +373,8 @@
 			sim.handleOutput(n, n.replica.handle(receivedMessage{m}))
 		}
 	}
-	if n.alive && !sim.now.Before(n.nextAt) {
-		n.nextAt = sim.now.Add(replicaTick)
+	if n.alive && !sim.now.Before(n.nextTickAt) {
+		n.nextTickAt = sim.now.Add(replicaTick)
 		sim.tick(n)
 		sim.repair(n)
 	}
@@ -390,12 +395,12 @@
 func (sim *simulation) checkCutOff(n *node, s consensus.Status) {
 	for _, other := range sim.nodes {
 		if other != n && (sim.reachable(n.zone, other.zone) || sim.reachable(other.zone, n.zone)) {
-			n.aloneSince = sim.now
+			n.isolatedSince = sim.now
 		}
 	}
-	if sim.now.Sub(n.aloneSince) > 2*time.Second && !s.CutOff {
+	if sim.now.Sub(n.isolatedSince) > 2*time.Second && !s.CutOff {
 		sim.addProblem("%s is cut off and does not report it", n.name)
-		n.aloneSince = sim.now
+		n.isolatedSince = sim.now
 	}
 }
 
--- a/internal/control/slowlinks_test.go
+++ b/internal/control/slowlinks_test.go
@@ -31,10 +31,11 @@
 	operatorCallTimeout = 4 * time.Second
 	// maxAckTime bounds the time until a document is acknowledged.
 	maxAckTime = time.Second
-	// maxSentFraction bounds the bytes that replicas send for a document: the size of its text
-	// divided by this.
-	maxSentFraction = 2
-	// electionWait suffices to elect a leader, and quiescenceWait for what is still in flight.
+	// sentBytesDivisor bounds the bytes that replicas send for a document: at most the size of its
+	// text divided by this.
+	sentBytesDivisor = 2
+	// electionWait is long enough to elect a leader, and quiescenceWait to complete what is still in
+	// flight.
 	electionWait   = 10 * time.Second
 	quiescenceWait = 10 * time.Second
 )
@@ -51,12 +52,12 @@
 // runSlowReplicas runs a function in virtual time with replicas that all hold a state.
 func runSlowReplicas(t *testing.T, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
-	runReplicasOn(t, slowLinkBytes, state, run)
+	runReplicasWithBandwidth(t, slowLinkBytes, state, run)
 }
 
-// runReplicasOn is runSlowReplicas with the given bandwidth of all links together, in bytes per
+// runReplicasWithBandwidth is runSlowReplicas with the given bandwidth of all links together, in bytes per
 // second and direction.
-func runReplicasOn(t *testing.T, bytesPerSecond int, state steering.State, run func(t *testing.T, s *slowReplicas)) {
+func runReplicasWithBandwidth(t *testing.T, bytesPerSecond int, state steering.State, run func(t *testing.T, s *slowReplicas)) {
 	t.Helper()
 	runtime.GC() // yamux keeps timers in a pool, which must not enter or leave
 	runtime.GC() // a bubble; that takes two collections
@@ -124,7 +125,8 @@
 	}
 }
 
-func (s *slowReplicas) sent() uint64 {
+// bytesSent returns the bytes that all replicas have sent.
+func (s *slowReplicas) bytesSent() uint64 {
 	var sum uint64
 	for _, d := range s.daemons {
 		sum += d.node.Control.Sent.Load()
@@ -145,8 +147,8 @@
 	return s.daemons[i]
 }
 
-// operatorsText returns a text of about 220 B per route.
-func operatorsText(routes int) []byte {
+// sampleRoutesText returns a text of about 220 B per route.
+func sampleRoutesText(routes int) []byte {
 	r := rand.New(rand.NewPCG(1, 3))
 	var out strings.Builder
 	for range routes {
@@ -164,17 +166,18 @@
 	for _, routes := range []int{1400, 5600} {
 		t.Run(fmt.Sprintf("put/%d", routes), func(t *testing.T) {
 			runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
-				s.putAtFollower(t, operatorsText(routes))
+				s.putAtFollower(t, sampleRoutesText(routes))
 			})
 		})
 	}
 	t.Run("read/5600", func(t *testing.T) {
-		text := operatorsText(5600)
-		runSlowReplicas(t, stateWith(t, text), func(t *testing.T, s *slowReplicas) { s.readAtFollower(t, text) })
+		text := sampleRoutesText(5600)
+		runSlowReplicas(t, stateWithDocument(t, text), func(t *testing.T, s *slowReplicas) { s.readAtFollower(t, text) })
 	})
 }
 
-func stateWith(t *testing.T, text []byte) steering.State {
+// stateWithDocument returns a state whose active routes document has the given text.
+func stateWithDocument(t *testing.T, text []byte) steering.State {
 	t.Helper()
 	document := &wire.RoutesDocument{Number: 1, Text: text}
 	s, result := steering.State{}.Apply(&wire.Command{Routes: &wire.RoutesCommand{Document: document}})
@@ -186,18 +189,18 @@
 
 func (s *slowReplicas) putAtFollower(t *testing.T, text []byte) {
 	t.Helper()
-	before, began := s.sent(), time.Now()
+	before, began := s.bytesSent(), time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	err := s.follower(t).PutRoutes(ctx, catalog.Document{Number: 1}, text)
 	took := time.Since(began)
 	time.Sleep(quiescenceWait)
-	sent := s.sent() - before
+	sent := s.bytesSent() - before
 	t.Logf("%d bytes: committed after %v, %d bytes were sent: %v", len(text), took, sent, err)
 	if err != nil || took > maxAckTime {
 		t.Errorf("acknowledged after %v, want at most %v: %v", took, maxAckTime, err)
 	}
-	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+	if limit := uint64(len(text) / sentBytesDivisor); sent > limit {
 		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 	for _, d := range s.daemons {
@@ -210,16 +213,16 @@
 
 func (s *slowReplicas) readAtFollower(t *testing.T, text []byte) {
 	t.Helper()
-	before, began := s.sent(), time.Now()
+	before, began := s.bytesSent(), time.Now()
 	ctx, cancel := context.WithTimeout(t.Context(), operatorCallTimeout)
 	defer cancel()
 	got, err := s.follower(t).Routes(ctx)
-	sent := s.sent() - before
+	sent := s.bytesSent() - before
 	t.Logf("%d bytes: read after %v, %d bytes were sent: %v", len(text), time.Since(began), sent, err)
 	if err != nil || string(got) != string(text) {
 		t.Errorf("got %d bytes of %d: %v", len(got), len(text), err)
 	}
-	if limit := uint64(len(text) / maxSentFraction); sent > limit {
+	if limit := uint64(len(text) / sentBytesDivisor); sent > limit {
 		t.Errorf("replicas sent %d bytes, want at most %d", sent, limit)
 	}
 }
--- a/internal/control/suspension_test.go
+++ b/internal/control/suspension_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a replica that, after a suspension, takes its contact with the leader for recent
 // or still takes itself for the leader.
-func TestReplicaCountsASuspension(t *testing.T) {
+func TestControlAgeIncludesSuspension(t *testing.T) {
 	const length = 5 * time.Second
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		for _, d := range s.daemons {
@@ -26,8 +26,8 @@
 	})
 }
 
-// A leader that alone was suspended steps down when it resumes, since it has not had contact with
-// the others for so long. The others continue, and one of them becomes leader soon.
+// If only the leader's machine is suspended, the leader steps down when it resumes, since it has had
+// no contact with the others for so long. The others continue, and one of them becomes leader soon.
 func TestSuspendedLeaderStepsDown(t *testing.T) {
 	runSlowReplicas(t, steering.State{}, func(t *testing.T, s *slowReplicas) {
 		leader, another := s.leaderAndAnother(t)
--- a/internal/control/targetindex_test.go
+++ b/internal/control/targetindex_test.go
@@ -14,10 +14,10 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against redundant updates that use up a replica's CPU. With 3,002 targets, six replicas and
-// an update of each target every 1.5 s, a replica received 333 updates a second; its CPU was
-// saturated, documents were acknowledged after 11 s, and the document could not be read at the end
-// of a day.
+// Guards against redundant updates that use up a replica's CPU. With 3,002 targets that each sent an
+// update every 1.5 s, spread over six replicas, a replica received 333 updates a second. Its CPU was
+// saturated, documents were acknowledged after 11 s, and the document could not be read back at the
+// end of a day.
 
 func registrationOf(id string, born int64, sequence uint64, slots uint32) *wire.Registration {
 	return &wire.Registration{Id: id, Service: "s", Address: id, Zone: "z", Slots: slots, Sequence: sequence, BornUnixMilli: born}
@@ -44,8 +44,8 @@
 	})
 }
 
-// BenchmarkRepeatedWord measures one redundant update among 3,000 targets.
-func BenchmarkRepeatedWord(b *testing.B) {
+// BenchmarkRedundantUpdate measures one redundant update among 3,000 targets.
+func BenchmarkRedundantUpdate(b *testing.B) {
 	s := catalog.State{}
 	for i := range 3000 {
 		s, _ = s.ApplyRegistration(&wire.RegistrationCommand{Registration: registrationOf(fmt.Sprint("i", i), 0, 1, 4)})
--- a/internal/control/update_test.go
+++ b/internal/control/update_test.go
@@ -34,9 +34,9 @@
 	if err := check(state, &wire.Registration{Id: "i", Service: "none"}, false); !errors.As(err, &service) {
 		t.Errorf("an unknown service: %v", err)
 	}
-	var birth *FutureStartError
+	var future *FutureStartError
 	ahead := time.Now().Add(2 * maxStartAhead).UnixMilli()
-	if err := check(state, &wire.Registration{Id: "i", Service: "s", BornUnixMilli: ahead}, false); !errors.As(err, &birth) {
+	if err := check(state, &wire.Registration{Id: "i", Service: "s", BornUnixMilli: ahead}, false); !errors.As(err, &future) {
 		t.Errorf("a start that lies ahead: %v", err)
 	}
 	for name, err := range map[string]error{
