--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -54,7 +54,7 @@
 
 // applyCommands applies the commands of entries and returns those that changed the state, in the
 // form in which they are published. A routes document is published with the text that the state
-// holds after it, so each group ends at a command that sets one.
+// holds after it, so the commands are applied in groups that end at a command with a document.
 func (r *replica) applyCommands(entries []*wire.Entry, commands []*wire.Command) []*wire.Command {
 	var published []*wire.Command
 	for len(commands) > 0 {
--- a/internal/control/catalogapi.go
+++ b/internal/control/catalogapi.go
@@ -21,8 +21,8 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// addCatalogHandlers adds the handlers for routes, evacuations and targets. Any replica serves
-// them and has the leader commit changes.
+// addCatalogHandlers adds the handlers for routes, evacuations, targets, lookups, workspaces and the
+// quarantine list. Any replica serves them and has the leader commit changes.
 func (d *Daemon) addCatalogHandlers(app *iris.Application) {
 	app.Get("/v1/routes", d.getRoutes)
 	app.Put("/v1/routes", d.authorized, d.putRoutes)
--- a/internal/control/daemon.go
+++ b/internal/control/daemon.go
@@ -58,8 +58,8 @@
 	// noContact. It does not depend on the time of day.
 	lastContact atomic.Int64
 
-	// reportedTo is the leader that reports are sent to, and filter selects what has changed
-	// since. Only refreshView uses them.
+	// reportedTo is the leader that reports of boxes are sent to, and filter selects those that have
+	// changed or are due again. Only refreshView uses them.
 	reportedTo string
 	filter     *relay.ReportFilter
 
@@ -318,7 +318,8 @@
 	}
 }
 
-// controlAge returns the time since the last contact with a leader that has a quorum.
+// controlAge returns the time since the last contact with a leader that has a quorum, or an hour if
+// there was none.
 func (d *Daemon) controlAge() time.Duration {
 	at := d.lastContact.Load()
 	if at == noContact {
--- a/internal/control/inbox.go
+++ b/internal/control/inbox.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// tryPut queues a message if there is space.
-func (i inbox) tryPut(m message) (taken bool) {
+// tryPut queues a message if there is space, and reports whether it did.
+func (i inbox) tryPut(m message) (queued bool) {
 	select {
 	case i.queue(m) <- queuedMessage{message: m, queuedAt: i.clock.Now()}:
 		return true
--- a/internal/control/membership.go
+++ b/internal/control/membership.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		if len(v.membership.Voters) == 0 && d.isInitialMembership(h) {
-			_ = d.replica.inbox.put(ctx, bootstrap{h.Membership}) // retried at the next interval
+			_ = d.replica.inbox.put(ctx, bootstrap{h.Membership}) // fails only if the context ends; then looked for again
 			return
 		}
 		d.askToJoin(ctx)
@@ -70,7 +70,7 @@
 	}
 	slices.SortFunc(first.Voters, func(a, b *wire.Replica) int { return strings.Compare(a.Id, b.Id) })
 	d.process.RecordStateChange(&wire.TimelineEvent{Kind: "formed", Box: d.replica.id, Detail: "forms the first membership"})
-	_ = d.replica.inbox.put(ctx, bootstrap{first}) // retried at the next interval
+	_ = d.replica.inbox.put(ctx, bootstrap{first}) // fails only if the context ends; then tried again
 }
 
 // mayBootstrap reports whether this replica may take part in forming the first membership.
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -15,7 +15,7 @@
 }
 
 // updateBatch is a batch of registration updates that are proposed together. The outcome of each
-// is sent on reply, which has capacity for all of them.
+// is sent on reply, with its index among the updates; reply has capacity for all of them.
 type updateBatch struct {
 	updates []*wire.Command
 	reply   chan<- updateOutcome
@@ -70,8 +70,9 @@
 	membership *wire.Membership
 }
 
-// LeadershipLostError reports that a proposed command was replaced in the log by an entry of
-// another leader. Whether it is elsewhere in the log is unknown to this replica.
+// LeadershipLostError reports that a proposed command's place in the log was taken by another
+// leader's entry, or that this replica stopped leading or its disk became full before the command
+// was committed. Whether the command is elsewhere in the log is unknown to this replica.
 type LeadershipLostError struct{}
 
 // Error implements error.
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// quarantineInterval is how often a leader checks for pending changes. New evidence triggers a
+	// quarantineInterval is how often a replica checks for pending changes. New evidence triggers a
 	// check at once.
 	quarantineInterval = 200 * time.Millisecond
 	// quarantineSubmitTimeout bounds the wait for the changes of one check. Changes that were not
--- a/internal/control/registrations.go
+++ b/internal/control/registrations.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// runBatch attempts to commit a batch until every update is committed or its deadline has passed,
-// and returns how long that took.
+// runBatch attempts to commit a batch until every update is answered, and returns how long that
+// took.
 func (q *registrationQueue) runBatch(ctx context.Context, batch []*pendingUpdate) time.Duration {
 	began := q.clock.Now()
 	for len(batch) > 0 {
@@ -231,7 +231,9 @@
 	return q.commit(ctx, batch)
 }
 
-// resolve answers the updates that are committed or will not be retried, and returns the others.
+// resolve answers the updates that are committed or will not be retried, and returns the others. An
+// update is not retried if another replica forwarded it, its deadline is too close or the context
+// has ended.
 func (q *registrationQueue) resolve(ctx context.Context, batch []*pendingUpdate, outcomes []error) (remaining []*pendingUpdate) {
 	now := q.clock.Now()
 	q.mu.Lock()
