--- a/internal/entry/attempt_test.go
+++ b/internal/entry/attempt_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against replacing a target's failure by the refusal of a hedged attempt.
-func TestTargetFailureOutranksRefusedHedge(t *testing.T) {
+func TestRefusedHedgeKeepsTargetFailure(t *testing.T) {
 	now := time.Now()
 	e := &execution{
 		box:     &Daemon{},
--- a/internal/entry/callerfaults_test.go
+++ b/internal/entry/callerfaults_test.go
@@ -107,8 +107,8 @@
 	for _, row := range callerFaults() {
 		fmt.Fprintf(&out, "%-36s", row.name)
 		for _, step := range requestSteps {
-			problems, left := runCallerCell(t, row, step)
-			t.Logf("%s at %s: %d requests canceled", row.name, step, left)
+			problems, canceled := runCallerCell(t, row, step)
+			t.Logf("%s at %s: %d requests canceled", row.name, step, canceled)
 			if len(problems) > 0 {
 				fmt.Fprintf(&out, " %s:FAILED", step)
 				t.Errorf("%s at %s:\n  %s", row.name, step, strings.Join(problems, "\n  "))
@@ -121,14 +121,14 @@
 	goldie.New(t).Assert(t, "callerfaults", []byte(out.String()))
 }
 
-func runCallerCell(t *testing.T, row callerFault, step string) (problems []string, left int) {
+func runCallerCell(t *testing.T, row callerFault, step string) (problems []string, canceled int) {
 	runInBubble(t, func(t *testing.T) {
 		c := &callerCell{system: newSystem(t, cellSlots), row: row, step: step, trigger: &trigger{}, first: newCallerSet(), second: newCallerSet()}
 		c.hookNetwork(c.trigger)
 		c.trigger.arm(step, c.injectFault)
 		c.runTraffic()
-		left = c.first.canceledCount() + c.second.canceledCount()
-		if !c.trigger.fired() || left == 0 {
+		canceled = c.first.canceledCount() + c.second.canceledCount()
+		if !c.trigger.fired() || canceled == 0 {
 			c.addProblem("the step was not reached, or no caller left")
 		}
 		c.network.setHooks(func(string, string) {}, func(string, string, []byte) {})
@@ -136,7 +136,7 @@
 		c.close(cellSlots)
 		problems = c.problems
 	})
-	return problems, left
+	return problems, canceled
 }
 
 // injectFault makes callers leave and injects the other fault of the row.
@@ -154,7 +154,8 @@
 	}
 }
 
-// runTraffic sends toggles and exports until the duration of a cell has passed.
+// runTraffic sends toggles and exports until the duration of a cell has passed. For the step
+// "queue", eight callers send toggles, so that some wait for a slot.
 func (c *callerCell) runTraffic() {
 	end := time.Now().Add(cellDuration)
 	toggles := 2
@@ -184,7 +185,7 @@
 	running.Wait()
 }
 
-// reachStep triggers the steps that can't be observed on the network.
+// reachStep fires the trigger for the steps that can't be observed on the network.
 func (c *callerCell) reachStep(client *caller.Client) {
 	switch c.step {
 	case "lookUp":
@@ -222,9 +223,9 @@
 	outcome := c.sendAttempt(c.first, client, name, key)
 	running.Wait()
 	if c.row.retryAt != nil && outcome == caller.Unknown {
-		again := c.client("flags")
-		again.Pin(boxHosts[c.row.retryAt(lookup.Boxes[0].Name)] + ":1")
-		outcome = c.sendAttempt(newCallerSet(), again, name, key)
+		retrier := c.client("flags")
+		retrier.Pin(boxHosts[c.row.retryAt(lookup.Boxes[0].Name)] + ":1")
+		outcome = c.sendAttempt(newCallerSet(), retrier, name, key)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,8 +235,8 @@
 	c.sent[name] = outcome
 }
 
-func (c *callerCell) sendAttempt(l *callerSet, client *caller.Client, name, key string) caller.Outcome {
-	ctx, ended := l.begin()
+func (c *callerCell) sendAttempt(callers *callerSet, client *caller.Client, name, key string) caller.Outcome {
+	ctx, ended := callers.begin()
 	defer ended()
 	// An error of the lookup does not change the outcome of what was sent before.
 	a, _ := client.Do(ctx, caller.Request{Method: http.MethodPost, Path: "/toggle", Body: []byte(name), Timeout: leavingTimeout, Key: key})
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -178,7 +178,7 @@
 	return g.step != "" && g.onStep == nil
 }
 
-// hookNetwork triggers the steps that can be observed on the network.
+// hookNetwork fires the trigger for the steps that can be observed on the network.
 func (s *system) hookNetwork(g *trigger) {
 	boxOf, targetOf := make(map[string]string), make(map[string]string)
 	for name, host := range boxHosts {
@@ -260,13 +260,14 @@
 }
 
 // cellTraffic sends reads, toggles and exports concurrently. For the step "body", toggles have
-// bodies that take several writes to send.
+// bodies that take several writes to send; for "queue", eight callers send toggles, so that
+// some wait for a slot.
 func (s *system) cellTraffic(g *trigger, step string, planned bool) {
 	end := time.Now().Add(cellDuration)
 	var running sync.WaitGroup
 	check := func(kind string, a caller.Answer) {
 		if planned && a.Outcome != caller.Ran {
-			s.addProblem("after a planned fault, the outcome of a %s is %s: %s", kind, a.Outcome, a.Header.Get(caller.HeaderReason))
+			s.addProblem("with planned faults only, the outcome of a %s is %s: %s", kind, a.Outcome, a.Header.Get(caller.HeaderReason))
 		}
 	}
 	toggles := 2
--- a/internal/entry/link_test.go
+++ b/internal/entry/link_test.go
@@ -11,9 +11,9 @@
 	"ledgesill.dev/ledgesill/pkg/wire"
 )
 
-// Guards against virtual time that stops when a box stalls between a peer's writes of a frame
-// header and its data.
-func TestStallWithinAFrame(t *testing.T) {
+// Guards against a halt of virtual time when a box stalls after a peer has written the header
+// of a frame and before it writes the data.
+func TestStallWithinFrameKeepsVirtualTimeRunning(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		s := &system{t: t, network: newFakeNetwork()}
 		clock := timeline.NewClock(time.Now)
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -65,15 +65,17 @@
 	return a == b || !n.partitioned[[2]string{a, b}]
 }
 
-func (n *fakeNetwork) setPartitioned(a, b string, cut bool) {
+// setPartitioned holds back all messages between two zones, or delivers them again.
+func (n *fakeNetwork) setPartitioned(a, b string, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitioned[[2]string{a, b}] = cut
-	n.partitioned[[2]string{b, a}] = cut
+	n.partitioned[[2]string{a, b}] = partitioned
+	n.partitioned[[2]string{b, a}] = partitioned
 	n.signalAll()
 }
 
-// setStalled holds back all messages from and to a host, as if it were frozen.
+// setStalled holds back all messages from and to a host, as if it were frozen, or delivers
+// them again.
 func (n *fakeNetwork) setStalled(host string, stalled bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,7 +99,8 @@
 	}
 }
 
-func (n *fakeNetwork) revive(host string) {
+// restart makes a killed host reachable again, without its old listeners.
+func (n *fakeNetwork) restart(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.dead, host)
--- a/internal/entry/pools.go
+++ b/internal/entry/pools.go
@@ -77,7 +77,7 @@
 const leaseRequestTimeout = 500 * time.Millisecond
 
 // configurePools starts a pool for each service of this zone, stops the pools of removed
-// services and passes the active settings to the others.
+// services and passes the active settings to all remaining ones.
 func (d *Daemon) configurePools() {
 	active := d.current.Load()
 	d.pools.Lock()
--- a/internal/entry/request.go
+++ b/internal/entry/request.go
@@ -43,7 +43,9 @@
 	block      string
 	key        string
 	hops       int
-	// foreign is set by the box that received the request from its caller.
+	// foreign tells that the caller is assigned to another region than the one that serves the
+	// request. The box that received the request from its caller determines it, and each box that
+	// forwards the request to another region does so again.
 	foreign    bool
 	foreignSet bool
 	// noWait asks for a slot or a refusal at once, without queueing.
--- a/internal/entry/system_basic_test.go
+++ b/internal/entry/system_basic_test.go
@@ -20,7 +20,7 @@
 
 // Guards against forwarding a keyed request back and forth between the owner of its key and
 // the box that holds the pool.
-func TestKeyedRequestThroughAnyBox(t *testing.T) {
+func TestKeyedRequestRunsThroughAnyBox(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
 		for name, host := range boxHosts {
@@ -56,9 +56,9 @@
 	})
 }
 
-// Guards against requests to a target that the platform lists as leaving. The list lags by two
-// seconds.
-func TestPlatformListDrainsTargets(t *testing.T) {
+// Guards against requests to a target that the platform lists as leaving. The list shows a
+// change two seconds late.
+func TestTargetListedAsLeavingGetsNoRequests(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		const lag = 2 * time.Second
 		s := newSystemWith(t, 2, "http://10.0.7.1:1/")
@@ -88,7 +88,8 @@
 	})
 }
 
-func TestTraffic(t *testing.T) {
+// TestReadsTogglesAndExportsRun checks that every kind of request runs if there is no fault.
+func TestReadsTogglesAndExportsRun(t *testing.T) {
 	runInBubble(t, func(t *testing.T) {
 		s := newSystem(t, 2)
 		c := s.client("flags")
--- a/internal/entry/system_test.go
+++ b/internal/entry/system_test.go
@@ -47,11 +47,14 @@
 	control       *link.Node
 	boxes         map[string]*runningBox
 	targets       map[string]*runningTarget
-	runs          map[string]int
-	overloaded    int
-	killed        []chan error
-	clients       []*http.Client
-	nonce         int
+	// runs counts the runs of each toggle on targets that have stopped.
+	runs map[string]int
+	// overloaded is the number of targets that had more requests at once than slots.
+	overloaded int
+	// killed holds the done channels of killed boxes.
+	killed  []chan error
+	clients []*http.Client
+	nonce   int
 	// platform is the URL of the platform's list, or empty.
 	platform string
 	// onEvidence is called with the evidence that boxes send about requests which crashed targets.
@@ -59,7 +62,8 @@
 
 	mu       sync.Mutex
 	problems []string
-	sent     map[string]caller.Outcome
+	// sent holds the outcome of each toggle as its caller got it.
+	sent map[string]caller.Outcome
 }
 
 type runningBox struct {
@@ -212,7 +216,7 @@
 		},
 	})
 	s.network.setZone(r.host, r.zone)
-	s.network.revive(r.host)
+	s.network.restart(r.host)
 	l, err := s.network.listen(r.host + ":1")
 	if err != nil {
 		s.t.Fatal(err)
@@ -268,7 +272,7 @@
 
 func (s *system) startBox(name string) {
 	host := boxHosts[name]
-	s.network.revive(host)
+	s.network.restart(host)
 	suspended := &atomic.Int64{}
 	clock := boottime.NewClock(func() time.Duration { return time.Duration(suspended.Load()) })
 	c := config.Entry{
@@ -292,7 +296,8 @@
 	s.boxes[name] = b
 }
 
-// killBox disconnects a box permanently and lets its goroutines end in the background.
+// killBox resets all connections of a box, as if its process had been killed. Its goroutines
+// end in the background, and close waits for them. startBox starts the box anew.
 func (s *system) killBox(name string) {
 	b := s.box(name)
 	s.network.kill(b.host)
--- a/internal/entry/targetlimits_test.go
+++ b/internal/entry/targetlimits_test.go
@@ -54,7 +54,9 @@
 	})
 }
 
-func TestLimitFromResponse(t *testing.T) {
+// Guards against a wrong limit for a target whose response reports one, none or an invalid one.
+// Neither a rejection without a limit nor an invalid limit is an update.
+func TestLimitIsReadFromResponse(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		header http.Header
