--- a/internal/entry/backoff_test.go
+++ b/internal/entry/backoff_test.go
@@ -97,10 +97,10 @@
 		if got := target.Requests() - before; got > 0 {
 			t.Errorf("%d requests arrived more than 2 s after the target reported that it is leaving", got)
 		}
-		target.SetMute(true) // the target stops
+		target.SetHealthFailing(true) // the target stops
 		s.readFor(3 * time.Second)
 		target.SetLeaving(false)
-		target.SetMute(false)
+		target.SetHealthFailing(false)
 		s.readFor(8 * time.Second)
 		if got := target.Requests() - before; got < 20 {
 			t.Errorf("the next incarnation got %d requests, want at least 20", got)
