--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for users and for CI; everything but Go and make is fetched by Go.
+# Targets for users and for CI. They need Go and make; Go downloads the rest.
 GOBIN := $(CURDIR)/bin
 export GOFLAGS := -buildvcs=false
 
@@ -14,42 +14,42 @@
 demo-portal: build
 	contrib/demo/run.sh $(GOBIN) portal
 
-# Real control replicas are killed, frozen and lose their disks.
+# Kills and freezes real control replicas and wipes their disks.
 drill: build
 	contrib/demo/run.sh $(GOBIN) flagpost drill
 
-# Real processes under faults by the plan of seeds: SEEDS=1-50 make soak
+# Runs real processes under the faults that each seed generates: SEEDS=1-50 make soak
 SEEDS_OF_SOAK := $(or $(SEEDS),@contrib/soak/seeds.txt)
 soak: build
 	go build -o $(GOBIN)/soak ./contrib/soak
 	$(GOBIN)/soak -binary $(GOBIN)/ledgesill -seeds $(SEEDS_OF_SOAK)
 
-# Fixed seeds, so that the verdict is the same every time. CI leaves out the tests that KNOWN-RED.txt names.
+# Uses a fixed seed to make property tests reproducible. CI skips the tests listed in KNOWN-RED.txt.
 test:
 	RAPID_SEED=1 RAPID_NOFAILFILE=1 go test ./...
 
-# Property tests with fresh seeds and fuzz targets: SECONDS_EACH=60 make fresh
+# Runs property tests with new random seeds, and fuzz targets: SECONDS_EACH=60 make fresh
 fresh:
 	contrib/fresh/run.sh
 
-# The whole fault matrix: several seeds of every fault at every step.
+# Runs the full fault matrix: every fault at every step, in internal/control with three seeds.
 faults:
 	go test ./internal/control -run TestFaultMatrix -count=1 -v -timeout 60m -fault-seeds 3
 	go test ./internal/entry -run TestFaultMatrix -count=1 -v -timeout 60m
 
-# Every pair of faults as well; this takes long.
+# Also runs every pair of faults, which takes long.
 fault-pairs:
 	go test ./internal/control -run TestFaultMatrix -count=1 -v -timeout 120m -fault-pairs
 	go test ./internal/entry -run TestFaultMatrix -count=1 -v -timeout 120m -fault-pairs
 
-# The policy against its baseline, in virtual time: SEEDS=1,2,3 make measure
+# Compares the present policy with a baseline policy in virtual time: SEEDS=1,2,3 make measure
 SEEDS ?= 1,2,3
 measure:
 	go run ./contrib/measure -seeds $(SEEDS)
 	go run ./contrib/measure -objects -seeds $(SEEDS)
 
-# Scores of deployments and what became of them since the last ones of another commit:
-# BENCH=PROGRAM SITES="FILE FILE" make regress. Without SITES the journal alone is read.
+# Scores deployments and compares each score with the previous one of another commit:
+# BENCH=PROGRAM SITES="FILE FILE" make regress. Without SITES it only compares scores in the journal.
 regress:
 	@test -z "$(SITES)" || test -n "$(BENCH)" || { echo "BENCH names the program that plays the sites"; exit 2; }
 	@for s in $(SITES); do $(BENCH) score $$s --jobs 2 --why "regression run" || exit 1; done
